--- a/balancer/internal/exchanger/exchanger.go
+++ b/balancer/internal/exchanger/exchanger.go
@@ -92,7 +92,7 @@
 type Decoder func(document []byte) (*steerer.Settings, error)
 
 // Answerer answers a question from the host's own state.
-type Answerer func(ctx context.Context, request *messenger.KnowledgeRequest) (*messenger.Knowledge, error)
+type Answerer func(ctx context.Context, request *messenger.SyncRequest) (*messenger.SyncResponse, error)
 
 // Exchanger serves and asks.
 type Exchanger struct {
@@ -174,7 +174,7 @@
 	if err != nil {
 		return err
 	}
-	question, ok := body.(*messenger.KnowledgeRequest)
+	question, ok := body.(*messenger.SyncRequest)
 	if !ok {
 		return fmt.Errorf("unexpected %T", body)
 	}
@@ -203,8 +203,8 @@
 		defer x.calls.Done()
 		event := &steerer.HostAnswered{From: ask.Host}
 		event.Knowledge, event.Err = x.exchange(ctx, &ask)
-		if event.Err == nil && len(event.Knowledge.Document) > 0 {
-			event.Document, event.Settings, event.Err = x.unpack(event.Knowledge.Document)
+		if event.Err == nil && len(event.Knowledge.CompressedSettings) > 0 {
+			event.Document, event.Settings, event.Err = x.unpack(event.Knowledge.CompressedSettings)
 		}
 		select {
 		case x.events <- event:
@@ -213,7 +213,7 @@
 	}()
 }
 
-func (x *Exchanger) exchange(ctx context.Context, ask *steerer.AskHost) (*messenger.Knowledge, error) {
+func (x *Exchanger) exchange(ctx context.Context, ask *steerer.AskHost) (*messenger.SyncResponse, error) {
 	const op = "ask host"
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
@@ -250,7 +250,7 @@
 	if err != nil {
 		return nil, &Error{Op: op, Kind: KindMalformed, Err: err}
 	}
-	knowledge, ok := body.(*messenger.Knowledge)
+	knowledge, ok := body.(*messenger.SyncResponse)
 	if !ok {
 		return nil, &Error{Op: op, Kind: KindMalformed, Err: fmt.Errorf("unexpected %T", body)}
 	}
@@ -292,10 +292,10 @@
 }
 
 // pack compresses what a host tells another.
-func (x *Exchanger) pack(k *messenger.Knowledge) error {
+func (x *Exchanger) pack(k *messenger.SyncResponse) error {
 	var err error
-	if document := k.Document; len(document) > 0 {
-		k.Document, err = x.document.pack(k.Version, func() ([]byte, error) { return document, nil })
+	if document := k.CompressedSettings; len(document) > 0 {
+		k.CompressedSettings, err = x.document.pack(k.SettingsRevision, func() ([]byte, error) { return document, nil })
 		if err != nil {
 			return err
 		}
@@ -304,15 +304,15 @@
 		return nil
 	}
 	write := func() ([]byte, error) { return encoder.EncodeTargets(k.Targets) }
-	if k.Scope == messenger.ScopeAll && !slices.ContainsFunc(k.Targets, isCold) {
-		k.Packed, err = x.targets.pack(sequencer.At(k.TargetsEra, k.Revision), write)
+	if k.Scope == messenger.ScopeFull && !slices.ContainsFunc(k.Targets, isCold) {
+		k.CompressedTargets, err = x.targets.pack(sequencer.At(k.TargetsEra, k.TargetsRevision), write)
 		return err
 	}
 	plain, err := write()
 	if err != nil {
 		return err
 	}
-	k.Packed, err = compress(plain)
+	k.CompressedTargets, err = compress(plain)
 	return err
 }
 
@@ -320,11 +320,11 @@
 // out of date.
 func isCold(t messenger.TargetState) bool { return t.WarmUp > 0 }
 
-func unpackTargets(k *messenger.Knowledge) error {
-	if len(k.Packed) == 0 {
+func unpackTargets(k *messenger.SyncResponse) error {
+	if len(k.CompressedTargets) == 0 {
 		return nil
 	}
-	data, err := decompress(k.Packed)
+	data, err := decompress(k.CompressedTargets)
 	if err != nil {
 		return err
 	}
--- a/balancer/internal/exchanger/exchanger_test.go
+++ b/balancer/internal/exchanger/exchanger_test.go
@@ -28,7 +28,7 @@
 	var list []messenger.TargetState
 	for i := range n {
 		list = append(list, messenger.TargetState{
-			ID: fmt.Sprintf("i-%010x", i), Seen: 7, Service: "ledger", AvailabilityZone: "pa-hall", Slots: 3,
+			ID: fmt.Sprintf("i-%010x", i), Revision: 7, Service: "ledger", AvailabilityZone: "pa-hall", Slots: 3,
 			Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(i >> 8), byte(i)}), 8080),
 		})
 	}
@@ -48,7 +48,7 @@
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	end := served.Run(ctx)
-	asking.Ask(ctx, &steerer.AskHost{Host: "b1", Address: netip.MustParseAddrPort(served.listener.Addr().String()), Request: &messenger.KnowledgeRequest{Targets: true}, Patience: 500 * time.Millisecond})
+	asking.Ask(ctx, &steerer.AskHost{Host: "b1", Address: netip.MustParseAddrPort(served.listener.Addr().String()), Request: &messenger.SyncRequest{IncludeTargets: true}, Patience: 500 * time.Millisecond})
 	event, ok := (<-events).(*steerer.HostAnswered)
 	require.True(t, ok)
 	cancel()
@@ -60,20 +60,20 @@
 // takes little on the way.
 func TestKnowledgeArrives(t *testing.T) {
 	all := targets(3800)
-	event := exchange(t, func(context.Context, *messenger.KnowledgeRequest) (*messenger.Knowledge, error) {
-		return &messenger.Knowledge{Version: 12, Document: make([]byte, 12), Revision: 9, Targets: targets(3800)}, nil
+	event := exchange(t, func(context.Context, *messenger.SyncRequest) (*messenger.SyncResponse, error) {
+		return &messenger.SyncResponse{SettingsRevision: 12, CompressedSettings: make([]byte, 12), TargetsRevision: 9, Targets: targets(3800)}, nil
 	})
 	require.NoError(t, event.Err)
 	require.Equal(t, all, event.Knowledge.Targets)
 	require.Equal(t, uint64(12), event.Settings.Version)
-	require.Less(t, len(event.Knowledge.Packed), 60_000, "of some 350,000")
+	require.Less(t, len(event.Knowledge.CompressedTargets), 60_000, "of some 350,000")
 }
 
 // Symptom: a host waits for ever for what it lacks. Sequence: the other takes the
 // connection and says nothing. Cause: questions without a time-out.
 func TestSilentHostIsGivenUp(t *testing.T) {
 	began := time.Now()
-	event := exchange(t, func(ctx context.Context, _ *messenger.KnowledgeRequest) (*messenger.Knowledge, error) {
+	event := exchange(t, func(ctx context.Context, _ *messenger.SyncRequest) (*messenger.SyncResponse, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	})
@@ -94,16 +94,16 @@
 // of thousands of targets for each of them.
 func TestWholeListIsCompressedOnce(t *testing.T) {
 	var x Exchanger
-	first := &messenger.Knowledge{Revision: 9, Scope: messenger.ScopeAll, Targets: targets(100)}
+	first := &messenger.SyncResponse{TargetsRevision: 9, Scope: messenger.ScopeFull, Targets: targets(100)}
 	require.NoError(t, x.pack(first))
-	again := &messenger.Knowledge{Revision: 9, Scope: messenger.ScopeAll, Targets: targets(100)}
+	again := &messenger.SyncResponse{TargetsRevision: 9, Scope: messenger.ScopeFull, Targets: targets(100)}
 	require.NoError(t, x.pack(again))
-	require.Same(t, &first.Packed[0], &again.Packed[0])
-	later := &messenger.Knowledge{Revision: 10, Scope: messenger.ScopeAll, Targets: targets(101)}
+	require.Same(t, &first.CompressedTargets[0], &again.CompressedTargets[0])
+	later := &messenger.SyncResponse{TargetsRevision: 10, Scope: messenger.ScopeFull, Targets: targets(101)}
 	require.NoError(t, x.pack(later))
 	require.NoError(t, unpackTargets(later))
 	require.Len(t, later.Targets, 101)
-	changes := &messenger.Knowledge{Revision: 10, Scope: messenger.ScopeChanged, Targets: targets(1)}
+	changes := &messenger.SyncResponse{TargetsRevision: 10, Scope: messenger.ScopeDelta, Targets: targets(1)}
 	require.NoError(t, x.pack(changes))
 	require.NoError(t, unpackTargets(changes))
 	require.Len(t, changes.Targets, 1)
@@ -115,8 +115,8 @@
 	var x Exchanger
 	cold := targets(2)
 	cold[0].WarmUp = time.Second
-	require.NoError(t, x.pack(&messenger.Knowledge{Revision: 9, Scope: messenger.ScopeAll, Targets: cold}))
-	warm := &messenger.Knowledge{Revision: 9, Scope: messenger.ScopeAll, Targets: targets(2)}
+	require.NoError(t, x.pack(&messenger.SyncResponse{TargetsRevision: 9, Scope: messenger.ScopeFull, Targets: cold}))
+	warm := &messenger.SyncResponse{TargetsRevision: 9, Scope: messenger.ScopeFull, Targets: targets(2)}
 	require.NoError(t, x.pack(warm))
 	require.NoError(t, unpackTargets(warm))
 	require.Equal(t, targets(2), warm.Targets)
--- a/balancer/internal/flowrunner/flowrunner.go
+++ b/balancer/internal/flowrunner/flowrunner.go
@@ -147,8 +147,8 @@
 }
 
 // knowledge answers another host's question.
-func (r *Runner) knowledge(ctx context.Context, request *messenger.KnowledgeRequest) (*messenger.Knowledge, error) {
-	var knowledge *messenger.Knowledge
+func (r *Runner) knowledge(ctx context.Context, request *messenger.SyncRequest) (*messenger.SyncResponse, error) {
+	var knowledge *messenger.SyncResponse
 	err := r.inspector.Inspect(ctx, func(s *steerer.Steerer) { knowledge = s.Knowledge(request) })
 	return knowledge, err
 }
--- a/core/comparer/balance.go
+++ b/core/comparer/balance.go
@@ -95,7 +95,7 @@
 func (r *balanceRun) place(n int) int {
 	id := driver.RequestID{Caller: caller(n), Service: driver.ServiceAddress(1), Exchange: messenger.Exchange{MessageID: 1, Token: 1, TokenLength: 8}}
 	r.fleet.Sent = r.fleet.Sent[:0]
-	r.fleet.Call("", id, messenger.Packet{Kind: messenger.KindRequest, Flags: messenger.FlagOpens | messenger.FlagIdempotent | messenger.FlagBlock})
+	r.fleet.Call("", id, messenger.Packet{Kind: messenger.KindRequest, Flags: messenger.FlagOpensFlow | messenger.FlagIdempotent | messenger.FlagBlockwise})
 	r.fleet.Step(40 * time.Millisecond)
 	for _, p := range r.fleet.Sent {
 		if p.ID == id {
--- a/core/comparer/policy.go
+++ b/core/comparer/policy.go
@@ -292,7 +292,7 @@
 	case Open:
 		r.number++
 		for range step.Flows {
-			r.send(r.flows, messenger.FlagOpens|messenger.FlagIdempotent|messenger.FlagBlock)
+			r.send(r.flows, messenger.FlagOpensFlow|messenger.FlagIdempotent|messenger.FlagBlockwise)
 			r.flows++
 			if r.flows%10 == 0 {
 				f.Step(20 * time.Millisecond)
@@ -303,7 +303,7 @@
 		for range step.Rounds {
 			r.number++
 			for n := range r.flows {
-				r.send(n, messenger.FlagIdempotent|messenger.FlagBlock)
+				r.send(n, messenger.FlagIdempotent|messenger.FlagBlockwise)
 			}
 			f.Step(100 * time.Millisecond)
 		}
--- a/core/detector/detector.go
+++ b/core/detector/detector.go
@@ -59,7 +59,7 @@
 	start        timekeeper.Instant
 	nextRound    timekeeper.Instant
 	rotation     []string
-	decorate     func(peer string) messenger.News
+	decorate     func(peer string) messenger.Heartbeat
 	rejoined     bool
 	acted        bool
 	firstContact bool
@@ -75,7 +75,7 @@
 // New makes the detector of a host. incarnation must be higher than at any
 // earlier start of the same host; seed makes the choice of hosts to ping
 // repeatable. decorate adds what other parts of the host have to say to a peer.
-func New(self string, incarnation, seed uint64, timing Timing, start timekeeper.Instant, decorate func(peer string) messenger.News) *Detector {
+func New(self string, incarnation, seed uint64, timing Timing, start timekeeper.Instant, decorate func(peer string) messenger.Heartbeat) *Detector {
 	return &Detector{
 		self:        self,
 		timing:      timing,
@@ -339,11 +339,11 @@
 	d.sequence++
 	news := d.news(name)
 	sent := sentPing{to: name, sentAt: now}
-	if len(news.Cell) > 0 {
+	if len(news.CellMembers) > 0 {
 		sent.view = d.viewVersion()
 	}
 	d.pings[d.sequence] = sent
-	d.send(name, &messenger.Ping{Sequence: d.sequence, News: news})
+	d.send(name, &messenger.Ping{Sequence: d.sequence, Heartbeat: news})
 }
 
 // Receive takes in a heartbeat from a peer.
@@ -355,19 +355,19 @@
 	}
 	switch body := body.(type) {
 	case *messenger.Ping:
-		d.hear(m, body.News, now)
+		d.hear(m, body.Heartbeat, now)
 		d.vote(m, body.Sequence, now)
 	case *messenger.Ack:
-		d.hear(m, body.News, now)
+		d.hear(m, body.Heartbeat, now)
 		d.answered(m, body, now)
 	case *messenger.PingRequest:
-		d.hear(m, body.News, now)
+		d.hear(m, body.Heartbeat, now)
 		if _, ok := d.members[body.Subject]; ok {
 			d.relays = append(d.relays, relay{asker: from, subject: body.Subject, deadline: now.Add(d.timing.DeadAfter)})
 			d.ping(body.Subject, now)
 		}
-	case *messenger.Vouch:
-		d.hear(m, body.News, now)
+	case *messenger.IndirectAck:
+		d.hear(m, body.Heartbeat, now)
 		d.believe(body.Subject, now)
 		d.acceptVouch(body.Subject)
 	}
@@ -381,14 +381,14 @@
 	}
 	news := d.news(m.host.Name)
 	if m.inCell {
-		news.Votes, news.Withheld, news.Unsettled = d.votesFor(m)
+		news.Votes, news.WithheldVotes, news.ProvisionalVotes = d.votesFor(m)
 	}
-	d.send(m.host.Name, &messenger.Ack{Sequence: sequence, News: news})
+	d.send(m.host.Name, &messenger.Ack{Sequence: sequence, Heartbeat: news})
 }
 
 func (d *Detector) answered(m *member, ack *messenger.Ack, now timekeeper.Instant) {
 	sent, ok := d.pings[ack.Sequence]
-	if !ok || sent.to != m.host.Name || ack.News.Incarnation < m.incarnation {
+	if !ok || sent.to != m.host.Name || ack.Heartbeat.Incarnation < m.incarnation {
 		return
 	}
 	delete(d.pings, ack.Sequence)
@@ -396,8 +396,8 @@
 		m.toldView = sent.view
 	}
 	if m.inCell {
-		m.holds = append(slices.Clone(ack.News.Votes), ack.News.Withheld...)
-		m.unsettled = ack.News.Unsettled
+		m.holds = append(slices.Clone(ack.Heartbeat.Votes), ack.Heartbeat.WithheldVotes...)
+		m.unsettled = ack.Heartbeat.ProvisionalVotes
 	}
 	d.lastAnswer = max(d.lastAnswer, sent.sentAt)
 	d.vouch(m, now)
@@ -410,13 +410,13 @@
 		m.liveness = messenger.LivenessAlive
 		d.spread(m.host.Name)
 	}
-	if votes(ack.News.Phase) && !deniesMe(ack.News.Cell, d.self, d.incarnation) {
-		m.leaseVotes = ack.News.Votes
+	if votes(ack.Heartbeat.Phase) && !deniesMe(ack.Heartbeat.CellMembers, d.self, d.incarnation) {
+		m.leaseVotes = ack.Heartbeat.Votes
 		m.leaseDeadline = max(m.leaseDeadline, sent.sentAt.Add(d.timing.Lease))
 	}
 }
 
-func deniesMe(cell []messenger.Rumor, self string, incarnation uint64) bool {
+func deniesMe(cell []messenger.MemberState, self string, incarnation uint64) bool {
 	for _, r := range cell {
 		if r.Host == self && r.Incarnation == incarnation && r.Liveness == messenger.LivenessDead {
 			return true
@@ -426,7 +426,7 @@
 }
 
 // hear takes in what a peer says of itself and of others.
-func (d *Detector) hear(m *member, news messenger.News, now timekeeper.Instant) {
+func (d *Detector) hear(m *member, news messenger.Heartbeat, now timekeeper.Instant) {
 	if news.Incarnation < m.incarnation {
 		return
 	}
@@ -443,8 +443,8 @@
 		m.enter(news.Phase, now)
 		d.spread(m.host.Name)
 	}
-	m.revision = max(m.revision, news.Revision)
-	m.acted = m.acted || news.Acted
+	m.revision = max(m.revision, news.SettingsRevision)
+	m.acted = m.acted || news.HeldQuorum
 	refuted := news.Refutations > m.refutations
 	m.refutations = max(m.refutations, news.Refutations)
 	if !m.inCell && (refuted || m.liveness != messenger.LivenessDead) {
@@ -455,16 +455,16 @@
 			d.spread(m.host.Name)
 		}
 	}
-	for _, r := range news.Cell {
+	for _, r := range news.CellMembers {
 		d.hearInCell(m, r, now)
 	}
-	for _, r := range news.Rumors {
+	for _, r := range news.MemberUpdates {
 		d.believe(r, now)
 	}
 }
 
 // hearInCell takes in a cell peer's view of another cell member.
-func (d *Detector) hearInCell(from *member, r messenger.Rumor, now timekeeper.Instant) {
+func (d *Detector) hearInCell(from *member, r messenger.MemberState, now timekeeper.Instant) {
 	if !from.inCell {
 		return
 	}
@@ -506,7 +506,7 @@
 //
 // A host must not take a new incarnation for any other reason: peers would
 // forget that they gave it up, and it would go on with records that are old.
-func (d *Detector) hearOwnDeath(r messenger.Rumor, now timekeeper.Instant) {
+func (d *Detector) hearOwnDeath(r messenger.MemberState, now timekeeper.Instant) {
 	if r.Liveness != messenger.LivenessDead || r.Incarnation < d.incarnation {
 		return
 	}
--- a/core/detector/detector_test.go
+++ b/core/detector/detector_test.go
@@ -129,11 +129,11 @@
 	n.step(3 * time.Second)
 	n.step(5*time.Second, "a2")
 	require.True(t, n.nodes["a1"].Denied("a2"))
-	n.nodes["a1"].Receive("a2", &messenger.Ping{Sequence: 7, News: messenger.News{Incarnation: 10, Phase: messenger.PhaseReady}}, n.now)
+	n.nodes["a1"].Receive("a2", &messenger.Ping{Sequence: 7, Heartbeat: messenger.Heartbeat{Incarnation: 10, Phase: messenger.PhaseReady}}, n.now)
 	out := n.nodes["a1"].Take()
 	require.Len(t, out, 1)
-	require.Empty(t, out[0].Body.(*messenger.Ack).News.Votes)
-	require.NotEmpty(t, out[0].Body.(*messenger.Ack).News.Withheld)
+	require.Empty(t, out[0].Body.(*messenger.Ack).Heartbeat.Votes)
+	require.NotEmpty(t, out[0].Body.(*messenger.Ack).Heartbeat.WithheldVotes)
 }
 
 // Symptom: hosts of another zone are believed dead for ever after a cut heals.
--- a/core/detector/member.go
+++ b/core/detector/member.go
@@ -67,7 +67,7 @@
 
 // newer reports whether a rumor is about a later state of the host than what is
 // known; a refutation revives a host without a new incarnation.
-func (m *member) newer(r messenger.Rumor) bool {
+func (m *member) newer(r messenger.MemberState) bool {
 	return r.Incarnation > m.incarnation || (r.Incarnation == m.incarnation && r.Refutations > m.refutations)
 }
 
@@ -86,8 +86,8 @@
 	}
 }
 
-func (m *member) rumor() messenger.Rumor {
-	return messenger.Rumor{Host: m.host.Name, Incarnation: m.incarnation, Refutations: m.refutations, Liveness: m.liveness, Phase: m.phase}
+func (m *member) rumor() messenger.MemberState {
+	return messenger.MemberState{Host: m.host.Name, Incarnation: m.incarnation, Refutations: m.refutations, Liveness: m.liveness, Phase: m.phase}
 }
 
 // votes reports whether the host's Acks count as votes.
--- a/core/detector/rumors.go
+++ b/core/detector/rumors.go
@@ -33,7 +33,7 @@
 	}
 	d.random.Shuffle(len(alive), func(i, j int) { alive[i], alive[j] = alive[j], alive[i] })
 	for i := 0; i < helpers && i < len(alive); i++ {
-		d.send(alive[i], &messenger.PingRequest{Subject: subject, News: d.news(alive[i])})
+		d.send(alive[i], &messenger.PingRequest{Subject: subject, Heartbeat: d.news(alive[i])})
 	}
 }
 
@@ -45,7 +45,7 @@
 		case r.subject == m.host.Name:
 			rumor := m.rumor()
 			rumor.Liveness = messenger.LivenessAlive
-			d.send(r.asker, &messenger.Vouch{Subject: rumor, News: d.news(r.asker)})
+			d.send(r.asker, &messenger.IndirectAck{Subject: rumor, Heartbeat: d.news(r.asker)})
 		case !r.deadline.Passed(now):
 			kept = append(kept, r)
 		}
@@ -54,7 +54,7 @@
 }
 
 // refute contradicts a rumor that this host is suspect or dead.
-func (d *Detector) refute(r messenger.Rumor) {
+func (d *Detector) refute(r messenger.MemberState) {
 	if r.Incarnation != d.incarnation || r.Refutations < d.refutations {
 		return
 	}
@@ -64,7 +64,7 @@
 
 // believe takes in a rumor. Rumors decide nothing about hosts of the own cell,
 // which this host watches itself.
-func (d *Detector) believe(r messenger.Rumor, now timekeeper.Instant) {
+func (d *Detector) believe(r messenger.MemberState, now timekeeper.Instant) {
 	if r.Host == d.self {
 		if r.Liveness >= messenger.LivenessSuspect {
 			d.refute(r)
@@ -98,7 +98,7 @@
 // acceptVouch takes a suspicion of this host's own back: somebody has reached the
 // host. It must not wait for the host itself to hear of the suspicion and
 // contradict it, since the link over which it would is the broken one.
-func (d *Detector) acceptVouch(r messenger.Rumor) {
+func (d *Detector) acceptVouch(r messenger.MemberState) {
 	m, ok := d.members[r.Host]
 	if ok && !m.inCell && m.incarnation == r.Incarnation && m.liveness == messenger.LivenessSuspect {
 		m.liveness = messenger.LivenessAlive
@@ -124,24 +124,24 @@
 }
 
 // news writes what rides on a heartbeat to a peer.
-func (d *Detector) news(peer string) messenger.News {
-	news := messenger.News{}
+func (d *Detector) news(peer string) messenger.Heartbeat {
+	news := messenger.Heartbeat{}
 	if d.decorate != nil {
 		news = d.decorate(peer)
 	}
 	news.Incarnation = d.incarnation
 	news.Refutations = d.refutations
 	news.Phase = d.phase
-	news.Revision = d.revision
-	news.Acted = d.acted
+	news.SettingsRevision = d.revision
+	news.HeldQuorum = d.acted
 	m, ok := d.members[peer]
 	if ok && m.inCell && m.toldView != d.viewVersion() {
-		news.Cell = d.cellView()
+		news.CellMembers = d.cellView()
 	}
-	news.Rumors = d.nextRumors()
+	news.MemberUpdates = d.nextRumors()
 	if ok && !m.inCell && m.liveness >= messenger.LivenessSuspect {
 		// A host that is wrongly given up must hear of it to refute it.
-		news.Rumors = append(news.Rumors, m.rumor())
+		news.MemberUpdates = append(news.MemberUpdates, m.rumor())
 	}
 	return news
 }
@@ -161,8 +161,8 @@
 	return hash.Sum64() | 1
 }
 
-func (d *Detector) cellView() []messenger.Rumor {
-	var view []messenger.Rumor
+func (d *Detector) cellView() []messenger.MemberState {
+	var view []messenger.MemberState
 	for _, name := range d.names {
 		if m := d.members[name]; m.inCell && m.incarnation != 0 {
 			view = append(view, m.rumor())
@@ -172,10 +172,10 @@
 }
 
 // nextRumors takes the rumors whose turn it is, and counts them as told.
-func (d *Detector) nextRumors() []messenger.Rumor {
+func (d *Detector) nextRumors() []messenger.MemberState {
 	const most = 6
 	n := min(most, len(d.rumors))
-	var rumors []messenger.Rumor
+	var rumors []messenger.MemberState
 	for _, told := range d.rumors[:n] {
 		told.left--
 		if r, ok := d.rumorOf(told.host); ok {
@@ -189,13 +189,13 @@
 	return rumors
 }
 
-func (d *Detector) rumorOf(host string) (messenger.Rumor, bool) {
+func (d *Detector) rumorOf(host string) (messenger.MemberState, bool) {
 	if host == d.self {
-		return messenger.Rumor{Host: d.self, Incarnation: d.incarnation, Refutations: d.refutations, Liveness: messenger.LivenessAlive, Phase: d.phase}, true
+		return messenger.MemberState{Host: d.self, Incarnation: d.incarnation, Refutations: d.refutations, Liveness: messenger.LivenessAlive, Phase: d.phase}, true
 	}
 	m, ok := d.members[host]
 	if !ok {
-		return messenger.Rumor{}, false
+		return messenger.MemberState{}, false
 	}
 	return m.rumor(), true
 }
--- a/core/detector/votes.go
+++ b/core/detector/votes.go
@@ -73,7 +73,7 @@
 // GiveVotes takes votes out of this host's hands, for a peer that gets them with
 // the last part of a handover: all if the host leaves, or the peer's own vote.
 // It also lists what they must not be cast for.
-func (d *Detector) GiveVotes(to string, all bool) (names []string, denied []messenger.Rumor) {
+func (d *Detector) GiveVotes(to string, all bool) (names []string, denied []messenger.MemberState) {
 	for _, name := range d.cell.names {
 		if _, ok := d.held[name]; ok && (all || name == to) {
 			names = append(names, name)
@@ -89,7 +89,7 @@
 }
 
 // TakeVotes takes votes that a peer gave.
-func (d *Detector) TakeVotes(names []string, denied []messenger.Rumor, now timekeeper.Instant) {
+func (d *Detector) TakeVotes(names []string, denied []messenger.MemberState, now timekeeper.Instant) {
 	refused := map[string]uint64{}
 	for _, r := range denied {
 		refused[r.Host] = r.Incarnation
--- a/core/driver/target.go
+++ b/core/driver/target.go
@@ -73,7 +73,7 @@
 // AnswerFrom sends an answer from a target to a return address, through a
 // random host.
 func (f *Fleet) AnswerFrom(target netip.AddrPort, back netip.Addr, id RequestID, flags messenger.Flags) {
-	packet := messenger.Packet{Kind: messenger.KindAnswer, Flags: flags, Exchange: id.Exchange}
+	packet := messenger.Packet{Kind: messenger.KindResponse, Flags: flags, Exchange: id.Exchange}
 	packet.Payload = f.note(id, packet)
 	if host := f.randomHost(); host != "" {
 		f.after(Latency, host, &reducer.TargetPacket{Target: target, Return: back, Packet: packet})
--- a/core/encoder/encoder.go
+++ b/core/encoder/encoder.go
@@ -101,11 +101,11 @@
 		return kindAck
 	case *messenger.PingRequest:
 		return kindPingRequest
-	case *messenger.Vouch:
+	case *messenger.IndirectAck:
 		return kindVouch
 	case *messenger.Forward:
 		return kindForward
-	case *messenger.Witness:
+	case *messenger.WitnessRequest:
 		return kindWitness
 	case *messenger.WitnessAck:
 		return kindWitnessAck
@@ -119,13 +119,13 @@
 		return kindSettingsRequest
 	case *messenger.SettingsDocument:
 		return kindSettingsDocument
-	case *messenger.Verdicts:
+	case *messenger.ProbeFailures:
 		return kindVerdicts
 	case *messenger.Report:
 		return kindReport
-	case *messenger.KnowledgeRequest:
+	case *messenger.SyncRequest:
 		return kindKnowledgeRequest
-	case *messenger.Knowledge:
+	case *messenger.SyncResponse:
 		return kindKnowledge
 	}
 	return 0
@@ -140,11 +140,11 @@
 	case kindPingRequest:
 		return &messenger.PingRequest{}
 	case kindVouch:
-		return &messenger.Vouch{}
+		return &messenger.IndirectAck{}
 	case kindForward:
 		return &messenger.Forward{}
 	case kindWitness:
-		return &messenger.Witness{}
+		return &messenger.WitnessRequest{}
 	case kindWitnessAck:
 		return &messenger.WitnessAck{}
 	case kindHandover:
@@ -158,13 +158,13 @@
 	case kindSettingsDocument:
 		return &messenger.SettingsDocument{}
 	case kindVerdicts:
-		return &messenger.Verdicts{}
+		return &messenger.ProbeFailures{}
 	case kindReport:
 		return &messenger.Report{}
 	case kindKnowledgeRequest:
-		return &messenger.KnowledgeRequest{}
+		return &messenger.SyncRequest{}
 	case kindKnowledge:
-		return &messenger.Knowledge{}
+		return &messenger.SyncResponse{}
 	}
 	return nil
 }
--- a/core/encoder/encoder_test.go
+++ b/core/encoder/encoder_test.go
@@ -18,20 +18,20 @@
 func bodies() []messenger.Body {
 	target := netip.MustParseAddrPort("10.2.0.1:5683")
 	exchange := messenger.Exchange{MessageID: 7, Token: 9, TokenLength: 8}
-	news := messenger.News{Incarnation: 3, Phase: messenger.PhaseReady, Revision: 4, Votes: []string{"a"}, Loads: map[uint32]uint16{1: 2}, Cell: []messenger.Rumor{{Host: "a", Incarnation: 1}}}
+	news := messenger.Heartbeat{Incarnation: 3, Phase: messenger.PhaseReady, SettingsRevision: 4, Votes: []string{"a"}, InFlight: map[uint32]uint16{1: 2}, CellMembers: []messenger.MemberState{{Host: "a", Incarnation: 1}}}
 	return []messenger.Body{
-		&messenger.Ping{Sequence: 1, News: news},
-		&messenger.Ack{Sequence: 1, News: news},
-		&messenger.PingRequest{Subject: "b", News: news},
-		&messenger.Vouch{Subject: messenger.Rumor{Host: "b"}, News: news},
+		&messenger.Ping{Sequence: 1, Heartbeat: news},
+		&messenger.Ack{Sequence: 1, Heartbeat: news},
+		&messenger.PingRequest{Subject: "b", Heartbeat: news},
+		&messenger.IndirectAck{Subject: messenger.MemberState{Host: "b"}, Heartbeat: news},
 		&messenger.Forward{Key: 5, Direction: messenger.DirectionToCaller, Target: target, Exchange: exchange, Remaining: time.Second, Payload: []byte("p")},
-		&messenger.Witness{Sequence: 2, Identities: []uint64{1, 1 << 63}},
+		&messenger.WitnessRequest{Sequence: 2, Identities: []uint64{1, 1 << 63}},
 		&messenger.WitnessAck{Sequence: 2},
-		&messenger.FlowRecords{Records: []messenger.FlowRecord{{Key: 1, Target: target, Long: true}}},
+		&messenger.FlowRecords{Records: []messenger.FlowRecord{{Key: 1, Target: target, LongLived: true}}},
 		&messenger.Handover{Sequence: 1, Done: true, Requests: []messenger.RequestRecord{{Key: 1, Exchange: exchange, Target: target}}},
 		&messenger.HandoverAck{Sequence: 1, Refused: true},
-		&messenger.SettingsRequest{Above: 1},
-		&messenger.Verdicts{Failing: []uint32{1<<16 | 2}},
+		&messenger.SettingsRequest{NewerThan: 1},
+		&messenger.ProbeFailures{FailingTargets: []uint32{1<<16 | 2}},
 		&messenger.SettingsDocument{Revision: 2, Compressed: []byte("gzip")},
 	}
 }
@@ -188,7 +188,7 @@
 func TestTargetsAreReadByTheReleaseBefore(t *testing.T) {
 	address := netip.MustParseAddrPort("10.2.0.1:80")
 	earlier := []earlierTarget{{ID: "i-0a", Seen: 9, Service: "ledger", Address: address, Slots: 4, Draining: true, Born: 7, Unreadable: true}}
-	current := []messenger.TargetState{{ID: "i-0a", Seen: 9, Service: "ledger", Address: address, Slots: 4, Draining: true, Born: 7, Unreadable: true}}
+	current := []messenger.TargetState{{ID: "i-0a", Revision: 9, Service: "ledger", Address: address, Slots: 4, Draining: true, Incarnation: 7, Unreadable: true}}
 
 	old, err := cbor.Marshal(earlier)
 	require.NoError(t, err)
@@ -199,7 +199,7 @@
 	data, err := encoder.EncodeTargets(current)
 	require.NoError(t, err)
 	require.Equal(t, old, data)
-	data, err = cbor.Marshal(&messenger.Report{TargetsEra: 4, Changes: current})
+	data, err = cbor.Marshal(&messenger.Report{TargetsEra: 4, TargetChanges: current})
 	require.NoError(t, err)
 	var report struct {
 		Changes []earlierTarget `cbor:"changes,omitempty"`
--- a/core/messenger/message.go
+++ b/core/messenger/message.go
@@ -14,16 +14,16 @@
 func (*Ping) body()             {}
 func (*Ack) body()              {}
 func (*PingRequest) body()      {}
-func (*Vouch) body()            {}
+func (*IndirectAck) body()      {}
 func (*Forward) body()          {}
-func (*Witness) body()          {}
+func (*WitnessRequest) body()   {}
 func (*WitnessAck) body()       {}
 func (*Handover) body()         {}
 func (*HandoverAck) body()      {}
 func (*SettingsRequest) body()  {}
 func (*SettingsDocument) body() {}
 func (*FlowRecords) body()      {}
-func (*Verdicts) body()         {}
+func (*ProbeFailures) body()    {}
 
 // Phase is where a host stands in its life as an owner of flows.
 type Phase uint8
@@ -89,8 +89,8 @@
 	return "unknown"
 }
 
-// Rumor is one host's state as another host tells it.
-type Rumor struct {
+// MemberState is one host's state as another host tells it.
+type MemberState struct {
 	Host        string `cbor:"host"`
 	Incarnation uint64 `cbor:"inc"`
 	// Refutations counts how often the host has contradicted a rumor that it is
@@ -100,60 +100,60 @@
 	Phase       Phase    `cbor:"phase"`
 }
 
-// News rides on every heartbeat in both directions.
-type News struct {
+// Heartbeat rides on every heartbeat in both directions.
+type Heartbeat struct {
 	Incarnation uint64 `cbor:"inc"`
 	Refutations uint64 `cbor:"ref,omitempty"`
 	Phase       Phase  `cbor:"phase"`
-	// Revision is the highest settings revision in force at the sender.
-	Revision uint64 `cbor:"rev"`
-	// Acted says that the sender has held a quorum under this incarnation, so
+	// SettingsRevision is the highest settings revision in force at the sender.
+	SettingsRevision uint64 `cbor:"rev"`
+	// HeldQuorum says that the sender has held a quorum under this incarnation, so
 	// that it may have run requests.
-	Acted bool `cbor:"acted,omitempty"`
+	HeldQuorum bool `cbor:"acted,omitempty"`
 	// Votes names the hosts of the cell whose votes the sender casts for the
 	// receiver: its own, and those that hosts left it when they went.
 	Votes []string `cbor:"votes,omitempty"`
-	// Withheld names votes that the sender holds and does not cast for the
+	// WithheldVotes names votes that the sender holds and does not cast for the
 	// receiver. Unsettled names votes that it casts for hosts, but that can't
 	// give a host up yet.
-	Withheld  []string `cbor:"held,omitempty"`
-	Unsettled []string `cbor:"unset,omitempty"`
-	// Cell holds the sender's view of every member of its cell, for cell peers.
-	Cell []Rumor `cbor:"cell,omitempty"`
-	// Rumors holds changes about other hosts.
-	Rumors []Rumor `cbor:"news,omitempty"`
-	// Loads maps targets (see LoadKey) to the sender's requests in flight.
-	Loads map[uint32]uint16 `cbor:"loads,omitempty"`
+	WithheldVotes    []string `cbor:"held,omitempty"`
+	ProvisionalVotes []string `cbor:"unset,omitempty"`
+	// CellMembers holds the sender's view of every member of its cell, for cell peers.
+	CellMembers []MemberState `cbor:"cell,omitempty"`
+	// MemberUpdates holds changes about other hosts.
+	MemberUpdates []MemberState `cbor:"news,omitempty"`
+	// InFlight maps targets (see TargetKey) to the sender's requests in flight.
+	InFlight map[uint32]uint16 `cbor:"loads,omitempty"`
 }
 
-// LoadKey packs a service ID and the place of a target in its service's list.
-func LoadKey(service resolver.ServiceID, target int) uint32 {
-	return uint32(service)<<16 | uint32(uint16(target))
+// TargetKey packs a service ID and the place of a target in its service's list.
+func TargetKey(service resolver.ServiceID, index int) uint32 {
+	return uint32(service)<<16 | uint32(uint16(index))
 }
 
 // Ping asks a host whether it lives. The Ack bears the same sequence number.
 type Ping struct {
-	Sequence uint64 `cbor:"seq"`
-	News     News   `cbor:"n"`
+	Sequence  uint64    `cbor:"seq"`
+	Heartbeat Heartbeat `cbor:"n"`
 }
 
 // Ack answers a Ping. It is also a vote: the sender promises not to give the
 // receiver up for the grant time.
 type Ack struct {
-	Sequence uint64 `cbor:"seq"`
-	News     News   `cbor:"n"`
+	Sequence  uint64    `cbor:"seq"`
+	Heartbeat Heartbeat `cbor:"n"`
 }
 
 // PingRequest asks a host to ping Subject, which the sender can't reach.
 type PingRequest struct {
-	Subject string `cbor:"sub"`
-	News    News   `cbor:"n"`
+	Subject   string    `cbor:"sub"`
+	Heartbeat Heartbeat `cbor:"n"`
 }
 
-// Vouch tells a host that a subject it could not reach has answered the sender.
-type Vouch struct {
-	Subject Rumor `cbor:"sub"`
-	News    News  `cbor:"n"`
+// IndirectAck tells a host that a subject it could not reach has answered the sender.
+type IndirectAck struct {
+	Subject   MemberState `cbor:"sub"`
+	Heartbeat Heartbeat   `cbor:"n"`
 }
 
 // Direction says which way a forwarded packet travels.
@@ -170,10 +170,10 @@
 // Forward hands a packet to the owner of its flow. Services are named by ID,
 // so hosts at different revisions agree on what they are talking about.
 type Forward struct {
-	Key       resolver.FlowKey `cbor:"key"`
-	Direction Direction        `cbor:"dir"`
-	Hops      uint8            `cbor:"hops"`
-	Revision  uint64           `cbor:"rev"`
+	Key              resolver.FlowKey `cbor:"key"`
+	Direction        Direction        `cbor:"dir"`
+	Hops             uint8            `cbor:"hops"`
+	SettingsRevision uint64           `cbor:"rev"`
 	// Target is the address that an answer came from.
 	Target   netip.AddrPort `cbor:"tgt,omitzero"`
 	Kind     Kind           `cbor:"kind"`
@@ -184,16 +184,16 @@
 	Payload   []byte        `cbor:"p"`
 }
 
-// Witness gives request identities to the successor of their owner before the
+// WitnessRequest gives request identities to the successor of their owner before the
 // owner hands the requests to a target.
 //
 // Where the link between the two is broken, the message goes through another
 // host of the cell: Owner and For name the ends, and are empty otherwise.
-type Witness struct {
+type WitnessRequest struct {
 	Sequence   uint64   `cbor:"seq"`
 	Identities []uint64 `cbor:"ids"`
 	Owner      string   `cbor:"owner,omitempty"`
-	For        string   `cbor:"for,omitempty"`
+	Recipient  string   `cbor:"for,omitempty"`
 }
 
 // WitnessAck says that the identities up to a sequence number are held.
@@ -201,7 +201,7 @@
 type WitnessAck struct {
 	Sequence  uint64 `cbor:"seq"`
 	Successor string `cbor:"succ,omitempty"`
-	For       string `cbor:"for,omitempty"`
+	Recipient string `cbor:"for,omitempty"`
 }
 
 // FlowRecord says on which target a flow is.
@@ -209,13 +209,13 @@
 	_      struct{} `cbor:",toarray"`
 	Key    resolver.FlowKey
 	Target netip.AddrPort
-	// Long marks streams and uploads.
-	Long bool
-	// Other is where the flow's new work goes while Target only keeps what began
+	// LongLived marks streams and uploads.
+	LongLived bool
+	// NewWorkTarget is where the flow's new work goes while Target only keeps what began
 	// there; invalid where that is Target. Moved says that the transfer in blocks
 	// that is under way is there too.
-	Other netip.AddrPort
-	Moved bool
+	NewWorkTarget      netip.AddrPort
+	BlockTransferMoved bool
 }
 
 // FlowRecords tells a successor about flows that are not where a newcomer
@@ -246,22 +246,22 @@
 	Flows      []FlowRecord    `cbor:"flows,omitempty"`
 	Requests   []RequestRecord `cbor:"reqs,omitempty"`
 	Identities []uint64        `cbor:"ids,omitempty"`
-	// Witnessed tells of some of Identities that the sender only holds them for an
+	// WitnessedIdentities tells of some of Identities that the sender only holds them for an
 	// owner, and has not run their requests.
-	Witnessed []WitnessedIdentities `cbor:"wit,omitempty"`
+	WitnessedIdentities []OwnerIdentities `cbor:"wit,omitempty"`
 	// Unsent are requests that the sender has not sent to any target, and never
 	// will; the receiver runs them.
 	Unsent []Forward `cbor:"unsent,omitempty"`
-	// Uncertain is for how much longer the sender does not know every recent
+	// IdentitiesIncompleteFor is for how much longer the sender does not know every recent
 	// request identity.
-	Uncertain time.Duration `cbor:"unc,omitempty"`
-	// Peers names the hosts of the cell that the sender believes alive.
-	Peers []string `cbor:"peers,omitempty"`
-	Done  bool     `cbor:"done,omitempty"`
+	IdentitiesIncompleteFor time.Duration `cbor:"unc,omitempty"`
+	// AlivePeers names the hosts of the cell that the sender believes alive.
+	AlivePeers []string `cbor:"peers,omitempty"`
+	Done       bool     `cbor:"done,omitempty"`
 	// Votes names the votes that the sender gives to the receiver for good, with
 	// the hosts that they must not be cast for.
-	Votes  []string `cbor:"votes,omitempty"`
-	Denied []Rumor  `cbor:"denied,omitempty"`
+	Votes            []string      `cbor:"votes,omitempty"`
+	DeniedRecipients []MemberState `cbor:"denied,omitempty"`
 	// Quorum says that the sender holds a quorum. Without one its records are
 	// its own and not necessarily the cell's latest.
 	Quorum bool `cbor:"quorum,omitempty"`
@@ -269,8 +269,8 @@
 	Leaving bool `cbor:"leave,omitempty"`
 }
 
-// WitnessedIdentities are identities that a host holds for an owner.
-type WitnessedIdentities struct {
+// OwnerIdentities are identities that a host holds for an owner.
+type OwnerIdentities struct {
 	Owner string `cbor:"owner"`
 	// Incarnation is the owner's.
 	Incarnation uint64   `cbor:"inc"`
@@ -287,16 +287,16 @@
 	Refused bool `cbor:"refused,omitempty"`
 }
 
-// Verdicts lists the targets (see LoadKey) that fail the sender's probes, all of
+// ProbeFailures lists the targets (see TargetKey) that fail the sender's probes, all of
 // them. It goes to the hosts of the sender's availability zone when it changes,
 // and regularly while it is not empty.
-type Verdicts struct {
-	Failing []uint32 `cbor:"failing"`
+type ProbeFailures struct {
+	FailingTargets []uint32 `cbor:"failing"`
 }
 
 // SettingsRequest asks a peer for the settings it has in force.
 type SettingsRequest struct {
-	Above uint64 `cbor:"above"`
+	NewerThan uint64 `cbor:"above"`
 }
 
 // SettingsDocument carries a revision of the settings tree, as published,
--- a/core/messenger/packet.go
+++ b/core/messenger/packet.go
@@ -16,8 +16,8 @@
 const (
 	// KindRequest asks a target to do something.
 	KindRequest Kind = iota + 1
-	// KindAnswer carries a target's answer or a notification of a stream.
-	KindAnswer
+	// KindResponse carries a target's answer or a notification of a stream.
+	KindResponse
 	// KindControl acknowledges or resets; it belongs to a flow and runs nothing.
 	KindControl
 )
@@ -29,13 +29,13 @@
 const (
 	// FlagIdempotent marks a request that may run twice without harm.
 	FlagIdempotent Flags = 1 << iota
-	// FlagOpens marks a packet that can be the first of its flow. A packet
+	// FlagOpensFlow marks a packet that can be the first of its flow. A packet
 	// without it can only continue a flow.
-	FlagOpens
+	FlagOpensFlow
 	// FlagStream marks the registration or a notification of a stream.
 	FlagStream
-	// FlagBlock marks one block of a transfer that needs several datagrams.
-	FlagBlock
+	// FlagBlockwise marks one block of a transfer that needs several datagrams.
+	FlagBlockwise
 	// FlagRefused marks an answer by which the target says that it ran nothing.
 	FlagRefused
 	// FlagConfirmable marks a packet that its sender repeats until it is
--- a/core/messenger/report.go
+++ b/core/messenger/report.go
@@ -17,76 +17,76 @@
 	LinkBytesPerSecond int `cbor:"link,omitempty"`
 	// Leaving says that this is among the sender's last reports.
 	Leaving bool `cbor:"leave,omitempty"`
-	// Version is of the settings in force at the sender; SettingsAge is how long
+	// SettingsRevision is of the settings in force at the sender; SettingsAge is how long
 	// ago the platform is known to have had no newer one.
-	// SettingsRead is the number of the read that has shown it, 0 if unknown.
-	Version      uint64        `cbor:"ver,omitempty"`
-	SettingsAge  time.Duration `cbor:"verAge,omitempty"`
-	SettingsRead uint64        `cbor:"verRead,omitempty"`
+	// SettingsReadNumber is the number of the read that has shown it, 0 if unknown.
+	SettingsRevision   uint64        `cbor:"ver,omitempty"`
+	SettingsAge        time.Duration `cbor:"verAge,omitempty"`
+	SettingsReadNumber uint64        `cbor:"verRead,omitempty"`
 	// TargetsRevision is the platform's revision that the sender's list of targets
 	// reflects, TargetsAge how long ago the list is known to have been complete, and
-	// TargetsRead the number of the read that has shown it, 0 if unknown.
-	TargetsRevision uint64        `cbor:"rev,omitempty"`
-	TargetsAge      time.Duration `cbor:"revAge,omitempty"`
-	TargetsRead     uint64        `cbor:"revRead,omitempty"`
+	// TargetsReadNumber the number of the read that has shown it, 0 if unknown.
+	TargetsRevision   uint64        `cbor:"rev,omitempty"`
+	TargetsAge        time.Duration `cbor:"revAge,omitempty"`
+	TargetsReadNumber uint64        `cbor:"revRead,omitempty"`
 	// TargetsDigest is equal at hosts that know the same of all targets.
 	TargetsDigest uint64 `cbor:"dig,omitempty"`
 	// Evacuated are the availability zones that operators have ordered to be evacuated, as
 	// of the platform's revision OrdersRevision; 0 if the sender does not know.
 	OrdersRevision uint64   `cbor:"ord,omitempty"`
-	Evacuated      []string `cbor:"evac,omitempty"`
+	EvacuatedZones []string `cbor:"evac,omitempty"`
 	// TargetsEra, OrdersEra and SettingsEra are the eras of the platform's history that
 	// TargetsRevision, OrdersRevision and the confirmation of Version belong to; 0 if the
 	// platform tells none.
 	TargetsEra  uint64 `cbor:"era,omitempty"`
 	OrdersEra   uint64 `cbor:"ordEra,omitempty"`
 	SettingsEra uint64 `cbor:"verEra,omitempty"`
-	// Changes are the latest changes of targets.
-	Changes []TargetState `cbor:"changes,omitempty"`
-	// Busy counts the sender's requests under way by the target's tag. Only hosts
+	// TargetChanges are the latest changes of targets.
+	TargetChanges []TargetState `cbor:"changes,omitempty"`
+	// InFlight counts the sender's requests under way by the target's tag. Only hosts
 	// of its availability zone are told.
-	Busy map[uint32]uint16 `cbor:"busy,omitempty"`
-	// Quick names, by tag, the targets that answered the sender more quickly than
+	InFlight map[uint32]uint16 `cbor:"busy,omitempty"`
+	// FastFailing names, by tag, the targets that answered the sender more quickly than
 	// they can work.
-	Quick []uint32 `cbor:"quick,omitempty"`
-	// Silent names, by tag, the targets that the sender has found silent of late.
-	Silent []uint32 `cbor:"silent,omitempty"`
-	// Paces tells how fast the targets are that stand out. Only hosts of the sender's
+	FastFailing []uint32 `cbor:"quick,omitempty"`
+	// Unresponsive names, by tag, the targets that the sender has found silent of late.
+	Unresponsive []uint32 `cbor:"silent,omitempty"`
+	// Slowdowns tells how fast the targets are that stand out. Only hosts of the sender's
 	// availability zone are told.
-	Paces []TargetPace `cbor:"paces,omitempty"`
+	Slowdowns []TargetSlowdown `cbor:"paces,omitempty"`
 	// Demands is what the sender's callers ask of each service. Only hosts of its
 	// availability zone are told. ZoneDemands is what all callers of that zone ask, as far
 	// as the sender knows; only hosts of other zones are told.
 	Demands     []ServiceDemand `cbor:"demand,omitempty"`
 	ZoneDemands []ServiceDemand `cbor:"zoneDemand,omitempty"`
-	// Flows counts the sender's open flows by the target's tag, for services whose
+	// OpenFlows counts the sender's open flows by the target's tag, for services whose
 	// targets may run out of connections.
-	Flows map[uint32]uint16 `cbor:"flows,omitempty"`
+	OpenFlows map[uint32]uint16 `cbor:"flows,omitempty"`
 	// Uptime is how long ago the sender started.
 	Uptime time.Duration `cbor:"up,omitempty"`
-	// ZoneHosts is how many hosts of the receiver's availability zone, another than the
+	// ReceiverZoneHosts is how many hosts of the receiver's availability zone, another than the
 	// sender's, the sender has heard of within the last minute.
-	ZoneHosts int `cbor:"zoneHosts,omitempty"`
+	ReceiverZoneHosts int `cbor:"zoneHosts,omitempty"`
 	// Hosts names some hosts that live as far as the sender knows.
 	Hosts []HostHint `cbor:"hosts,omitempty"`
 	// HostAgeTenths says of each of Hosts, in tenths of a second, how long ago it last
 	// reported to anybody; the sender heard from it just now if there is no entry.
 	HostAgeTenths []uint8 `cbor:"hostAges,omitempty"`
-	// HostsNear has a bit for each of Hosts, the lowest for the first, that is set if the
+	// HostsInZoneMask has a bit for each of Hosts, the lowest for the first, that is set if the
 	// host is known to be in the sender's availability zone.
-	HostsNear uint8 `cbor:"hostsNear,omitempty"`
-	// HostLinks says of each of Hosts what its link carries each way, in bytes a second;
+	HostsInZoneMask uint8 `cbor:"hostsNear,omitempty"`
+	// HostLinkBytesPerSecond says of each of Hosts what its link carries each way, in bytes a second;
 	// 0 if unknown.
-	HostLinks []int `cbor:"hostLinks,omitempty"`
+	HostLinkBytesPerSecond []int `cbor:"hostLinks,omitempty"`
 }
 
-// TargetPace is how fast a target answers, as its sender has seen it of late.
-type TargetPace struct {
+// TargetSlowdown is how fast a target answers, as its sender has seen it of late.
+type TargetSlowdown struct {
 	_   struct{} `cbor:",toarray"`
 	Tag uint32
-	// SlownessEighths is the binary logarithm, in eighths, of the target's time for a
+	// LogSlowdownEighths is the binary logarithm, in eighths, of the target's time for a
 	// request as a multiple of what is usual: 8 is twice as slow, -8 twice as quick.
-	SlownessEighths int8
+	LogSlowdownEighths int8
 	// Samples is how many recent answers that rests on.
 	Samples uint8
 }
@@ -95,11 +95,11 @@
 type ServiceDemand struct {
 	_       struct{} `cbor:",toarray"`
 	Service string
-	// Flows is how many flows are open at the service's targets; for a zone, how many each
+	// OpenFlows is how many flows are open at the service's targets; for a zone, how many each
 	// of its targets has on average.
-	Flows uint32
-	// Asked is what requests of each priority would keep busy.
-	Asked []PriorityDemand
+	OpenFlows uint32
+	// ByPriority is what requests of each priority would keep busy.
+	ByPriority []PriorityDemand
 }
 
 // PriorityDemand is what callers of one priority ask.
@@ -119,7 +119,7 @@
 type TargetState struct {
 	_                struct{} `cbor:",toarray"`
 	ID               string
-	Seen             uint64
+	Revision         uint64
 	Service          string
 	Address          netip.AddrPort
 	AvailabilityZone string
@@ -127,9 +127,9 @@
 	Draining         bool
 	Missing          bool
 	WarmUp           time.Duration
-	// Born is when the target's process started, in milliseconds since 1970; 0 if it
+	// Incarnation is when the target's process started, in milliseconds since 1970; 0 if it
 	// does not say.
-	Born int64
+	Incarnation int64
 	// Unreadable says of a missing target that an entry under its ID names no target.
 	Unreadable bool
 }
@@ -141,22 +141,22 @@
 	Address netip.AddrPort
 }
 
-func (*KnowledgeRequest) body() {}
-func (*Knowledge) body()        {}
+func (*SyncRequest) body()  {}
+func (*SyncResponse) body() {}
 
-// KnowledgeRequest asks a host for what it knows of settings and targets.
-type KnowledgeRequest struct {
-	// Above is the version in force at the sender; only a higher one is wanted.
-	Above uint64 `cbor:"above,omitempty"`
-	// Targets asks for targets too: those that changed after the platform's
+// SyncRequest asks a host for what it knows of settings and targets.
+type SyncRequest struct {
+	// SettingsNewerThan is the version in force at the sender; only a higher one is wanted.
+	SettingsNewerThan uint64 `cbor:"above,omitempty"`
+	// IncludeTargets asks for targets too: those that changed after the platform's
 	// revision Since, up to which the sender knows all.
-	Targets bool   `cbor:"tgt,omitempty"`
-	Since   uint64 `cbor:"since,omitempty"`
-	// SinceEra is the era of the platform's history that Since belongs to.
-	SinceEra uint64 `cbor:"sinceEra,omitempty"`
-	// Gone asks for the targets that are no longer listed and that open flows may
+	IncludeTargets bool   `cbor:"tgt,omitempty"`
+	TargetsSince   uint64 `cbor:"since,omitempty"`
+	// TargetsSinceEra is the era of the platform's history that Since belongs to.
+	TargetsSinceEra uint64 `cbor:"sinceEra,omitempty"`
+	// MissingTargets asks for the targets that are no longer listed and that open flows may
 	// still name.
-	Gone bool `cbor:"gone,omitempty"`
+	IncludeMissing bool `cbor:"gone,omitempty"`
 }
 
 // Scope says which targets an answer tells.
@@ -166,37 +166,37 @@
 	// ScopeUnknown is that of hosts of an earlier release: what changed after the position that
 	// was asked for, but for targets that went before the sender started.
 	ScopeUnknown Scope = iota
-	// ScopeChanged is all that changed after the position that was asked for.
-	ScopeChanged
-	// ScopeAll is all that the sender knows: what is not told is gone.
-	ScopeAll
+	// ScopeDelta is all that changed after the position that was asked for.
+	ScopeDelta
+	// ScopeFull is all that the sender knows: what is not told is gone.
+	ScopeFull
 )
 
-// Knowledge answers a KnowledgeRequest.
-type Knowledge struct {
-	// Version and Document are of the settings in force, as they were published;
+// SyncResponse answers a SyncRequest.
+type SyncResponse struct {
+	// SettingsRevision and Document are of the settings in force, as they were published;
 	// Document is compressed with gzip (RFC 1952), and empty if Version is not
 	// above the one asked for.
-	Version  uint64 `cbor:"ver,omitempty"`
-	Document []byte `cbor:"gz,omitempty"`
-	// SettingsAge and SettingsRead, TargetsAge and TargetsRead are as in Report.
-	SettingsAge  time.Duration `cbor:"verAge,omitempty"`
-	SettingsRead uint64        `cbor:"verRead,omitempty"`
-	// Revision is the platform's revision that Targets reflect.
-	Revision uint64 `cbor:"rev,omitempty"`
+	SettingsRevision   uint64 `cbor:"ver,omitempty"`
+	CompressedSettings []byte `cbor:"gz,omitempty"`
+	// SettingsAge and SettingsReadNumber, TargetsAge and TargetsReadNumber are as in Report.
+	SettingsAge        time.Duration `cbor:"verAge,omitempty"`
+	SettingsReadNumber uint64        `cbor:"verRead,omitempty"`
+	// TargetsRevision is the platform's revision that Targets reflect.
+	TargetsRevision uint64 `cbor:"rev,omitempty"`
 	// TargetsEra and SettingsEra are as in Report. Gone are of TargetsEra, too.
-	TargetsEra  uint64        `cbor:"era,omitempty"`
-	SettingsEra uint64        `cbor:"verEra,omitempty"`
-	TargetsAge  time.Duration `cbor:"revAge,omitempty"`
-	TargetsRead uint64        `cbor:"revRead,omitempty"`
+	TargetsEra        uint64        `cbor:"era,omitempty"`
+	SettingsEra       uint64        `cbor:"verEra,omitempty"`
+	TargetsAge        time.Duration `cbor:"revAge,omitempty"`
+	TargetsReadNumber uint64        `cbor:"revRead,omitempty"`
 	// Scope says which targets are told.
 	Scope Scope `cbor:"scope,omitempty"`
-	// Targets travel in Packed, as CBOR compressed with gzip: thousands of them say
+	// IncludeTargets travel in Packed, as CBOR compressed with gzip: thousands of them say
 	// much the same.
-	Targets []TargetState `cbor:"-"`
-	Packed  []byte        `cbor:"targets,omitempty"`
-	// Gone are the targets that were asked for as such; GoneTold says that these are
+	Targets           []TargetState `cbor:"-"`
+	CompressedTargets []byte        `cbor:"targets,omitempty"`
+	// MissingTargets are the targets that were asked for as such; MissingComplete says that these are
 	// all, also if there is none.
-	Gone     []TargetState `cbor:"goneTargets,omitempty"`
-	GoneTold bool          `cbor:"goneTold,omitempty"`
+	MissingTargets  []TargetState `cbor:"goneTargets,omitempty"`
+	MissingComplete bool          `cbor:"goneTold,omitempty"`
 }
--- a/core/reducer/adoption.go
+++ b/core/reducer/adoption.go
@@ -109,7 +109,7 @@
 		return
 	}
 	r.askedDeadline = r.now.Add(askEvery)
-	r.sendPeer(host, &messenger.SettingsRequest{Above: r.Revision()})
+	r.sendPeer(host, &messenger.SettingsRequest{NewerThan: r.Revision()})
 }
 
 // askSeeds asks hosts that the process was told of for settings.
--- a/core/reducer/bench_test.go
+++ b/core/reducer/bench_test.go
@@ -70,7 +70,7 @@
 	fill(host, now)
 	request := flowPacket(5, now)
 	request.Packet.Kind = messenger.KindRequest
-	request.Packet.Flags = messenger.FlagIdempotent | messenger.FlagOpens
+	request.Packet.Flags = messenger.FlagIdempotent | messenger.FlagOpensFlow
 	answer := &reducer.TargetPacket{At: now}
 	tick := &reducer.Tick{}
 	b.ReportAllocs()
@@ -82,7 +82,7 @@
 				answer.Target, answer.Return = e.Target, e.Return
 			}
 		}
-		answer.Packet = messenger.Packet{Kind: messenger.KindAnswer, Flags: messenger.FlagPiggybacked, Exchange: request.Packet.Exchange}
+		answer.Packet = messenger.Packet{Kind: messenger.KindResponse, Flags: messenger.FlagPiggybacked, Exchange: request.Packet.Exchange}
 		host.Reduce(answer)
 		if i%100 == 0 {
 			tick.At = now
--- a/core/reducer/dispatch.go
+++ b/core/reducer/dispatch.go
@@ -25,7 +25,7 @@
 		return
 	}
 	limit := policy.QueueLength
-	if policy.Priority == resolver.PriorityLow || q.packet.Flags.Has(messenger.FlagBlock) {
+	if policy.Priority == resolver.PriorityLow || q.packet.Flags.Has(messenger.FlagBlockwise) {
 		limit /= 2
 	}
 	switch {
--- a/core/reducer/example_test.go
+++ b/core/reducer/example_test.go
@@ -47,7 +47,7 @@
 		Service: netip.MustParseAddrPort("10.1.0.1:5683"),
 		Packet: messenger.Packet{
 			Kind:     messenger.KindRequest,
-			Flags:    messenger.FlagOpens,
+			Flags:    messenger.FlagOpensFlow,
 			Exchange: messenger.Exchange{MessageID: 1, Token: 7, TokenLength: 8},
 		},
 	}
--- a/core/reducer/fixture_test.go
+++ b/core/reducer/fixture_test.go
@@ -61,10 +61,10 @@
 }
 
 const (
-	opens     = messenger.FlagOpens
+	opens     = messenger.FlagOpensFlow
 	repeats   = messenger.FlagIdempotent
 	isStream  = messenger.FlagStream
-	isBlock   = messenger.FlagBlock
+	isBlock   = messenger.FlagBlockwise
 	openRead  = opens | repeats
 	openWrite = opens
 )
--- a/core/reducer/handover.go
+++ b/core/reducer/handover.go
@@ -119,14 +119,14 @@
 
 func (r *Reducer) recordOf(key resolver.FlowKey, f flow) messenger.FlowRecord {
 	s := r.services[key.Service()]
-	record := messenger.FlowRecord{Key: key, Long: f.flags&flowLong != 0}
+	record := messenger.FlowRecord{Key: key, LongLived: f.flags&flowLong != 0}
 	if s == nil {
 		return record
 	}
 	record.Target = s.registry[f.target].address
 	if f.other != noTarget {
-		record.Other = s.registry[f.other].address
-		record.Moved = f.flags&flowMoved != 0
+		record.NewWorkTarget = s.registry[f.other].address
+		record.BlockTransferMoved = f.flags&flowMoved != 0
 	}
 	return record
 }
@@ -178,7 +178,7 @@
 	if len(h.flows)+len(h.identities) == 0 && (!h.leaving || r.steppedDown) {
 		r.finishHandover(to, h, chunk)
 	}
-	chunk.Witnessed = r.witnessed.among(chunk.Identities)
+	chunk.WitnessedIdentities = r.witnessed.among(chunk.Identities)
 	h.last = chunk
 	r.sendPeer(to, chunk)
 }
@@ -190,15 +190,15 @@
 	// What ran or was refused since the snapshot is added here.
 	chunk.Identities = append(slices.Clone(chunk.Identities), r.knownIdentities()...)
 	chunk.Requests = r.runningRequests(to)
-	chunk.Uncertain = max(0, r.uncertainUntil().Until(r.now))
+	chunk.IdentitiesIncompleteFor = max(0, r.uncertainUntil().Until(r.now))
 	for _, name := range r.detector.Cell() {
 		if name != r.self && name != to && r.takesPart(name, true) {
-			chunk.Peers = append(chunk.Peers, name)
+			chunk.AlivePeers = append(chunk.AlivePeers, name)
 		}
 	}
 	h.doneSent = true
 	if !h.leaving || to == r.voteHolder() {
-		chunk.Votes, chunk.Denied = r.detector.GiveVotes(to, h.leaving)
+		chunk.Votes, chunk.DeniedRecipients = r.detector.GiveVotes(to, h.leaving)
 	}
 	if !h.leaving {
 		r.handedTo[to] = h.incarnation
@@ -289,7 +289,7 @@
 	r.takeRecords(body.Flows, false)
 	deadline := r.now.Add(r.exchangeLifetime())
 	for _, id := range body.Identities {
-		if !r.unsentFor(id, body.Witnessed) {
+		if !r.unsentFor(id, body.WitnessedIdentities) {
 			r.identities.add(id, deadline)
 		}
 	}
@@ -323,7 +323,7 @@
 // confirms. Then the successor's records come, with the identity. The joining host
 // takes the check for one that has run, and its caller waits for an answer that
 // nobody gives. One notices by checks that end as unknown while hosts are replaced.
-func (r *Reducer) unsentFor(id uint64, witnessed []messenger.WitnessedIdentities) bool {
+func (r *Reducer) unsentFor(id uint64, witnessed []messenger.OwnerIdentities) bool {
 	h := r.heldOf(id)
 	if h == nil || h.unsentBy == (hostStart{}) {
 		return false
@@ -343,15 +343,15 @@
 }
 
 func (r *Reducer) takeDone(from string, body *messenger.Handover) {
-	if body.Uncertain > 0 {
-		r.joining.uncertainDeadline = max(r.joining.uncertainDeadline, r.now.Add(body.Uncertain))
+	if body.IdentitiesIncompleteFor > 0 {
+		r.joining.uncertainDeadline = max(r.joining.uncertainDeadline, r.now.Add(body.IdentitiesIncompleteFor))
 	}
 	mark := handoverMark{incarnation: r.detector.State(from).Incarnation, session: body.Session}
 	if r.tookVotes[from] != mark {
 		// The chunk may come again if its acknowledgement was lost, when the
 		// votes may already have been passed on.
 		r.tookVotes[from] = mark
-		r.detector.TakeVotes(body.Votes, body.Denied, r.now)
+		r.detector.TakeVotes(body.Votes, body.DeniedRecipients, r.now)
 	}
 	if body.Leaving {
 		r.leavingFrom[from] = r.detector.State(from).Incarnation
@@ -359,7 +359,7 @@
 	}
 	r.joining.doneFrom[from] = r.now
 	r.joining.powerlessDone = r.joining.powerlessDone || !body.Quorum
-	for _, name := range body.Peers {
+	for _, name := range body.AlivePeers {
 		r.joining.expected[name] = true
 	}
 }
@@ -378,12 +378,12 @@
 		}
 		hash := placer.Hash(record.Key)
 		f := flow{target: at, other: noTarget, seen: max(seconds(r.now), 1)}
-		if record.Long {
+		if record.LongLived {
 			f.flags |= flowLong
 		}
-		if other, ok := s.byAddr[record.Other]; ok {
+		if other, ok := s.byAddr[record.NewWorkTarget]; ok {
 			f.other = other
-			if record.Moved {
+			if record.BlockTransferMoved {
 				f.flags |= flowMoved
 			}
 		}
--- a/core/reducer/health.go
+++ b/core/reducer/health.go
@@ -126,7 +126,7 @@
 	r.prober.tellDeadline = r.now.Add(verdictsEvery)
 	for _, name := range r.aliveInZone() {
 		if name != r.self {
-			r.sendPeer(name, &messenger.Verdicts{Failing: failing})
+			r.sendPeer(name, &messenger.ProbeFailures{FailingTargets: failing})
 		}
 	}
 }
@@ -136,7 +136,7 @@
 	for _, id := range r.serviceIDs {
 		for _, t := range r.services[id].registry {
 			if t.present && t.failedProbes >= failedProbesToEject {
-				failing = append(failing, messenger.LoadKey(id, t.place))
+				failing = append(failing, messenger.TargetKey(id, t.place))
 			}
 		}
 	}
@@ -148,7 +148,7 @@
 	for _, id := range r.serviceIDs {
 		for _, t := range r.services[id].registry {
 			delete(t.accusers, from)
-			if t.present && slices.Contains(failing, messenger.LoadKey(id, t.place)) {
+			if t.present && slices.Contains(failing, messenger.TargetKey(id, t.place)) {
 				t.accusers[from] = r.now.Add(verdictSpan)
 			}
 		}
--- a/core/reducer/leaving_test.go
+++ b/core/reducer/leaving_test.go
@@ -69,7 +69,7 @@
 				for _, n := range numbers(1, 7) {
 					draining = draining || p.Target == driver.TargetAddress(n)
 				}
-				if draining && p.At > published.Add(after) && p.Packet.Flags.Has(messenger.FlagOpens) {
+				if draining && p.At > published.Add(after) && p.Packet.Flags.Has(messenger.FlagOpensFlow) {
 					given++
 				}
 			}
--- a/core/reducer/pinning.go
+++ b/core/reducer/pinning.go
@@ -14,9 +14,9 @@
 	s := in.service
 	flags := in.packet.Flags
 	t := s.registry[f.target]
-	continues := !flags.Has(messenger.FlagOpens) || (f.flags&flowLong != 0 && flags.Has(messenger.FlagStream))
+	continues := !flags.Has(messenger.FlagOpensFlow) || (f.flags&flowLong != 0 && flags.Has(messenger.FlagStream))
 	ejected := s.eject(r.now)
-	if !flags.Has(messenger.FlagOpens) && flags.Has(messenger.FlagBlock) && f.flags&flowMoved != 0 && s.registry[f.other].present {
+	if !flags.Has(messenger.FlagOpensFlow) && flags.Has(messenger.FlagBlockwise) && f.flags&flowMoved != 0 && s.registry[f.other].present {
 		r.touch(in, f)
 		return f.other, true
 	}
@@ -52,7 +52,7 @@
 // noteTransfer remembers at which of a flow's targets a transfer in blocks
 // begins, so that its later blocks follow it.
 func (r *Reducer) noteTransfer(in *inbound, f *flow, moved bool) {
-	const begins = messenger.FlagOpens | messenger.FlagBlock
+	const begins = messenger.FlagOpensFlow | messenger.FlagBlockwise
 	if !in.packet.Flags.Has(begins) || moved == (f.flags&flowMoved != 0) {
 		return
 	}
@@ -62,7 +62,7 @@
 
 // touchLong is touch, and marks flows that carry streams or uploads.
 func (r *Reducer) touchLong(in *inbound, f flow) {
-	if in.packet.Flags&(messenger.FlagStream|messenger.FlagBlock) != 0 && f.flags&flowLong == 0 {
+	if in.packet.Flags&(messenger.FlagStream|messenger.FlagBlockwise) != 0 && f.flags&flowLong == 0 {
 		f.flags |= flowLong
 		f.seen = 0
 	}
@@ -75,7 +75,7 @@
 func (r *Reducer) placeFlow(in *inbound) (uint16, bool) {
 	var at uint16
 	var ok bool
-	if in.packet.Flags.Has(messenger.FlagOpens) {
+	if in.packet.Flags.Has(messenger.FlagOpensFlow) {
 		at, ok = in.service.choose(in.hash, noTarget, r.now)
 	} else {
 		at, ok = in.service.earlier(in.hash, r.now)
--- a/core/reducer/reducer.go
+++ b/core/reducer/reducer.go
@@ -218,21 +218,21 @@
 	switch body := e.Body.(type) {
 	case *messenger.Ping:
 		r.detector.Receive(e.From, body, r.now)
-		r.noteLoads(e.From, body.News.Loads, r.now)
+		r.noteLoads(e.From, body.Heartbeat.InFlight, r.now)
 	case *messenger.Ack:
 		r.detector.Receive(e.From, body, r.now)
-		r.noteLoads(e.From, body.News.Loads, r.now)
-	case *messenger.PingRequest, *messenger.Vouch:
+		r.noteLoads(e.From, body.Heartbeat.InFlight, r.now)
+	case *messenger.PingRequest, *messenger.IndirectAck:
 		r.detector.Receive(e.From, body, r.now)
 	case *messenger.Forward:
-		r.detector.NoteRevision(e.From, body.Revision)
+		r.detector.NoteRevision(e.From, body.SettingsRevision)
 		r.forwarded(body, e.Arrived)
-	case *messenger.Witness:
+	case *messenger.WitnessRequest:
 		r.witness(e.From, body)
 	case *messenger.WitnessAck:
 		r.witnessAcked(e.From, body)
-	case *messenger.Verdicts:
-		r.takeVerdicts(e.From, body.Failing)
+	case *messenger.ProbeFailures:
+		r.takeVerdicts(e.From, body.FailingTargets)
 	case *messenger.FlowRecords:
 		r.takeRecords(body.Records, true)
 	case *messenger.Handover:
@@ -240,7 +240,7 @@
 	case *messenger.HandoverAck:
 		r.handoverAcked(e.From, body)
 	case *messenger.SettingsRequest:
-		r.sendSettings(e.From, body.Above)
+		r.sendSettings(e.From, body.NewerThan)
 	case *messenger.SettingsDocument:
 		r.takeSettings(body)
 	}
@@ -250,12 +250,12 @@
 }
 
 // decorate adds to a heartbeat what the detector does not know.
-func (r *Reducer) decorate(peer string) messenger.News {
+func (r *Reducer) decorate(peer string) messenger.Heartbeat {
 	const loadsEvery = 250 * time.Millisecond
-	news := messenger.News{}
+	news := messenger.Heartbeat{}
 	if r.loadsDeadline[peer].Passed(r.now) {
 		r.loadsDeadline[peer] = r.now.Add(loadsEvery)
-		news.Loads = r.ownLoads()
+		news.InFlight = r.ownLoads()
 	}
 	return news
 }
--- a/core/reducer/request.go
+++ b/core/reducer/request.go
@@ -86,7 +86,7 @@
 func (q *request) nonIdempotent() bool { return !q.packet.Flags.Has(messenger.FlagIdempotent) }
 
 func (q *request) retriable() bool {
-	const pinned = messenger.FlagStream | messenger.FlagBlock
+	const pinned = messenger.FlagStream | messenger.FlagBlockwise
 	return !q.nonIdempotent() && q.packet.Flags&pinned == 0
 }
 
@@ -117,7 +117,7 @@
 		r.repeated(in, q)
 		return
 	}
-	if in.packet.Flags.Has(messenger.FlagOpens) && !r.mayOpen() {
+	if in.packet.Flags.Has(messenger.FlagOpensFlow) && !r.mayOpen() {
 		r.hold(in, id, RefuseIsolated)
 		return
 	}
--- a/core/reducer/route.go
+++ b/core/reducer/route.go
@@ -160,7 +160,7 @@
 // owner: notifications of a stream, and control packets. All that they need is
 // in the return address.
 func needsNoOwner(packet *messenger.Packet) bool {
-	if packet.Kind != messenger.KindAnswer {
+	if packet.Kind != messenger.KindResponse {
 		return true
 	}
 	return packet.Flags.Has(messenger.FlagStream) && !packet.Flags.Has(messenger.FlagPiggybacked)
@@ -186,16 +186,16 @@
 		remaining = max(in.packet.Deadline.Until(r.now), time.Millisecond)
 	}
 	return messenger.Forward{
-		Key:       in.key,
-		Direction: in.direction,
-		Hops:      in.hops + 1,
-		Revision:  r.Revision(),
-		Target:    in.target,
-		Kind:      in.packet.Kind,
-		Flags:     in.packet.Flags,
-		Exchange:  in.packet.Exchange,
-		Remaining: remaining,
-		Payload:   in.packet.Payload,
+		Key:              in.key,
+		Direction:        in.direction,
+		Hops:             in.hops + 1,
+		SettingsRevision: r.Revision(),
+		Target:           in.target,
+		Kind:             in.packet.Kind,
+		Flags:            in.packet.Flags,
+		Exchange:         in.packet.Exchange,
+		Remaining:        remaining,
+		Payload:          in.packet.Payload,
 	}
 }
 
@@ -281,7 +281,7 @@
 	switch in.packet.Kind {
 	case messenger.KindRequest:
 		r.request(in, role)
-	case messenger.KindControl, messenger.KindAnswer:
+	case messenger.KindControl, messenger.KindResponse:
 		r.control(in)
 	}
 }
--- a/core/reducer/target.go
+++ b/core/reducer/target.go
@@ -405,7 +405,7 @@
 		s := r.services[id]
 		for _, t := range s.registry {
 			if t.present && t.inFlight > 0 && len(loads) < most {
-				loads[messenger.LoadKey(id, t.place)] = uint16(min(t.inFlight, 0xffff))
+				loads[messenger.TargetKey(id, t.place)] = uint16(min(t.inFlight, 0xffff))
 			}
 		}
 	}
--- a/core/reducer/witness.go
+++ b/core/reducer/witness.go
@@ -81,23 +81,23 @@
 // among groups those of some identities that are held for an owner, by owner. Of an
 // identity that was held for two owners only the later counts: the earlier one may
 // have handed its request over to that.
-func (s witnessedSet) among(ids []uint64) []messenger.WitnessedIdentities {
+func (s witnessedSet) among(ids []uint64) []messenger.OwnerIdentities {
 	owners := make(map[uint64]hostStart, len(s))
 	for _, one := range s {
 		owners[one.id] = one.owner
 	}
-	var groups []messenger.WitnessedIdentities
+	var groups []messenger.OwnerIdentities
 	for _, id := range ids {
 		owner, ok := owners[id]
 		if !ok {
 			continue
 		}
-		at := slices.IndexFunc(groups, func(g messenger.WitnessedIdentities) bool {
+		at := slices.IndexFunc(groups, func(g messenger.OwnerIdentities) bool {
 			return owner == hostStart{host: g.Owner, incarnation: g.Incarnation}
 		})
 		if at < 0 {
 			at = len(groups)
-			groups = append(groups, messenger.WitnessedIdentities{Owner: owner.host, Incarnation: owner.incarnation})
+			groups = append(groups, messenger.OwnerIdentities{Owner: owner.host, Incarnation: owner.incarnation})
 		}
 		groups[at].Identities = append(groups[at].Identities, id)
 	}
@@ -186,9 +186,9 @@
 		ids = append(ids, q.id)
 	}
 	link.resendDeadline = r.now.Add(witnessResendAfter)
-	body := &messenger.Witness{Sequence: link.sequence, Identities: ids}
+	body := &messenger.WitnessRequest{Sequence: link.sequence, Identities: ids}
 	if via := r.relayTo(peer); via != "" {
-		body.Owner, body.For = r.self, peer
+		body.Owner, body.Recipient = r.self, peer
 		peer = via
 	}
 	r.sendPeer(peer, body)
@@ -216,9 +216,9 @@
 }
 
 // witness holds identities for another owner.
-func (r *Reducer) witness(from string, body *messenger.Witness) {
-	if body.For != "" && body.For != r.self {
-		r.sendPeer(body.For, body)
+func (r *Reducer) witness(from string, body *messenger.WitnessRequest) {
+	if body.Recipient != "" && body.Recipient != r.self {
+		r.sendPeer(body.Recipient, body)
 		return
 	}
 	owner := from
@@ -239,14 +239,14 @@
 	}
 	ack := &messenger.WitnessAck{Sequence: body.Sequence}
 	if owner != from {
-		ack.Successor, ack.For = r.self, owner
+		ack.Successor, ack.Recipient = r.self, owner
 	}
 	r.sendPeer(from, ack)
 }
 
 func (r *Reducer) witnessAcked(from string, body *messenger.WitnessAck) {
-	if body.For != "" && body.For != r.self {
-		r.sendPeer(body.For, body)
+	if body.Recipient != "" && body.Recipient != r.self {
+		r.sendPeer(body.Recipient, body)
 		return
 	}
 	if body.Successor != "" {
--- a/core/steerer/admitting_test.go
+++ b/core/steerer/admitting_test.go
@@ -15,7 +15,7 @@
 
 // askedOf is demand for the ledger, in thousandths of a slot by told priority.
 func askedOf(asked ...messenger.PriorityDemand) []messenger.ServiceDemand {
-	return []messenger.ServiceDemand{{Service: "ledger", Asked: asked}}
+	return []messenger.ServiceDemand{{Service: "ledger", ByPriority: asked}}
 }
 
 // urgentCrowd leaves nothing for new flows of priority 2: urgent callers ask for 10 of 18
@@ -139,7 +139,7 @@
 func TestDemandForUnknownServicesIsLeftOut(t *testing.T) {
 	f := calmPair(t)
 	before := f.hosts["a1"].steerer.Snapshot().Demand
-	report := &messenger.Report{AvailabilityZone: "a", Demands: []messenger.ServiceDemand{{Service: "nobody", Asked: urgentCrowd()[0].Asked}}}
+	report := &messenger.Report{AvailabilityZone: "a", Demands: []messenger.ServiceDemand{{Service: "nobody", ByPriority: urgentCrowd()[0].ByPriority}}}
 	tell(f, "a2", report)
 	require.InDelta(t, before, f.hosts["a1"].steerer.Snapshot().Demand, 1)
 }
@@ -152,7 +152,7 @@
 	before := f.hosts["a1"].steerer.Snapshot().Demand
 	tell(f, "b9", &messenger.Report{AvailabilityZone: "b", ZoneDemands: urgentCrowd()})
 	require.InDelta(t, before+24, f.hosts["a1"].steerer.Snapshot().Demand, 2)
-	tell(f, "b8", &messenger.Report{AvailabilityZone: "b", ZoneDemands: []messenger.ServiceDemand{{Service: "ledger", Flows: 9}}})
+	tell(f, "b8", &messenger.Report{AvailabilityZone: "b", ZoneDemands: []messenger.ServiceDemand{{Service: "ledger", OpenFlows: 9}}})
 	require.InDelta(t, before+24, f.hosts["a1"].steerer.Snapshot().Demand, 2)
 }
 
--- a/core/steerer/asking.go
+++ b/core/steerer/asking.go
@@ -82,12 +82,12 @@
 	}
 	s.asking.asked = true
 	s.asking.deadline = s.now.Add(askEvery)
-	request := &messenger.KnowledgeRequest{
-		Above: s.version(), Targets: s.lacksTargets(), Gone: s.wantsGone(),
-		Since: s.targetsPosition.Revision, SinceEra: s.targetsPosition.Era,
+	request := &messenger.SyncRequest{
+		SettingsNewerThan: s.version(), IncludeTargets: s.lacksTargets(), IncludeMissing: s.wantsGone(),
+		TargetsSince: s.targetsPosition.Revision, TargetsSinceEra: s.targetsPosition.Era,
 	}
 	s.log("hostAsked", field("peer", p.name), field("version", utoa(s.version())), field("peerVersion", utoa(p.version)),
-		field("targets", btoa(request.Targets)), field("revision", s.targetsPosition.String()), field("peerRevision", p.position.String()))
+		field("targets", btoa(request.IncludeTargets)), field("revision", s.targetsPosition.String()), field("peerRevision", p.position.String()))
 	s.emit(&AskHost{Host: p.name, Address: p.address, Request: request, Patience: s.answerPatience()})
 }
 
@@ -239,16 +239,16 @@
 		return
 	}
 	k := e.Knowledge
-	if k.GoneTold {
+	if k.MissingComplete {
 		s.takeGone(k, e.From)
 	}
 	if e.Settings != nil {
 		s.adopt(e.Settings, e.Document, e.From)
 	}
-	if k.Version == s.version() && k.Version != 0 {
-		s.confirm(&s.reading.settings, reportedRead{k.SettingsRead, k.SettingsEra, k.SettingsAge}, e.From)
+	if k.SettingsRevision == s.version() && k.SettingsRevision != 0 {
+		s.confirm(&s.reading.settings, reportedRead{k.SettingsReadNumber, k.SettingsEra, k.SettingsAge}, e.From)
 	}
-	if k.Revision != 0 {
+	if k.TargetsRevision != 0 {
 		s.takeTargets(k, e.From)
 	}
 }
@@ -256,8 +256,8 @@
 // takeTargets takes in the targets that another host knows. An answer from a later era
 // than this host's targets is a whole list: changes lead from no era to another. One from
 // an era that has ended is better than nothing only.
-func (s *Steerer) takeTargets(k *messenger.Knowledge, from string) {
-	position := sequencer.At(k.TargetsEra, k.Revision)
+func (s *Steerer) takeTargets(k *messenger.SyncResponse, from string) {
+	position := sequencer.At(k.TargetsEra, k.TargetsRevision)
 	if position.Era < s.reading.era && s.targetsPosition.Known() {
 		return
 	}
@@ -271,40 +271,40 @@
 		return
 	}
 	switch {
-	case k.Scope == messenger.ScopeAll, !position.Continues(s.targetsPosition):
+	case k.Scope == messenger.ScopeFull, !position.Continues(s.targetsPosition):
 		s.endList(listed, position, from)
-	case k.Scope == messenger.ScopeChanged:
+	case k.Scope == messenger.ScopeDelta:
 		s.targetsPosition = position
 	default:
 		return // Something may be missing; a later read tells.
 	}
-	s.confirm(&s.reading.targets, reportedRead{k.TargetsRead, k.TargetsEra, k.TargetsAge}, from)
+	s.confirm(&s.reading.targets, reportedRead{k.TargetsReadNumber, k.TargetsEra, k.TargetsAge}, from)
 }
 
 // Knowledge answers another host's question. The document is not compressed yet.
-func (s *Steerer) Knowledge(request *messenger.KnowledgeRequest) *messenger.Knowledge {
-	k := &messenger.Knowledge{
-		Version:      s.version(),
-		SettingsAge:  age(s.now, s.reading.settings.confirmed),
-		SettingsRead: s.reading.settings.confirmedRead,
-		SettingsEra:  s.reading.settings.era,
-		TargetsEra:   s.targetsPosition.Era,
-	}
-	if k.Version > request.Above {
-		k.Document = s.document
-	}
-	if request.Gone {
-		k.Gone = s.goneStates()
-		k.GoneTold = true
-	}
-	if !request.Targets {
+func (s *Steerer) Knowledge(request *messenger.SyncRequest) *messenger.SyncResponse {
+	k := &messenger.SyncResponse{
+		SettingsRevision:   s.version(),
+		SettingsAge:        age(s.now, s.reading.settings.confirmed),
+		SettingsReadNumber: s.reading.settings.confirmedRead,
+		SettingsEra:        s.reading.settings.era,
+		TargetsEra:         s.targetsPosition.Era,
+	}
+	if k.SettingsRevision > request.SettingsNewerThan {
+		k.CompressedSettings = s.document
+	}
+	if request.IncludeMissing {
+		k.MissingTargets = s.goneStates()
+		k.MissingComplete = true
+	}
+	if !request.IncludeTargets {
 		return k
 	}
-	k.Revision = s.targetsPosition.Revision
+	k.TargetsRevision = s.targetsPosition.Revision
 	k.TargetsAge = age(s.now, s.reading.targets.confirmed)
-	k.TargetsRead = s.reading.targets.confirmedRead
+	k.TargetsReadNumber = s.reading.targets.confirmedRead
 	var told []*target
-	told, k.Scope = s.toldSince(sequencer.At(request.SinceEra, request.Since))
+	told, k.Scope = s.toldSince(sequencer.At(request.TargetsSinceEra, request.TargetsSince))
 	for _, t := range told {
 		k.Targets = append(k.Targets, s.state(t))
 	}
@@ -314,7 +314,7 @@
 // toldSince lists the targets of which a host is told that knows all up to a position.
 func (s *Steerer) toldSince(position sequencer.Position) ([]*target, messenger.Scope) {
 	if s.targetsPosition.Continues(position) && s.targets.history.reaches(position) {
-		return s.targets.seenAfter(position), messenger.ScopeChanged
+		return s.targets.seenAfter(position), messenger.ScopeDelta
 	}
-	return s.targets.ordered(), messenger.ScopeAll
+	return s.targets.ordered(), messenger.ScopeFull
 }
--- a/core/steerer/connections_test.go
+++ b/core/steerer/connections_test.go
@@ -550,7 +550,7 @@
 	for _, v := range s.open {
 		flows[uint32(v.tag)] = 4
 	}
-	s.reduce("a1", &steerer.ReportReceived{From: "a2", Report: &messenger.Report{Address: s.hosts["a2"].address, Incarnation: 1, AvailabilityZone: "a", Flows: flows}})
+	s.reduce("a1", &steerer.ReportReceived{From: "a2", Report: &messenger.Report{Address: s.hosts["a2"].address, Incarnation: 1, AvailabilityZone: "a", OpenFlows: flows}})
 	resets, probes := len(s.hosts["a1"].resets), s.logged("a1", "targetProbed")
 	sentOn := s.logged("a1", "flowSentOn")
 	for range 14 {
--- a/core/steerer/demands.go
+++ b/core/steerer/demands.go
@@ -40,15 +40,15 @@
 	told := messenger.ServiceDemand{Service: service}
 	add := func(priority int, slots float64) {
 		if slots >= 1.0/milliSlots {
-			told.Asked = append(told.Asked, messenger.PriorityDemand{Priority: priority, MilliSlots: uint32(slots * milliSlots)})
+			told.ByPriority = append(told.ByPriority, messenger.PriorityDemand{Priority: priority, MilliSlots: uint32(slots * milliSlots)})
 		}
 	}
 	for level := range admitter.Levels {
 		add(level, demand.New[level])
 		add(openLevel(level), demand.Open[level])
 	}
-	if len(told.Asked) == 0 {
-		told.Asked = append(told.Asked, messenger.PriorityDemand{})
+	if len(told.ByPriority) == 0 {
+		told.ByPriority = append(told.ByPriority, messenger.PriorityDemand{})
 	}
 	return told
 }
@@ -56,7 +56,7 @@
 // demandOf reads a demand from a report.
 func demandOf(told messenger.ServiceDemand) admitter.Demand {
 	var demand admitter.Demand
-	for _, asked := range told.Asked {
+	for _, asked := range told.ByPriority {
 		slots := float64(asked.MilliSlots) / milliSlots
 		if asked.Priority < 0 {
 			demand.Open[min(openLevel(asked.Priority), admitter.Levels-1)] += slots
@@ -77,7 +77,7 @@
 		all = r.Demands
 	}
 	for _, told := range all {
-		if len(told.Asked) == 0 || len(s.targets.byService[told.Service]) == 0 {
+		if len(told.ByPriority) == 0 || len(s.targets.byService[told.Service]) == 0 {
 			continue
 		}
 		v := s.service(told.Service)
--- a/core/steerer/effect.go
+++ b/core/steerer/effect.go
@@ -81,7 +81,7 @@
 type AskHost struct {
 	Host    string
 	Address netip.AddrPort
-	Request *messenger.KnowledgeRequest
+	Request *messenger.SyncRequest
 	// Patience is how long the host may take to begin its answer.
 	Patience time.Duration
 }
--- a/core/steerer/estimating.go
+++ b/core/steerer/estimating.go
@@ -328,10 +328,10 @@
 func (s *Steerer) tooQuickOfLate(t *target) bool { return t.failures.Recent(s.now) }
 
 // takePaces takes in how fast another host of the zone finds targets.
-func (s *Steerer) takePaces(from *peer, paces []messenger.TargetPace) {
+func (s *Steerer) takePaces(from *peer, paces []messenger.TargetSlowdown) {
 	for _, p := range paces[:min(len(paces), maxPaces)] {
 		if t, ok := s.told(from, p.Tag); ok {
-			t.pace.Told(from.name, estimator.Pace{SlownessEighths: p.SlownessEighths, Samples: p.Samples}, s.now)
+			t.pace.Told(from.name, estimator.Pace{SlownessEighths: p.LogSlowdownEighths, Samples: p.Samples}, s.now)
 			s.refreshSpeed(t, from.name)
 		}
 	}
@@ -342,8 +342,8 @@
 //
 // What goes wrong if each report tells of the next ones: where a round has as many reports as
 // the list has parts, each recipient hears of the same part for ever.
-func (s *Steerer) paces() []messenger.TargetPace {
-	var paces []messenger.TargetPace
+func (s *Steerer) paces() []messenger.TargetSlowdown {
+	var paces []messenger.TargetSlowdown
 	active := s.estimating.active
 	if s.estimating.turnDeadline.Passed(s.now) {
 		s.estimating.turn = s.estimating.nextTurn
@@ -354,7 +354,7 @@
 		t := active[(s.estimating.turn+at)%len(active)]
 		at++
 		if p, ok := t.pace.Tell(s.now); ok {
-			paces = append(paces, messenger.TargetPace{Tag: uint32(t.tag), SlownessEighths: p.SlownessEighths, Samples: p.Samples})
+			paces = append(paces, messenger.TargetSlowdown{Tag: uint32(t.tag), LogSlowdownEighths: p.SlownessEighths, Samples: p.Samples})
 		}
 	}
 	if len(active) > 0 {
--- a/core/steerer/estimating_internal_test.go
+++ b/core/steerer/estimating_internal_test.go
@@ -66,7 +66,7 @@
 	require.Equal(t, second, tagsOf(s.paces()))
 }
 
-func tagsOf(paces []messenger.TargetPace) []uint32 {
+func tagsOf(paces []messenger.TargetSlowdown) []uint32 {
 	var tags []uint32
 	for _, p := range paces {
 		tags = append(tags, p.Tag)
--- a/core/steerer/event.go
+++ b/core/steerer/event.go
@@ -162,7 +162,7 @@
 	From string
 	// Knowledge is nil if Err is set. Settings and Document are what it brought,
 	// if anything.
-	Knowledge *messenger.Knowledge
+	Knowledge *messenger.SyncResponse
 	Settings  *Settings
 	Document  []byte
 	Err       error
--- a/core/steerer/fixture_test.go
+++ b/core/steerer/fixture_test.go
@@ -475,8 +475,8 @@
 		if f.reportBytes >= 0 {
 			f.answerBytes += answeredBytes(f.t, event.Knowledge.Targets)
 		}
-		if event.Knowledge.Document != nil {
-			event.Document, event.Settings = event.Knowledge.Document, f.settings
+		if event.Knowledge.CompressedSettings != nil {
+			event.Document, event.Settings = event.Knowledge.CompressedSettings, f.settings
 		}
 	}
 	f.after(took, func() {
--- a/core/steerer/gone.go
+++ b/core/steerer/gone.go
@@ -64,16 +64,16 @@
 
 // takeGone takes in the targets that were gone before this host started. What another era
 // says of them gives way to any word of this one.
-func (s *Steerer) takeGone(k *messenger.Knowledge, from string) {
+func (s *Steerer) takeGone(k *messenger.SyncResponse, from string) {
 	s.asking.goneLearned = true
-	for _, state := range k.Gone {
+	for _, state := range k.MissingTargets {
 		number, valid := NumberOf(state.ID)
 		if _, known := s.targets.byID[state.ID]; known || !valid {
 			continue
 		}
 		seen := sequencer.At(s.targetsPosition.Era, 0)
 		if k.TargetsEra == seen.Era {
-			seen = seen.WithRevision(state.Seen)
+			seen = seen.WithRevision(state.Revision)
 		}
 		t, _ := s.targets.put(recordOf(state, number))
 		t.missing = true
@@ -81,5 +81,5 @@
 		s.targets.noteGone(t)
 		t.missingSince = s.now
 	}
-	s.log("goneTargetsKnown", field("targets", itoa(len(k.Gone))), field("from", from))
+	s.log("goneTargetsKnown", field("targets", itoa(len(k.MissingTargets))), field("from", from))
 }
--- a/core/steerer/gone_internal_test.go
+++ b/core/steerer/gone_internal_test.go
@@ -17,8 +17,8 @@
 	started.targets.history.restart(started.targetsPosition)
 
 	position := asking.targetsPosition
-	answer := started.Knowledge(&messenger.KnowledgeRequest{Targets: true, Since: position.Revision, SinceEra: position.Era})
-	require.Equal(t, messenger.ScopeAll, answer.Scope)
+	answer := started.Knowledge(&messenger.SyncRequest{IncludeTargets: true, TargetsSince: position.Revision, TargetsSinceEra: position.Era})
+	require.Equal(t, messenger.ScopeFull, answer.Scope)
 	asking.takeTargets(answer, "b1")
 	require.Equal(t, sequencer.At(0, 2), asking.targetsPosition)
 	require.True(t, asking.targets.byID["i-10000009"].missing)
@@ -31,10 +31,10 @@
 	gone := s.targets.byID["i-10000009"]
 	s.takeMissing(gone, sequencer.At(0, 2), "test")
 	s.targetsPosition = sequencer.At(0, 3)
-	request := &messenger.KnowledgeRequest{Targets: true, Since: 1}
-	require.Equal(t, messenger.ScopeChanged, s.Knowledge(request).Scope)
+	request := &messenger.SyncRequest{IncludeTargets: true, TargetsSince: 1}
+	require.Equal(t, messenger.ScopeDelta, s.Knowledge(request).Scope)
 	s.targets.remove(gone)
-	require.Equal(t, messenger.ScopeAll, s.Knowledge(request).Scope)
+	require.Equal(t, messenger.ScopeFull, s.Knowledge(request).Scope)
 }
 
 // Failure: as above, because the host that was asked is of an earlier release and does not say
@@ -42,8 +42,8 @@
 func TestAnswerThatMayLackSomethingIsNotTakenForComplete(t *testing.T) {
 	s := serviceOf(10)
 	changed := s.state(s.targets.byID["i-10000003"])
-	changed.Seen, changed.Draining = 2, true
-	s.takeTargets(&messenger.Knowledge{Revision: 2, Targets: []messenger.TargetState{changed}}, "b1")
+	changed.Revision, changed.Draining = 2, true
+	s.takeTargets(&messenger.SyncResponse{TargetsRevision: 2, Targets: []messenger.TargetState{changed}}, "b1")
 	require.True(t, s.targets.byID["i-10000003"].Draining)
 	require.Equal(t, sequencer.At(0, 1), s.targetsPosition)
 }
--- a/core/steerer/history_internal_test.go
+++ b/core/steerer/history_internal_test.go
@@ -66,7 +66,7 @@
 	s.takeMissing(s.targets.byID["i-10000005"], sequencer.At(0, 2), "test")
 	s.targetsPosition = sequencer.At(0, 2)
 	before := s.targets.visits
-	k := s.Knowledge(&messenger.KnowledgeRequest{Targets: true, Since: 1})
+	k := s.Knowledge(&messenger.SyncRequest{IncludeTargets: true, TargetsSince: 1})
 	require.Len(t, k.Targets, 1)
 	require.LessOrEqual(t, s.targets.visits-before, uint64(maxHistory))
 }
--- a/core/steerer/large_bench_test.go
+++ b/core/steerer/large_bench_test.go
@@ -110,17 +110,17 @@
 	address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(zone + 1), byte(n >> 8), byte(n)}), 7000)
 	r := &messenger.Report{
 		Address: address, AvailabilityZone: h.fleet.zone(n), Incarnation: 1, LinkBytesPerSecond: 1_250_000,
-		Version: 1, TargetsRevision: 1, TargetsDigest: 1, Uptime: time.Minute,
+		SettingsRevision: 1, TargetsRevision: 1, TargetsDigest: 1, Uptime: time.Minute,
 	}
 	e := &steerer.ReportReceived{From: name, Report: r}
 	if zone != 0 {
-		r.ZoneHosts = h.fleet.hosts / h.fleet.zones
+		r.ReceiverZoneHosts = h.fleet.hosts / h.fleet.zones
 		h.far = append(h.far, e)
 		return
 	}
-	r.Busy = map[uint32]uint16{}
+	r.InFlight = map[uint32]uint16{}
 	for i := range busyTargets {
-		r.Busy[uint32(h.targets[(n+i*100)%h.fleet.targets].Number)] = 1
+		r.InFlight[uint32(h.targets[(n+i*100)%h.fleet.targets].Number)] = 1
 	}
 	h.near = append(h.near, e)
 }
@@ -187,8 +187,8 @@
 		t := &h.targets[h.changes%len(h.targets)]
 		h.changes++
 		t.Draining = !t.Draining
-		r.Changes = append(r.Changes, messenger.TargetState{
-			ID: t.ID, Seen: h.revision, Service: t.Service, Address: t.Address,
+		r.TargetChanges = append(r.TargetChanges, messenger.TargetState{
+			ID: t.ID, Revision: h.revision, Service: t.Service, Address: t.Address,
 			AvailabilityZone: t.AvailabilityZone, Slots: t.Slots, Draining: t.Draining,
 		})
 	}
@@ -304,7 +304,7 @@
 				b.Fatal(err)
 			}
 			kind := 0
-			if e.Report.ZoneHosts != 0 {
+			if e.Report.ReceiverZoneHosts != 0 {
 				kind = 1
 			}
 			sealed[kind] += len(data)
--- a/core/steerer/life_test.go
+++ b/core/steerer/life_test.go
@@ -102,18 +102,18 @@
 	f.restart(reborn)
 	f.step(1300 * time.Millisecond)
 	late := messenger.TargetState{
-		ID: old.ID, Seen: f.revision + 5, Service: old.Service, Address: old.Address, AvailabilityZone: old.AvailabilityZone,
+		ID: old.ID, Revision: f.revision + 5, Service: old.Service, Address: old.Address, AvailabilityZone: old.AvailabilityZone,
 		Slots: old.Slots, Draining: true,
 	}
 	f.reduce("a1", &steerer.ReportReceived{From: "b1", Report: &messenger.Report{
-		Address: f.hosts["b1"].address, AvailabilityZone: "b", Incarnation: 1, Version: 1, TargetsRevision: f.revision,
-		Changes: []messenger.TargetState{late},
+		Address: f.hosts["b1"].address, AvailabilityZone: "b", Incarnation: 1, SettingsRevision: 1, TargetsRevision: f.revision,
+		TargetChanges: []messenger.TargetState{late},
 	}})
 	require.Empty(t, statusOf(f, "a1", reborn).Avoided)
 	late.Missing = true
 	f.reduce("a1", &steerer.ReportReceived{From: "b1", Report: &messenger.Report{
-		Address: f.hosts["b1"].address, AvailabilityZone: "b", Incarnation: 1, Version: 1, TargetsRevision: f.revision,
-		Changes: []messenger.TargetState{late},
+		Address: f.hosts["b1"].address, AvailabilityZone: "b", Incarnation: 1, SettingsRevision: 1, TargetsRevision: f.revision,
+		TargetChanges: []messenger.TargetState{late},
 	}})
 	require.Empty(t, statusOf(f, "a1", reborn).Avoided)
 }
@@ -127,8 +127,8 @@
 	f.step(1300 * time.Millisecond)
 	tag := uint32(0x10000001)
 	report := &messenger.Report{
-		Address: f.hosts["a2"].address, AvailabilityZone: "a", Incarnation: 1, Version: 1, TargetsRevision: f.revision - 1,
-		Busy: map[uint32]uint16{tag: 7}, Quick: []uint32{tag},
+		Address: f.hosts["a2"].address, AvailabilityZone: "a", Incarnation: 1, SettingsRevision: 1, TargetsRevision: f.revision - 1,
+		InFlight: map[uint32]uint16{tag: 7}, FastFailing: []uint32{tag},
 	}
 	f.reduce("a1", &steerer.ReportReceived{From: "a2", Report: report})
 	f.reduce("a1", &steerer.ReportReceived{From: "a2", Report: report})
--- a/core/steerer/questions_test.go
+++ b/core/steerer/questions_test.go
@@ -31,5 +31,5 @@
 	}
 	h.asking = false
 	at := h.asked[len(h.asked)-1]
-	h.steerer.Reduce(&steerer.HostAnswered{At: h.now, From: at.Host, Knowledge: &messenger.Knowledge{Version: 1, Scope: messenger.ScopeChanged, Revision: h.revision - 1}})
+	h.steerer.Reduce(&steerer.HostAnswered{At: h.now, From: at.Host, Knowledge: &messenger.SyncResponse{SettingsRevision: 1, Scope: messenger.ScopeDelta, TargetsRevision: h.revision - 1}})
 }
--- a/core/steerer/reading_test.go
+++ b/core/steerer/reading_test.go
@@ -279,11 +279,11 @@
 func TestOnlyWhatChangedIsTold(t *testing.T) {
 	f := newFleet(t, 1)
 	s := f.hosts["a1"].steerer
-	all := s.Knowledge(&messenger.KnowledgeRequest{Targets: true})
+	all := s.Knowledge(&messenger.SyncRequest{IncludeTargets: true})
 	require.Len(t, all.Targets, 9)
 	f.drain("i-10000001")
 	f.step(2 * time.Second)
-	later := s.Knowledge(&messenger.KnowledgeRequest{Targets: true, Since: all.Revision})
+	later := s.Knowledge(&messenger.SyncRequest{IncludeTargets: true, TargetsSince: all.TargetsRevision})
 	require.Len(t, later.Targets, 1)
 	require.True(t, later.Targets[0].Draining)
 }
--- a/core/steerer/reports.go
+++ b/core/steerer/reports.go
@@ -23,7 +23,7 @@
 	}
 	fresh := p.heard == 0 || s.now.Since(p.heard) > peerMemory || p.incarnation != r.Incarnation
 	if fresh {
-		s.log("peerHeard", field("peer", p.name), field("zone", r.AvailabilityZone), field("incarnation", utoa(r.Incarnation)), field("version", utoa(r.Version)))
+		s.log("peerHeard", field("peer", p.name), field("zone", r.AvailabilityZone), field("incarnation", utoa(r.Incarnation)), field("version", utoa(r.SettingsRevision)))
 	}
 	p.address = r.Address
 	s.peers.zones.move(p, r.AvailabilityZone)
@@ -31,23 +31,23 @@
 	p.incarnation = r.Incarnation
 	s.peers.zones.leave(p, r.Leaving)
 	s.peers.noteHeard(p, s.now)
-	p.version = r.Version
+	p.version = r.SettingsRevision
 	p.position = sequencer.At(r.TargetsEra, r.TargetsRevision)
-	s.takeBusy(p, r.Busy)
-	s.takeTooQuick(p, r.Quick)
-	s.takePaces(p, r.Paces)
-	s.takeSilent(p, r.Silent)
+	s.takeBusy(p, r.InFlight)
+	s.takeTooQuick(p, r.FastFailing)
+	s.takePaces(p, r.Slowdowns)
+	s.takeSilent(p, r.Unresponsive)
 	s.takeDemands(r, p)
 	s.takeFlows(p, r)
 	s.takeHints(r)
 	s.takeZoneHosts(r)
 	s.noteEra(max(r.TargetsEra, r.OrdersEra, r.SettingsEra), p.name)
-	s.takeOrders(evacuator.Orders{Position: sequencer.At(r.OrdersEra, r.OrdersRevision), Zones: r.Evacuated}, p.name)
+	s.takeOrders(evacuator.Orders{Position: sequencer.At(r.OrdersEra, r.OrdersRevision), Zones: r.EvacuatedZones}, p.name)
 	s.compareSettings(r, p.name)
 	s.compareTargets(r, p.name)
 	// It may know nothing yet. In a large fleet one that knows all need not hear from
 	// each host that it reports to for the first time.
-	knowsNothing := r.Version == 0 || r.TargetsRevision == 0
+	knowsNothing := r.SettingsRevision == 0 || r.TargetsRevision == 0
 	if fresh && (knowsNothing || len(s.peers.byName) <= smallFleet || s.tellsOfFlows(p)) {
 		p.nextDeadline = 0
 		s.reportIfDue(p)
@@ -92,10 +92,10 @@
 // compareSettings learns from a report how new the own settings are.
 func (s *Steerer) compareSettings(r *messenger.Report, from string) {
 	switch {
-	case r.Version > s.version():
+	case r.SettingsRevision > s.version():
 		s.noteBehind()
-	case r.Version == s.version() && r.Version != 0:
-		s.confirm(&s.reading.settings, reportedRead{r.SettingsRead, r.SettingsEra, r.SettingsAge}, from)
+	case r.SettingsRevision == s.version() && r.SettingsRevision != 0:
+		s.confirm(&s.reading.settings, reportedRead{r.SettingsReadNumber, r.SettingsEra, r.SettingsAge}, from)
 	}
 }
 
@@ -105,12 +105,12 @@
 	if !s.targetsPosition.Known() {
 		return // The own first read is under way and brings all at once.
 	}
-	for _, state := range r.Changes {
+	for _, state := range r.TargetChanges {
 		s.takeState(state, r.TargetsEra, from)
 	}
 	position := sequencer.At(r.TargetsEra, r.TargetsRevision)
 	if position.Known() && s.knowsAllUpTo(position, r.TargetsDigest) {
-		s.confirm(&s.reading.targets, reportedRead{r.TargetsRead, r.TargetsEra, r.TargetsAge}, from)
+		s.confirm(&s.reading.targets, reportedRead{r.TargetsReadNumber, r.TargetsEra, r.TargetsAge}, from)
 		s.agreeOn(position, from)
 	}
 }
@@ -161,14 +161,14 @@
 // takeState takes in what another host says of a target, in some era. What it saw before a
 // restore of the platform never wins over a list from after it.
 func (s *Steerer) takeState(state messenger.TargetState, era uint64, from string) {
-	seen := sequencer.At(era, state.Seen)
+	seen := sequencer.At(era, state.Revision)
 	if seen.Era < s.targetsPosition.Era {
 		return
 	}
 	known, ok := s.targets.byID[state.ID]
 	if state.Missing {
-		if ok && !known.missing && known.olderThan(state.Born, seen) {
-			known.Born = state.Born
+		if ok && !known.missing && known.olderThan(state.Incarnation, seen) {
+			known.Born = state.Incarnation
 			known.unreadable = state.Unreadable
 			s.takeMissing(known, seen, from)
 		}
@@ -185,7 +185,7 @@
 func recordOf(state messenger.TargetState, number Number) Target {
 	return Target{
 		ID: state.ID, Number: number, Service: state.Service, Address: state.Address,
-		AvailabilityZone: state.AvailabilityZone, Slots: state.Slots, Draining: state.Draining, WarmUp: state.WarmUp, Born: state.Born,
+		AvailabilityZone: state.AvailabilityZone, Slots: state.Slots, Draining: state.Draining, WarmUp: state.WarmUp, Born: state.Incarnation,
 	}
 }
 
@@ -280,30 +280,30 @@
 		LinkBytesPerSecond: s.config.LinkBytesPerSecond,
 		Leaving:            s.leaving.begun,
 		SettingsAge:        age(s.now, s.reading.settings.confirmed),
-		SettingsRead:       s.reading.settings.confirmedRead,
+		SettingsReadNumber: s.reading.settings.confirmedRead,
 		SettingsEra:        s.reading.settings.era,
 		TargetsRevision:    s.targetsPosition.Revision,
 		TargetsEra:         s.targetsPosition.Era,
 		TargetsAge:         age(s.now, s.reading.targets.confirmed),
-		TargetsRead:        s.reading.targets.confirmedRead,
+		TargetsReadNumber:  s.reading.targets.confirmedRead,
 		TargetsDigest:      s.listDigest(),
-		Version:            s.version(),
+		SettingsRevision:   s.version(),
 		OrdersRevision:     s.evacuator.Orders().Position.Revision,
 		OrdersEra:          s.evacuator.Orders().Position.Era,
-		Evacuated:          s.evacuator.Orders().Zones,
+		EvacuatedZones:     s.evacuator.Orders().Zones,
 	}
 	s.addHints(r, to)
 	s.addDemands(r, to)
-	r.Flows = s.toldFlows(to)
+	r.OpenFlows = s.toldFlows(to)
 	for _, t := range s.peers.changes.next() {
-		r.Changes = append(r.Changes, s.state(t))
+		r.TargetChanges = append(r.TargetChanges, s.state(t))
 	}
 	if to.zone == s.config.AvailabilityZone {
 		own := s.ownNews()
-		r.Busy, r.Quick, r.Silent = own.busy, own.quick, own.silent
-		r.Paces = s.paces()
+		r.InFlight, r.FastFailing, r.Unresponsive = own.busy, own.quick, own.silent
+		r.Slowdowns = s.paces()
 	} else {
-		r.ZoneHosts = len(s.peers.zones.of(to.zone))
+		r.ReceiverZoneHosts = len(s.peers.zones.of(to.zone))
 		s.addZoneFlows(r)
 	}
 	return r
@@ -341,9 +341,9 @@
 		}
 		r.Hosts = append(r.Hosts, messenger.HostHint{Name: p.name, Address: p.address})
 		r.HostAgeTenths = append(r.HostAgeTenths, tenths(s.now.Since(p.lives)))
-		r.HostLinks = append(r.HostLinks, p.link)
+		r.HostLinkBytesPerSecond = append(r.HostLinkBytesPerSecond, p.link)
 		if p.zone == s.config.AvailabilityZone {
-			r.HostsNear |= 1 << (len(r.Hosts) - 1)
+			r.HostsInZoneMask |= 1 << (len(r.Hosts) - 1)
 		}
 		if len(r.Hosts) == maxHints {
 			break
@@ -367,10 +367,10 @@
 			age = time.Duration(r.HostAgeTenths[i]) * hintAgeUnit
 		}
 		p := s.notePeer(hint.Name, hint.Address, age)
-		if p.link == 0 && i < len(r.HostLinks) {
-			p.link = r.HostLinks[i]
+		if p.link == 0 && i < len(r.HostLinkBytesPerSecond) {
+			p.link = r.HostLinkBytesPerSecond[i]
 		}
-		if p.zone == "" && i < maxHints && r.HostsNear&(1<<i) != 0 {
+		if p.zone == "" && i < maxHints && r.HostsInZoneMask&(1<<i) != 0 {
 			s.peers.zones.move(p, r.AvailabilityZone)
 		}
 	}
@@ -419,8 +419,8 @@
 		seen = s.targetsPosition
 	}
 	return messenger.TargetState{
-		ID: t.ID, Seen: seen.Revision, Service: t.Service, Address: t.Address, AvailabilityZone: t.AvailabilityZone,
+		ID: t.ID, Revision: seen.Revision, Service: t.Service, Address: t.Address, AvailabilityZone: t.AvailabilityZone,
 		Slots: t.Slots, Draining: t.Draining, Missing: t.missing, WarmUp: max(t.warmUpDeadline.Until(s.now), 0),
-		Born: t.Born, Unreadable: t.unreadable,
+		Incarnation: t.Born, Unreadable: t.unreadable,
 	}
 }
--- a/core/steerer/rereading_test.go
+++ b/core/steerer/rereading_test.go
@@ -76,7 +76,7 @@
 	since := f.revision
 	f.remove(drained)
 	f.step(3 * time.Second)
-	k := f.hosts["a1"].steerer.Knowledge(&messenger.KnowledgeRequest{Above: 1, Targets: true, Since: since})
+	k := f.hosts["a1"].steerer.Knowledge(&messenger.SyncRequest{SettingsNewerThan: 1, IncludeTargets: true, TargetsSince: since})
 	told := false
 	for _, s := range k.Targets {
 		told = told || (s.ID == drained && s.Missing)
@@ -311,10 +311,10 @@
 	f.step(2 * time.Second)
 	f.restore(before)
 	f.step(2 * time.Second)
-	k := f.hosts["a1"].steerer.Knowledge(&messenger.KnowledgeRequest{Targets: true})
+	k := f.hosts["a1"].steerer.Knowledge(&messenger.SyncRequest{IncludeTargets: true})
 	require.Equal(t, uint64(4), k.TargetsEra)
 	require.NotEmpty(t, k.Targets)
 	for _, state := range k.Targets {
-		require.LessOrEqual(t, state.Seen, k.Revision, state.ID)
+		require.LessOrEqual(t, state.Revision, k.TargetsRevision, state.ID)
 	}
 }
--- a/core/steerer/restoring_test.go
+++ b/core/steerer/restoring_test.go
@@ -64,7 +64,7 @@
 
 // listed returns whether a host lists a target, and whether as draining.
 func (f *fleet) listed(name, id string) (listed, draining bool) {
-	k := f.hosts[name].steerer.Knowledge(&messenger.KnowledgeRequest{Targets: true})
+	k := f.hosts[name].steerer.Knowledge(&messenger.SyncRequest{IncludeTargets: true})
 	for _, state := range k.Targets {
 		if state.ID == id {
 			return !state.Missing, state.Draining
@@ -135,9 +135,9 @@
 	listed, draining := f.listed("a1", drained)
 	require.Equal(t, [2]bool{true, false}, [2]bool{listed, draining})
 	f.reduce("a1", &steerer.ReportReceived{From: "a3", Report: &messenger.Report{
-		Address: f.hosts["a3"].address, AvailabilityZone: "a", Incarnation: 1, Version: 1, TargetsRevision: 500, TargetsEra: 3, OrdersEra: 3,
-		OrdersRevision: 500, Evacuated: []string{"a"}, SettingsEra: 3,
-		Changes: []messenger.TargetState{{ID: drained, Seen: 490, Missing: true}, {ID: "i-1000000f", Seen: 490, Service: "ledger"}},
+		Address: f.hosts["a3"].address, AvailabilityZone: "a", Incarnation: 1, SettingsRevision: 1, TargetsRevision: 500, TargetsEra: 3, OrdersEra: 3,
+		OrdersRevision: 500, EvacuatedZones: []string{"a"}, SettingsEra: 3,
+		TargetChanges: []messenger.TargetState{{ID: drained, Revision: 490, Missing: true}, {ID: "i-1000000f", Revision: 490, Service: "ledger"}},
 	}})
 	f.requireSame("a1", "a2")
 	listed, draining = f.listed("a1", drained)
@@ -160,7 +160,7 @@
 // view lists a host's targets by ID, with whether they drain.
 func (f *fleet) view(name string) map[string]bool {
 	view := map[string]bool{}
-	for _, state := range f.hosts[name].steerer.Knowledge(&messenger.KnowledgeRequest{Targets: true}).Targets {
+	for _, state := range f.hosts[name].steerer.Knowledge(&messenger.SyncRequest{IncludeTargets: true}).Targets {
 		if !state.Missing {
 			view[state.ID] = state.Draining
 		}
@@ -227,11 +227,11 @@
 	f.step(200 * time.Millisecond)
 	age := f.knowledge("a1").TargetsAge
 	report := &messenger.Report{
-		Address: f.hosts["a2"].address, AvailabilityZone: "a", Incarnation: 1, Version: 1, TargetsRevision: f.revision, TargetsEra: 3,
-		TargetsDigest: f.digest("a1"), SettingsEra: 3, TargetsRead: 77, SettingsRead: 78,
+		Address: f.hosts["a2"].address, AvailabilityZone: "a", Incarnation: 1, SettingsRevision: 1, TargetsRevision: f.revision, TargetsEra: 3,
+		TargetsDigest: f.digest("a1"), SettingsEra: 3, TargetsReadNumber: 77, SettingsReadNumber: 78,
 	}
 	newer := *report
-	newer.TargetsEra, newer.SettingsEra, newer.TargetsDigest, newer.Version = 4, 4, 1, 0
+	newer.TargetsEra, newer.SettingsEra, newer.TargetsDigest, newer.SettingsRevision = 4, 4, 1, 0
 	f.reduce("a1", &steerer.ReportReceived{From: "a2", Report: &newer})
 	f.reduce("a1", &steerer.ReportReceived{From: "a2", Report: report})
 	require.GreaterOrEqual(t, f.knowledge("a1").TargetsAge, age)
--- a/core/steerer/returning.go
+++ b/core/steerer/returning.go
@@ -39,6 +39,6 @@
 	case r.AvailabilityZone == s.config.AvailabilityZone:
 		s.peers.zoneRuns = true
 	default:
-		s.peers.expectedInZone = max(s.peers.expectedInZone, r.ZoneHosts)
+		s.peers.expectedInZone = max(s.peers.expectedInZone, r.ReceiverZoneHosts)
 	}
 }
--- a/core/steerer/returning_test.go
+++ b/core/steerer/returning_test.go
@@ -56,7 +56,7 @@
 	f.step(time.Second)
 	f.start("a1")
 	f.step(100 * time.Millisecond)
-	report := messenger.Report{Address: f.hosts["b1"].address, AvailabilityZone: "b", Version: 1, ZoneHosts: 6, Uptime: 200 * time.Millisecond}
+	report := messenger.Report{Address: f.hosts["b1"].address, AvailabilityZone: "b", SettingsRevision: 1, ReceiverZoneHosts: 6, Uptime: 200 * time.Millisecond}
 	f.reduce("a1", &steerer.ReportReceived{From: "b1", Report: &report})
 	require.Equal(t, 1, f.ready("a"), "the host of the other zone has just started, too")
 	report.Uptime = time.Minute
--- a/core/steerer/telling.go
+++ b/core/steerer/telling.go
@@ -78,7 +78,7 @@
 			at = len(r.ZoneDemands)
 			r.ZoneDemands = append(r.ZoneDemands, messenger.ServiceDemand{Service: name})
 		}
-		r.ZoneDemands[at].Flows = uint32(c.tight[name].homeMean)
+		r.ZoneDemands[at].OpenFlows = uint32(c.tight[name].homeMean)
 	}
 }
 
@@ -99,9 +99,9 @@
 	}
 	for _, d := range r.ZoneDemands {
 		known := slices.Contains(s.targets.zones, r.AvailabilityZone) && s.settings.service(d.Service).MaxConnections > 0
-		if d.Flows > 0 && known {
+		if d.OpenFlows > 0 && known {
 			key := zoneService{r.AvailabilityZone, d.Service}
-			s.connections.away[key] = zoneFlows{mean: int(d.Flows), deadline: s.now.Add(zoneFlowsMemory)}
+			s.connections.away[key] = zoneFlows{mean: int(d.OpenFlows), deadline: s.now.Add(zoneFlowsMemory)}
 		}
 	}
 }
@@ -109,11 +109,11 @@
 // takeFlows takes in which flows another host has.
 func (s *Steerer) takeFlows(p *peer, r *messenger.Report) {
 	s.takeZoneFlows(r)
-	if len(r.Flows) == 0 {
+	if len(r.OpenFlows) == 0 {
 		return
 	}
-	flows := make(map[uint32]uint16, len(r.Flows))
-	for tag, n := range r.Flows {
+	flows := make(map[uint32]uint16, len(r.OpenFlows))
+	for tag, n := range r.OpenFlows {
 		if t, ok := s.told(p, tag); ok {
 			flows[tag] = n
 			if s.connections.tight[t.Service] == nil {
@@ -126,7 +126,7 @@
 		Incarnation: r.Incarnation,
 		Near:        p.zone == s.config.AvailabilityZone,
 		Flows:       flows,
-		Partial:     len(r.Flows) >= maxToldFlows,
+		Partial:     len(r.OpenFlows) >= maxToldFlows,
 	}
 	s.connections.limiter.Take(p.name, word, s.now)
 }
--- a/core/steerer/telling_internal_test.go
+++ b/core/steerer/telling_internal_test.go
@@ -67,11 +67,11 @@
 	_, _ = s.targets.put(Target{ID: "i-1", Number: 1, Service: "ledger", AvailabilityZone: "b"})
 	s.settings = NewSettings(1, nil, []Service{{Name: "ledger", MaxConnections: 40}}, 15*time.Second)
 	for n := range 200 {
-		s.takeZoneFlows(&messenger.Report{AvailabilityZone: "b", ZoneDemands: []messenger.ServiceDemand{{Service: fmt.Sprint(n), Flows: 9}}})
-		s.takeZoneFlows(&messenger.Report{AvailabilityZone: fmt.Sprint(n), ZoneDemands: []messenger.ServiceDemand{{Service: "ledger", Flows: 9}}})
+		s.takeZoneFlows(&messenger.Report{AvailabilityZone: "b", ZoneDemands: []messenger.ServiceDemand{{Service: fmt.Sprint(n), OpenFlows: 9}}})
+		s.takeZoneFlows(&messenger.Report{AvailabilityZone: fmt.Sprint(n), ZoneDemands: []messenger.ServiceDemand{{Service: "ledger", OpenFlows: 9}}})
 	}
 	require.Empty(t, s.connections.away)
-	s.takeZoneFlows(&messenger.Report{AvailabilityZone: "b", ZoneDemands: []messenger.ServiceDemand{{Service: "ledger", Flows: 9}}})
+	s.takeZoneFlows(&messenger.Report{AvailabilityZone: "b", ZoneDemands: []messenger.ServiceDemand{{Service: "ledger", OpenFlows: 9}}})
 	require.Len(t, s.connections.away, 1)
 	s.advance(s.now.Add(2 * zoneFlowsMemory))
 	s.connectionsTick()
@@ -209,7 +209,7 @@
 		report := &messenger.Report{ZoneDemands: []messenger.ServiceDemand{{Service: "service-05"}}}
 		s.addZoneFlows(report)
 		require.LessOrEqual(t, len(report.ZoneDemands), maxDemands)
-		require.NotZero(t, report.ZoneDemands[0].Flows, "an entry that is there already takes no more room")
+		require.NotZero(t, report.ZoneDemands[0].OpenFlows, "an entry that is there already takes no more room")
 		for _, d := range report.ZoneDemands {
 			told[d.Service] = true
 		}
--- a/core/translator/translator.go
+++ b/core/translator/translator.go
@@ -110,7 +110,7 @@
 		packet.Kind = messenger.KindRequest
 		return t.request(packet, now)
 	case class == 2 || class == 4 || class == 5:
-		packet.Kind = messenger.KindAnswer
+		packet.Kind = messenger.KindResponse
 		t.answer(&packet)
 	default:
 		return messenger.Packet{}, &Error{Op: op, Kind: KindUnsupported, Err: fmt.Errorf("code %v", m.Code)}
@@ -133,9 +133,9 @@
 	m := &t.message
 	switch m.Code {
 	case codes.GET, codes.PUT, codes.DELETE, codes.FETCH, codes.IPATCH:
-		packet.Flags |= messenger.FlagIdempotent | messenger.FlagOpens
+		packet.Flags |= messenger.FlagIdempotent | messenger.FlagOpensFlow
 	case codes.POST, codes.PATCH:
-		packet.Flags |= messenger.FlagOpens
+		packet.Flags |= messenger.FlagOpensFlow
 	default:
 		return messenger.Packet{}, &Error{Op: "decode datagram", Kind: KindUnsupported, Err: fmt.Errorf("method %v", m.Code)}
 	}
@@ -154,7 +154,7 @@
 	}
 	packet.Flags |= messenger.FlagStream
 	if value != 0 {
-		packet.Flags &^= messenger.FlagOpens
+		packet.Flags &^= messenger.FlagOpensFlow
 	}
 }
 
@@ -165,9 +165,9 @@
 		if err != nil {
 			return &Error{Op: "decode datagram", Kind: KindMalformed, Err: err}
 		}
-		packet.Flags |= messenger.FlagBlock
+		packet.Flags |= messenger.FlagBlockwise
 		if number > 0 {
-			packet.Flags &^= messenger.FlagOpens
+			packet.Flags &^= messenger.FlagOpensFlow
 		}
 		if more {
 			packet.Flags |= messenger.FlagIdempotent
@@ -183,8 +183,8 @@
 		return &Error{Op: "decode datagram", Kind: KindMalformed, Err: err}
 	}
 	if number > 0 {
-		packet.Flags |= messenger.FlagBlock
-		packet.Flags &^= messenger.FlagOpens
+		packet.Flags |= messenger.FlagBlockwise
+		packet.Flags &^= messenger.FlagOpensFlow
 	}
 	return nil
 }
--- a/core/translator/translator_test.go
+++ b/core/translator/translator_test.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	opens      = messenger.FlagOpens
+	opens      = messenger.FlagOpensFlow
 	idempotent = messenger.FlagIdempotent
 	stream     = messenger.FlagStream
-	block      = messenger.FlagBlock
+	block      = messenger.FlagBlockwise
 	con        = messenger.FlagConfirmable
 )
 
@@ -73,10 +73,10 @@
 		{"later block of an answer", codes.GET, message.Confirmable, block2(3), messenger.KindRequest, idempotent | block | con},
 		{"acknowledgement", codes.Empty, message.Acknowledgement, nil, messenger.KindControl, 0},
 		{"reset", codes.Empty, message.Reset, nil, messenger.KindControl, 0},
-		{"answer", codes.Content, message.Acknowledgement, nil, messenger.KindAnswer, messenger.FlagPiggybacked},
-		{"separate answer", codes.Content, message.Confirmable, nil, messenger.KindAnswer, con},
-		{"notification", codes.Content, message.NonConfirmable, observe(9), messenger.KindAnswer, stream},
-		{"refusal", codes.ServiceUnavailable, message.Acknowledgement, nil, messenger.KindAnswer, messenger.FlagPiggybacked | messenger.FlagRefused},
+		{"answer", codes.Content, message.Acknowledgement, nil, messenger.KindResponse, messenger.FlagPiggybacked},
+		{"separate answer", codes.Content, message.Confirmable, nil, messenger.KindResponse, con},
+		{"notification", codes.Content, message.NonConfirmable, observe(9), messenger.KindResponse, stream},
+		{"refusal", codes.ServiceUnavailable, message.Acknowledgement, nil, messenger.KindResponse, messenger.FlagPiggybacked | messenger.FlagRefused},
 	}
 	reader := translator.New()
 	for _, test := range tests {
--- a/scripts/red.sh
+++ b/scripts/red.sh
@@ -87,7 +87,7 @@
 without "the handover before the end" reducer/leaving.go 'if r.settings == nil || !r.joining.over {
 		r.end()' 'if true {
 		r.end()' TestGracefulShutdownCutsNothing
-without "votes that are left behind" reducer/handover.go 'chunk.Votes, chunk.Denied = r.detector.GiveVotes(to, h.leaving)' 'r.detector.GiveVotes(to, h.leaving)' TestGracefulShutdownCutsNothing
+without "votes that are left behind" reducer/handover.go 'chunk.Votes, chunk.DeniedRecipients = r.detector.GiveVotes(to, h.leaving)' 'r.detector.GiveVotes(to, h.leaving)' TestGracefulShutdownCutsNothing
 without "votes that count at once" detector/votes.go 'return !v.refuses(d.self, d.incarnation)' 'return v.deniesFrom.Passed(d.now)' TestRollingReplacementRefusesNothing
 without "the way around a broken link" reducer/witness.go 'if r.detector.State(peer).Liveness == messenger.LivenessAlive {' 'if true {' TestOneBrokenLinkInACellRefusesNothing
 without "the limit of a tenant" reducer/dispatch.go 'if r.tenantLoad[tenant] >= policy.TenantInFlight {' 'if r.tenantLoad[tenant] < 0 {' TestOneTenantCannotTakeAllPlaces
@@ -98,7 +98,7 @@
 without "few watchers" reducer/adoption.go 'watch := !ok || ahead < watchersPerZone' 'watch := !ok || ahead >= 0' TestFewHostsOfAZoneRead
 without "a fallback that keeps nothing" reducer/request.go 'if role == roleFallback {' 'if false {' TestHostWithoutPeersKeepsNoPlacesTaken
 without "the wait for other hosts" reducer/joining.go 'if r.startedAt.Add(acquaintanceSpan).Passed(r.now) {' 'if true {' TestStartingHostTakesNoPacketsBeforeItKnowsTheOthers
-without "what successors hold for others" reducer/handover.go 'if !r.unsentFor(id, body.Witnessed) {' 'if true {' TestUnsentRequestIsRunThoughItsIdentityComesToo
+without "what successors hold for others" reducer/handover.go 'if !r.unsentFor(id, body.WitnessedIdentities) {' 'if true {' TestUnsentRequestIsRunThoughItsIdentityComesToo
 
 package=steerer
 without "the target's tag" steerer/steering.go 'to, ok := s.targets.byTag[p.Tag]' 'to, ok := s.choose(choice{service: "ledger", hash: key.hash()}), true' 'TestFlowStaysOnItsTargetAtAnyHost|TestFleetAgainstOracle'
@@ -147,7 +147,7 @@
 without "copies that tell nothing of the path" steerer/path.go 'if f.copied {' 'if false {' TestCopiesOfOpeningPacketsDoNotMakeThePathSlow
 without "routes that stay as they were" steerer/reading.go 'settings = settings.keeping(s.settings)' '' TestRouteThatCannotBeReadStaysAsItWas
 without "the notice of quick answers" steerer/choosing.go 'if s.failsWork(t) {' 'if false {' TestTargetThatFailsAtOnceGetsFewFlows
-without "word of quick answers" steerer/reports.go 's.takeTooQuick(p, r.Quick)' '' TestQuickAnswersAreToldToTheZonesHosts
+without "word of quick answers" steerer/reports.go 's.takeTooQuick(p, r.FastFailing)' '' TestQuickAnswersAreToldToTheZonesHosts
 without "large links before small ones" steerer/peers.go 'return p.link > s.config.LinkBytesPerSecond' '' TestHostsWithLargeLinksRead
 without "questions for targets that are gone" steerer/asking.go 'p = s.goneInformant()' 'p = nil' TestHostThatStartsLearnsOfTargetsThatAreGone
 without "what is usual on the path" steerer/path.go 'openingGrowth*s.path.opening.median' '0' TestFarCallersDoNotMakeThePathSlow
@@ -197,7 +197,7 @@
 without "an end of waiting for the zone" steerer/returning.go '|| s.config.Start.Add(zonePatience).Passed(s.now) {' '{' TestHostWaitsForItsZoneForAWhileOnly
 without "the end of orders out of touch" steerer/orders.go 'return age(s.now, s.reading.settings.confirmed) > s.publishedWithin()' 'return false' TestHostOutOfTouchServesWhatItCan
 without "orders that hold in an outage" steerer/choosing.go 'if v.lastResort {' 'if false {' TestOutageOfThePlatformDoesNotEndOrders
-without "orders in reports" steerer/reports.go 's.takeOrders(evacuator.Orders{Position: sequencer.At(r.OrdersEra, r.OrdersRevision), Zones: r.Evacuated}, p.name)' '_ = evacuator.Orders{}' 'TestHostThatStartsInAnOutageLearnsOrders|TestHostThatIsTurnedAwayLearnsOrders'
+without "orders in reports" steerer/reports.go 's.takeOrders(evacuator.Orders{Position: sequencer.At(r.OrdersEra, r.OrdersRevision), Zones: r.EvacuatedZones}, p.name)' '_ = evacuator.Orders{}' 'TestHostThatStartsInAnOutageLearnsOrders|TestHostThatIsTurnedAwayLearnsOrders'
 without "reads as often as orders need" steerer/orders.go 'if s.config.EvacuatedWithin > 0 {' 'if false {' TestOrdersAreReadAsOftenAsTheyNeed
 without "tickets for cold targets" steerer/cold.go '!s.leaving.begun && t.AvailabilityZone == s.config.AvailabilityZone && s.warmer.Admits(t.ID, bound, s.now)' 'true' 'TestColdTargetsGetWhatTheyBear|TestReturnedZoneIsCold'
 without "the warm-up of a zone that is back" steerer/cold.go 'return ok && !lifted' 'return ok && false && !lifted' TestReturnedZoneIsCold
@@ -208,7 +208,7 @@
 without "doubt of silent zones" steerer/choosing.go 'if v.doubted {' 'if false {' TestZoneThatCrashesIsLeftAtOnce
 without "signs of life that end doubt" diagnoser/diagnoser.go 'z.gaps >= enoughGaps && z.heard <= since && now' 'z.gaps >= enoughGaps && now' TestOneCrashedTargetDoesNotEmptyItsZone
 without "distrust of late checks" steerer/health.go '(!s.trusts() || e.Took > lateCheck*h.patience)' '!s.trusts()' TestCheckThatTheHostHeldUpBlamesNobody
-without "word of silent targets" steerer/reports.go 'r.Busy, r.Quick, r.Silent = own.busy, own.quick, own.silent' 'r.Busy, r.Quick = own.busy, own.quick' TestOtherHostsHearOfSilentTargets
+without "word of silent targets" steerer/reports.go 'r.InFlight, r.FastFailing, r.Unresponsive = own.busy, own.quick, own.silent' 'r.InFlight, r.FastFailing = own.busy, own.quick' TestOtherHostsHearOfSilentTargets
 without "service of a zone that is cut off" steerer/orders.go 'return others >= 2 && !s.hearsOtherZones()' 'return false && !s.hearsOtherZones()' TestEvacuatedZoneThatIsCutOffServesItself
 without "orders that hold while hosts are heard" steerer/orders.go 'return others >= 2 && !s.hearsOtherZones()' 'return others >= 2' TestEvacuatedZoneThatIsCutOffServesItself
 without "orders that hold with one other zone" steerer/orders.go 'others >= 2 &&' 'others >= 1 &&' TestOrderHoldsWhenTheOnlyOtherZoneIsLost
@@ -245,7 +245,7 @@
 
 package=steerer
 without "eras before revisions" sequencer/sequencer.go 'if c := cmp.Compare(p.Era, other.Era); c != 0 {' 'if c := cmp.Compare(p.Era, other.Era); false && c != 0 {' 'TestRestoredListIsTaken|TestErasAgainstOracle'
-without "whole lists of a new era" steerer/asking.go 'case k.Scope == messenger.ScopeAll, !position.Continues(s.targetsPosition):' 'case false:' TestWholeListEndsWhatOnlyAnEndedEraHad
+without "whole lists of a new era" steerer/asking.go 'case k.Scope == messenger.ScopeFull, !position.Continues(s.targetsPosition):' 'case false:' TestWholeListEndsWhatOnlyAnEndedEraHad
 without "questions after a restore" steerer/asking.go '|| s.inEndedEra() || behind' '|| behind' TestHostThatWasCutOffLearnsOfTheNewEraFromOthers
 without "confirmations of this era only" steerer/reports.go '|| r.era < s.reading.era {' '{' TestConfirmationsOfAnEndedEraDoNotCount
 without "late answers left out" steerer/reading.go 'if position.Era < s.reading.era {' 'if false {' TestLateReadMakesNoEndedEraLookFresh
@@ -290,7 +290,7 @@
 package=steerer
 without "speed in placement" steerer/choosing.go 'slowness > 0 {' 'slowness > 1000 {' 'TestSlowTargetGetsFewFlows|TestSlowZoneSpillsOver'
 without "the speed of zones" steerer/choosing.go 's.zoneExcess(c.service, zone),' '0,' TestSlowZoneSpillsOver
-without "word of slow targets" steerer/reports.go 's.takePaces(p, r.Paces)' '' TestSlowTargetsAreToldToTheZonesHosts
+without "word of slow targets" steerer/reports.go 's.takePaces(p, r.Slowdowns)' '' TestSlowTargetsAreToldToTheZonesHosts
 without "requests that wait too long" steerer/estimating.go 's.learnSpeed(f, waited)' '_ = waited' TestHangingTargetIsSlowBeforeItAnswers
 without "trials that avoid silent targets" steerer/estimating.go 'case t.health.unreachable(), t.health.suspect, t.toldSilent(s.now), s.failsWork(t):' 'case false:' TestSilentTargetIsNotTried
 without "distrust of answers after a pause" steerer/estimating.go '!s.pause.trustDeadline.Passed(s.now) || s.cold(t)' 's.cold(t)' TestFrozenHostBlamesNoTarget
@@ -332,8 +332,8 @@
 without "a place for checks at small bounds" steerer/places.go 'max(v.bound/reservedDivisor, checkPlaces), v.bound-1)' 'v.bound/reservedDivisor)' TestSmallBoundsKeepAPlaceForChecks
 without "uses of bounded services alone" steerer/places.go 'if s.settings.service(service).MaxConnections <= 0 {' 'if false {' TestUsesOfPastRoutesAreForgotten
 without "the end of uses" steerer/connections.go 'delete(c.uses, name)' '_ = name' TestBoundThatIsTakenBackLeavesNothing
-without "word of known services alone" steerer/telling.go 'if d.Flows > 0 && known {' '_ = known; if d.Flows > 0 {' TestWordOfUnknownServicesIsNotKept
-without "word of flows" steerer/reports.go 'r.Flows = s.toldFlows(to)' '_ = s.toldFlows(to)' TestHostsTellEachOtherWhatTheyHold
+without "word of known services alone" steerer/telling.go 'if d.OpenFlows > 0 && known {' '_ = known; if d.OpenFlows > 0 {' TestWordOfUnknownServicesIsNotKept
+without "word of flows" steerer/reports.go 'r.OpenFlows = s.toldFlows(to)' '_ = s.toldFlows(to)' TestHostsTellEachOtherWhatTheyHold
 package=admitter
 without "repeats told from first tries" admitter/admitter.go 'asked.New[i] /= triesAt(a.inForce[i])' 'asked.New[i] /= 1 + 0*triesAt(a.inForce[i])' TestRepeatsOfRefusedCallersAreNoDemand
 without "answers that overrule the estimate" admitter/admitter.go 'a.wait >= idleWait && a.demand' 'a.demand' TestIdleTargetsLetAnybodyIn
@@ -355,8 +355,8 @@
 without "demand in reports" steerer/demands.go 'if !a.Tells() {' 'if true || !a.Tells() {' TestDemandIsToldOnceItFillsHalfOfTheRoom
 without "what can't run again where nothing is left" steerer/admitting.go 'case nothingLeft && a.Certain():' 'case nothingLeft && a.Certain() && route.Kind.repeatable():' TestLowPriorityThatCantRunAgainGetsNoRoomBeforeHigherOnes
 without "work that is not known" steerer/room.go 'case v.room.anyWork.known():' 'case false:' TestWorkThatIsNotKnownCountsAsTheServicesOther
-without "words of flows left out" steerer/demands.go 'len(told.Asked) == 0 || ' '' TestWordOfFlowsIsNoWordOfDemand
-without "word of hosts without callers" steerer/demands.go 'if len(told.Asked) == 0 {' 'if false {' TestHostWithoutCallersSaysSo
+without "words of flows left out" steerer/demands.go 'len(told.ByPriority) == 0 || ' '' TestWordOfFlowsIsNoWordOfDemand
+without "word of hosts without callers" steerer/demands.go 'if len(told.ByPriority) == 0 {' 'if false {' TestHostWithoutCallersSaysSo
 without "an end of what is known of past routes" steerer/reading.go '	s.forgetWork(settings)' '' TestWorkOfPastRoutesIsForgotten
 without "a bound on what zones are told of flows" steerer/telling.go 'len(r.ZoneDemands) >= maxDemands' 'false' TestZoneFlowsFitIntoAReport
 without "first answers that count alike" steerer/usual.go 'doubtful && u.known()' 'doubtful' TestFirstAnswerInACrowdDoesNotStick
@@ -447,7 +447,7 @@
 without "the beginning of what is listed" steerer/history.go 'h.begin = h.begin.Later(old.seen)' '_ = old' TestHistoryReachesAsFarAsItIsComplete
 without "answers from the history" steerer/asking.go 'if s.targetsPosition.Continues(position) && s.targets.history.reaches(position) {' 'if false {' TestAnswerGoesThroughWhatHasChanged
 without "whole lists of hosts that started later" steerer/asking.go ' && s.targets.history.reaches(position) {' ' {' 'TestHostThatStartedLaterTellsAllThatItKnows|TestHostThatHasForgottenATargetTellsAllThatItKnows'
-without "lists that end with what they lack" steerer/asking.go 'case k.Scope == messenger.ScopeAll, ' 'case ' TestHostThatStartedLaterTellsAllThatItKnows
+without "lists that end with what they lack" steerer/asking.go 'case k.Scope == messenger.ScopeFull, ' 'case ' TestHostThatStartedLaterTellsAllThatItKnows
 without "the end of what is known of forgotten targets" steerer/table.go 't.history.begin = t.history.begin.Later(gone.seen)' '' TestHostThatHasForgottenATargetTellsAllThatItKnows
 without "checks that are reset" steerer/health.go '	case ProbeReset:
 ' '	case ProbeReset:
--- a/standin/internal/measurer/measurer.go
+++ b/standin/internal/measurer/measurer.go
@@ -288,7 +288,7 @@
 			for range perTick {
 				n++
 				id := driver.RequestID{Caller: flowPacket(n, 0).Caller, Service: driver.ServiceAddress(1), Exchange: messenger.Exchange{MessageID: uint16(n), Token: uint64(n), TokenLength: 8}}
-				f.CallAfter(time.Duration(n%20)*time.Millisecond, "", id, messenger.Packet{Kind: messenger.KindRequest, Flags: messenger.FlagOpens})
+				f.CallAfter(time.Duration(n%20)*time.Millisecond, "", id, messenger.Packet{Kind: messenger.KindRequest, Flags: messenger.FlagOpensFlow})
 			}
 			f.Step(reducer.TickEvery)
 		}
