--- a/balancer/internal/runner/runner.go
+++ b/balancer/internal/runner/runner.go
@@ -236,7 +236,7 @@
 		}
 		return
 	}
-	host, ok := r.settings.HostNamed(e.Host)
+	host, ok := r.settings.HostByName(e.Host)
 	if !ok {
 		return
 	}
@@ -252,7 +252,7 @@
 	r.sealer.Store(encoder.New(r.config.Name, settings.PeerKeys))
 	r.watcher.Adopted(settings.Revision)
 	r.log.Info("settingsAdopted", zap.Uint64("revision", settings.Revision))
-	host, ok := settings.HostNamed(r.config.Name)
+	host, ok := settings.HostByName(r.config.Name)
 	switch {
 	case !ok:
 		r.log.Error("hostNotListed", zap.String("host", r.config.Name))
--- a/core/driver/driver.go
+++ b/core/driver/driver.go
@@ -435,7 +435,7 @@
 		if settings == nil {
 			continue
 		}
-		if s, ok := settings.ServiceAt(id.Service); ok {
+		if s, ok := settings.ServiceByAddress(id.Service); ok {
 			key, _ := resolver.NewFlowKey(id.Caller, s.ID)
 			return resolver.ReturnAddress(s.ReturnPrefix, key)
 		}
--- a/core/reducer/adoption.go
+++ b/core/reducer/adoption.go
@@ -39,7 +39,7 @@
 	r.releaseAddresses(settings, r.now)
 	r.document = document
 	r.settings = settings
-	if host, ok := settings.HostNamed(r.self); ok {
+	if host, ok := settings.HostByName(r.self); ok {
 		r.ownCell = host.Cell
 	}
 	r.adoptCells(settings)
@@ -173,7 +173,7 @@
 const watchersPerZone = 2
 
 func (r *Reducer) chooseWatchers() {
-	self, ok := r.settings.HostNamed(r.self)
+	self, ok := r.settings.HostByName(r.self)
 	ahead := 0
 	for _, h := range r.settings.Hosts {
 		if h.Name == r.self {
--- a/core/reducer/dispatch.go
+++ b/core/reducer/dispatch.go
@@ -15,7 +15,7 @@
 	policy := &q.service.settings.Policy
 	tenant := q.service.settings.Tenant
 	t := q.service.registry[q.target]
-	if r.tenantLoad[tenant] >= policy.TenantInFlight {
+	if r.tenantLoad[tenant] >= policy.MaxTenantInFlight {
 		r.refuse(q, OutcomeNotRun, RefuseTenantFull)
 		return
 	}
@@ -24,7 +24,7 @@
 		r.start(q)
 		return
 	}
-	limit := policy.QueueLength
+	limit := policy.MaxQueueLength
 	if policy.Priority == resolver.PriorityLow || q.packet.Flags.Has(messenger.FlagBlockwise) {
 		limit /= 2
 	}
--- a/core/reducer/exceptions.go
+++ b/core/reducer/exceptions.go
@@ -81,7 +81,7 @@
 
 func (r *Reducer) idle(s *service, f flow) bool {
 	const longFactor = 6
-	span := s.settings.Policy.FlowMemory
+	span := s.settings.Policy.FlowIdleTimeout
 	if f.flags&flowLong != 0 {
 		span *= longFactor
 	}
--- a/core/reducer/health.go
+++ b/core/reducer/health.go
@@ -71,7 +71,7 @@
 
 // aliveInZone lists the live hosts of this host's zone, this host included.
 func (r *Reducer) aliveInZone() []string {
-	self, _ := r.settings.HostNamed(r.self)
+	self, _ := r.settings.HostByName(r.self)
 	var names []string
 	for _, h := range r.settings.Hosts {
 		alive := h.Name == r.self || r.detector.State(h.Name).Liveness == messenger.LivenessAlive
--- a/core/reducer/request.go
+++ b/core/reducer/request.go
@@ -135,7 +135,7 @@
 		return
 	}
 	q.target = at
-	in.service.retryTokens = min(in.service.retryTokens+in.service.settings.Policy.RetryShare, maxRetryTokens)
+	in.service.retryTokens = min(in.service.retryTokens+in.service.settings.Policy.RetryBudget, maxRetryTokens)
 	r.enqueue(q)
 }
 
--- a/core/reducer/route.go
+++ b/core/reducer/route.go
@@ -63,7 +63,7 @@
 		r.count(DropUnknownService)
 		return
 	}
-	settings, ok := r.settings.ServiceAt(e.Service)
+	settings, ok := r.settings.ServiceByAddress(e.Service)
 	if !ok {
 		r.count(DropUnknownService)
 		return
@@ -83,7 +83,7 @@
 }
 
 func (r *Reducer) targetPacket(e *TargetPacket) {
-	key := resolver.FlowKeyOf(e.Return)
+	key := resolver.FlowKeyFromAddress(e.Return)
 	s, ok := r.services[key.Service()]
 	if !ok || !s.settings.ReturnPrefix.Contains(e.Return) || !s.knows(e.Target, r.lastUse) {
 		// A packet from an address that is no target of the service must not
--- a/core/reducer/snapshot.go
+++ b/core/reducer/snapshot.go
@@ -72,7 +72,7 @@
 		Counts:           make(map[string]uint64, numReasons),
 	}
 	if r.settings != nil {
-		host, _ := r.settings.HostNamed(r.self)
+		host, _ := r.settings.HostByName(r.self)
 		s.AvailabilityZone = host.AvailabilityZone
 	}
 	for _, reason := range Reasons() {
--- a/core/reducer/target.go
+++ b/core/reducer/target.go
@@ -199,7 +199,7 @@
 		return
 	}
 	if len(s.tables) > 0 {
-		s.tables[0].deadline = now.Add(s.settings.Policy.FlowMemory)
+		s.tables[0].deadline = now.Add(s.settings.Policy.FlowIdleTimeout)
 	}
 	fresh := datedTable{table: placer.NewLookupTable(candidates), candidates: candidates, places: places, deadline: timekeeper.Never}
 	s.tables = append([]datedTable{fresh}, s.tables...)
--- a/core/resolver/build.go
+++ b/core/resolver/build.go
@@ -27,18 +27,18 @@
 	line  int
 }
 
-// inherited is a policy on its way down the tree.
-type inherited struct {
+// inheritedPolicy is a policy on its way down the tree.
+type inheritedPolicy struct {
 	policy  Policy
 	origins map[string]origin
 }
 
-func (in inherited) copied() inherited {
+func (in inheritedPolicy) clone() inheritedPolicy {
 	origins := make(map[string]origin, len(in.origins))
 	for k, o := range in.origins {
 		origins[k] = o
 	}
-	return inherited{policy: in.policy, origins: origins}
+	return inheritedPolicy{policy: in.policy, origins: origins}
 }
 
 // builder walks one document. It collects findings instead of stopping at the
@@ -47,11 +47,11 @@
 	file     string
 	findings []Finding
 	settings Settings
-	// zones maps each availability zone to its region.
-	zones      map[string]string
-	zonePolicy map[string]*yaml.Node
-	addresses  map[netip.AddrPort]string
-	names      map[string]string
+	// zoneRegions maps each availability zone to its region.
+	zoneRegions  map[string]string
+	zoneDefaults map[string]*yaml.Node
+	addressPaths map[netip.AddrPort]string
+	namePaths    map[string]string
 }
 
 // Resolve parses, builds and checks a document. The returned Settings are
@@ -71,27 +71,27 @@
 		return nil, &Error{Op: op, Kind: KindSyntax, Err: err}
 	}
 	b := &builder{
-		file:       file,
-		settings:   Settings{explained: map[string][]Value{}},
-		zones:      map[string]string{},
-		zonePolicy: map[string]*yaml.Node{},
-		addresses:  map[netip.AddrPort]string{},
-		names:      map[string]string{},
+		file:         file,
+		settings:     Settings{valuesByPath: map[string][]Value{}},
+		zoneRegions:  map[string]string{},
+		zoneDefaults: map[string]*yaml.Node{},
+		addressPaths: map[netip.AddrPort]string{},
+		namePaths:    map[string]string{},
 	}
 	if len(root.Content) == 0 {
-		b.find(&yaml.Node{Line: 1}, ".", "the document is empty", "a mapping with version and regions", "start from a file under examples/")
+		b.addFinding(&yaml.Node{Line: 1}, ".", "the document is empty", "a mapping with version and regions", "start from a file under examples/")
 	} else {
-		b.root(root.Content[0])
+		b.buildRoot(root.Content[0])
 	}
 	if len(b.findings) > 0 {
 		return nil, &Error{Op: op, Kind: KindInvalid, Findings: b.findings}
 	}
 	settings := b.settings
-	settings.index()
+	settings.buildIndex()
 	return &settings, nil
 }
 
-func (b *builder) find(node *yaml.Node, path, problem, expected, fix string) {
+func (b *builder) addFinding(node *yaml.Node, path, problem, expected, fix string) {
 	line := 0
 	if node != nil {
 		line = node.Line
@@ -107,9 +107,9 @@
 	value *yaml.Node
 }
 
-// mapping lists a mapping's entries in the order of the file, reporting a
+// mappingEntries lists a mapping's entries in the order of the file, reporting a
 // node that is no mapping and keys that stand twice.
-func (b *builder) mapping(node *yaml.Node, path string) []entry {
+func (b *builder) mappingEntries(node *yaml.Node, path string) []entry {
 	if node.Kind == yaml.AliasNode {
 		node = node.Alias
 	}
@@ -117,7 +117,7 @@
 		return nil
 	}
 	if node.Kind != yaml.MappingNode {
-		b.find(node, path, "this is not a mapping", "keys with values", "indent the keys below "+path)
+		b.addFinding(node, path, "this is not a mapping", "keys with values", "indent the keys below "+path)
 		return nil
 	}
 	seen := map[string]bool{}
@@ -126,7 +126,7 @@
 		key := node.Content[i]
 		e := entry{key: key.Value, path: join(path, key.Value), node: key, value: node.Content[i+1]}
 		if seen[e.key] {
-			b.find(key, e.path, "the key stands twice", "each key once", "remove one of the two")
+			b.addFinding(key, e.path, "the key stands twice", "each key once", "remove one of the two")
 			continue
 		}
 		seen[e.key] = true
@@ -142,194 +142,194 @@
 	return path + "." + key
 }
 
-func (b *builder) unknown(e entry, known ...string) {
-	b.find(e.node, e.path, "unknown key", "one of "+strings.Join(known, ", "), "correct the spelling or remove the key")
+func (b *builder) addUnknownKey(e entry, known ...string) {
+	b.addFinding(e.node, e.path, "unknown key", "one of "+strings.Join(known, ", "), "correct the spelling or remove the key")
 }
 
-func (b *builder) root(node *yaml.Node) {
-	base := inherited{policy: DefaultPolicy(), origins: map[string]origin{}}
-	entries := b.mapping(node, "")
+func (b *builder) buildRoot(node *yaml.Node) {
+	base := inheritedPolicy{policy: DefaultPolicy(), origins: map[string]origin{}}
+	entries := b.mappingEntries(node, "")
 	for _, e := range entries {
 		switch e.key {
 		case "version":
 			if e.value.Value != "1" {
-				b.find(e.value, e.path, "unknown version "+e.value.Value, "1", "write version: 1")
+				b.addFinding(e.value, e.path, "unknown version "+e.value.Value, "1", "write version: 1")
 			}
 		case "peerKeys":
-			b.peerKeys(e)
+			b.buildPeerKeys(e)
 		case "defaults":
-			base = b.defaults(e.value, "defaults", base)
+			base = b.buildDefaults(e.value, "defaults", base)
 		case "regions":
 		default:
-			b.unknown(e, "version", "peerKeys", "defaults", "regions")
+			b.addUnknownKey(e, "version", "peerKeys", "defaults", "regions")
 		}
 	}
 	for _, e := range entries {
 		if e.key != "regions" {
 			continue
 		}
-		for _, region := range b.mapping(e.value, "regions") {
-			b.region(region, base)
+		for _, region := range b.mappingEntries(e.value, "regions") {
+			b.buildRegion(region, base)
 		}
 	}
 	if !slices.ContainsFunc(entries, func(e entry) bool { return e.key == "peerKeys" }) {
-		b.find(node, "peerKeys", "peerKeys is missing", "a list of one or two keys", "make a random key: without one anybody could speak as a host")
+		b.addFinding(node, "peerKeys", "peerKeys is missing", "a list of one or two keys", "make a random key: without one anybody could speak as a host")
 	}
 	if len(b.settings.Hosts) == 0 && len(b.findings) == 0 {
-		b.find(node, "regions", "the tree has no hosts", "at least one host", "add hosts below an availability zone")
+		b.addFinding(node, "regions", "the tree has no hosts", "at least one host", "add hosts below an availability zone")
 	}
 	slices.SortFunc(b.settings.Hosts, func(x, y Host) int { return strings.Compare(x.Name, y.Name) })
 	slices.SortFunc(b.settings.Services, func(x, y Service) int { return int(x.ID) - int(y.ID) })
 }
 
-func (b *builder) peerKeys(e entry) {
+func (b *builder) buildPeerKeys(e entry) {
 	const minKeyLength = 16
 	if e.value.Kind != yaml.SequenceNode || len(e.value.Content) == 0 || len(e.value.Content) > 2 {
-		b.find(e.value, e.path, "this is not a list of one or two keys", "one key, or two while keys are rotated", "write a list: the first key signs, both are accepted")
+		b.addFinding(e.value, e.path, "this is not a list of one or two keys", "one key, or two while keys are rotated", "write a list: the first key signs, both are accepted")
 		return
 	}
 	for _, item := range e.value.Content {
 		if len(item.Value) < minKeyLength {
-			b.find(item, e.path, "the key is short", fmt.Sprintf("at least %d characters", minKeyLength), "make a new random key")
+			b.addFinding(item, e.path, "the key is short", fmt.Sprintf("at least %d characters", minKeyLength), "make a new random key")
 			continue
 		}
 		b.settings.PeerKeys = append(b.settings.PeerKeys, Secret(item.Value))
 	}
 }
 
-// defaults applies a level's defaults to what the level inherits.
-func (b *builder) defaults(node *yaml.Node, level string, parent inherited) inherited {
-	in := parent.copied()
-	for _, e := range b.mapping(node, level) {
-		b.apply(e, level, &in)
+// buildDefaults applies a level's defaults to what the level inherits.
+func (b *builder) buildDefaults(node *yaml.Node, level string, parent inheritedPolicy) inheritedPolicy {
+	in := parent.clone()
+	for _, e := range b.mappingEntries(node, level) {
+		b.applyKey(e, level, &in)
 	}
 	return in
 }
 
-// apply sets one inheritable key.
-func (b *builder) apply(e entry, level string, in *inherited) {
+// applyKey sets one inheritable key.
+func (b *builder) applyKey(e entry, level string, in *inheritedPolicy) {
 	f, ok := fieldByKey(e.key)
 	if !ok {
 		keys := make([]string, 0, len(policyFields))
 		for _, f := range policyFields {
 			keys = append(keys, f.key)
 		}
-		b.unknown(e, keys...)
+		b.addUnknownKey(e, keys...)
 		return
 	}
 	if e.value.Kind != yaml.ScalarNode || !f.parse(&in.policy, e.value.Value) {
-		b.find(e.value, e.path, fmt.Sprintf("%q does not fit", e.value.Value), f.expected, "write a value in that range")
+		b.addFinding(e.value, e.path, fmt.Sprintf("%q does not fit", e.value.Value), f.expected, "write a value in that range")
 		return
 	}
 	in.origins[e.key] = origin{level: level, line: e.value.Line}
 }
 
-func (b *builder) region(region entry, parent inherited) {
+func (b *builder) buildRegion(region entry, parent inheritedPolicy) {
 	in := parent
-	entries := b.mapping(region.value, region.path)
+	entries := b.mappingEntries(region.value, region.path)
 	var prefix netip.Prefix
 	for _, e := range entries {
 		switch e.key {
 		case "defaults":
-			in = b.defaults(e.value, e.path, parent)
+			in = b.buildDefaults(e.value, e.path, parent)
 		case "returnPrefix":
-			prefix = b.returnPrefix(e)
+			prefix = b.parseReturnPrefix(e)
 		case "availabilityZones":
-			for _, zone := range b.mapping(e.value, e.path) {
-				b.zone(zone, region.key)
+			for _, zone := range b.mappingEntries(e.value, e.path) {
+				b.buildZone(zone, region.key)
 			}
 		case "services":
 		default:
-			b.unknown(e, "defaults", "returnPrefix", "availabilityZones", "services")
+			b.addUnknownKey(e, "defaults", "returnPrefix", "availabilityZones", "services")
 		}
 	}
 	if !prefix.IsValid() {
-		b.find(region.node, region.path, "returnPrefix is missing", "an IPv6 /64 that all hosts share towards targets", "add returnPrefix: fd00:51::/64 or the like")
+		b.addFinding(region.node, region.path, "returnPrefix is missing", "an IPv6 /64 that all hosts share towards targets", "add returnPrefix: fd00:51::/64 or the like")
 	}
 	for _, e := range entries {
 		if e.key != "services" {
 			continue
 		}
-		for _, service := range b.mapping(e.value, e.path) {
-			b.service(service, region.key, prefix, in)
+		for _, service := range b.mappingEntries(e.value, e.path) {
+			b.buildService(service, region.key, prefix, in)
 		}
 	}
 }
 
-func (b *builder) returnPrefix(e entry) netip.Prefix {
+func (b *builder) parseReturnPrefix(e entry) netip.Prefix {
 	prefix, err := netip.ParsePrefix(e.value.Value)
 	if err != nil || !prefix.Addr().Is6() || prefix.Bits() != 64 || prefix != prefix.Masked() {
-		b.find(e.value, e.path, fmt.Sprintf("%q does not fit", e.value.Value), "an IPv6 /64 prefix such as fd00:51::/64", "use a /64 that the fabric routes to the hosts")
+		b.addFinding(e.value, e.path, fmt.Sprintf("%q does not fit", e.value.Value), "an IPv6 /64 prefix such as fd00:51::/64", "use a /64 that the fabric routes to the hosts")
 		return netip.Prefix{}
 	}
 	return prefix
 }
 
-func (b *builder) zone(zone entry, region string) {
-	if other, ok := b.zones[zone.key]; ok {
-		b.find(zone.node, zone.path, "the availability zone stands in region "+other+" too", "each name once", "rename one of the two")
+func (b *builder) buildZone(zone entry, region string) {
+	if other, ok := b.zoneRegions[zone.key]; ok {
+		b.addFinding(zone.node, zone.path, "the availability zone stands in region "+other+" too", "each name once", "rename one of the two")
 		return
 	}
-	b.zones[zone.key] = region
+	b.zoneRegions[zone.key] = region
 	cells := 1
 	var hosts []entry
-	for _, e := range b.mapping(zone.value, zone.path) {
+	for _, e := range b.mappingEntries(zone.value, zone.path) {
 		switch e.key {
 		case "defaults":
-			b.zonePolicy[zone.key] = e.value
-			b.defaults(e.value, e.path, inherited{})
+			b.zoneDefaults[zone.key] = e.value
+			b.buildDefaults(e.value, e.path, inheritedPolicy{})
 		case "cells":
 			n, err := strconv.Atoi(e.value.Value)
 			if err != nil || n < 1 || n > 1000 {
-				b.find(e.value, e.path, fmt.Sprintf("%q does not fit", e.value.Value), "a whole number from 1 to 1000", "use one cell for each 8 hosts")
+				b.addFinding(e.value, e.path, fmt.Sprintf("%q does not fit", e.value.Value), "a whole number from 1 to 1000", "use one cell for each 8 hosts")
 				continue
 			}
 			cells = n
 		case "hosts":
-			hosts = b.mapping(e.value, e.path)
+			hosts = b.mappingEntries(e.value, e.path)
 		default:
-			b.unknown(e, "defaults", "cells", "hosts")
+			b.addUnknownKey(e, "defaults", "cells", "hosts")
 		}
 	}
 	sizes := map[string]int{}
 	for _, e := range hosts {
-		host := b.host(e, region, zone.key, cells)
+		host := b.buildHost(e, region, zone.key, cells)
 		sizes[host.Cell]++
 		if sizes[host.Cell] == MaxCellHosts+1 {
-			b.find(e.node, e.path, "cell "+host.Cell+" has more than 8 hosts", "at most 8 hosts in a cell", "raise cells of the availability zone, or give hosts a cell each")
+			b.addFinding(e.node, e.path, "cell "+host.Cell+" has more than 8 hosts", "at most 8 hosts in a cell", "raise cells of the availability zone, or give hosts a cell each")
 		}
 	}
 }
 
-func (b *builder) host(e entry, region, zone string, cells int) Host {
+func (b *builder) buildHost(e entry, region, zone string, cells int) Host {
 	host := Host{Name: e.key, Region: region, AvailabilityZone: zone}
 	cell := xxhash.Sum64String(e.key) % uint64(cells)
-	b.unique(e, "host "+e.key)
-	for _, f := range b.mapping(e.value, e.path) {
+	b.requireUniqueName(e, "host "+e.key)
+	for _, f := range b.mappingEntries(e.value, e.path) {
 		switch f.key {
 		case "address":
-			host.Address = b.address(f)
+			host.Address = b.parseAddress(f)
 		case "fabricAddress":
-			host.FabricAddress = b.address(f)
+			host.FabricAddress = b.parseAddress(f)
 		case "cell":
 			n, err := strconv.ParseUint(f.value.Value, 10, 16)
 			if err != nil || n >= uint64(cells) {
-				b.find(f.value, f.path, fmt.Sprintf("%q does not fit", f.value.Value), fmt.Sprintf("a whole number below %d, the zone's cells", cells), "write a cell that the zone has")
+				b.addFinding(f.value, f.path, fmt.Sprintf("%q does not fit", f.value.Value), fmt.Sprintf("a whole number below %d, the zone's cells", cells), "write a cell that the zone has")
 				continue
 			}
 			cell = n
 		default:
-			b.unknown(f, "address", "fabricAddress", "cell")
+			b.addUnknownKey(f, "address", "fabricAddress", "cell")
 		}
 	}
 	host.Cell = fmt.Sprintf("%s/%d", zone, cell)
-	b.required(e, "address", host.Address.IsValid())
-	b.required(e, "fabricAddress", host.FabricAddress.IsValid())
+	b.requireKey(e, "address", host.Address.IsValid())
+	b.requireKey(e, "fabricAddress", host.FabricAddress.IsValid())
 	b.settings.Hosts = append(b.settings.Hosts, host)
 	return host
 }
 
-func (b *builder) required(e entry, key string, present bool) {
+func (b *builder) requireKey(e entry, key string, present bool) {
 	if present {
 		return
 	}
@@ -338,135 +338,135 @@
 			return
 		}
 	}
-	b.find(e.node, e.path, key+" is missing", "a value for "+key, "add "+key)
+	b.addFinding(e.node, e.path, key+" is missing", "a value for "+key, "add "+key)
 }
 
-// unique reports a name that stands twice in the whole tree: status, logs and
+// requireUniqueName reports a name that stands twice in the whole tree: status, logs and
 // metrics name hosts, services and targets without their place.
-func (b *builder) unique(e entry, name string) {
-	if other, ok := b.names[name]; ok {
-		b.find(e.node, e.path, "the name stands at "+other+" too", "each name once", "rename one of the two")
+func (b *builder) requireUniqueName(e entry, name string) {
+	if other, ok := b.namePaths[name]; ok {
+		b.addFinding(e.node, e.path, "the name stands at "+other+" too", "each name once", "rename one of the two")
 		return
 	}
-	b.names[name] = e.path
+	b.namePaths[name] = e.path
 }
 
-// address reads an IPv4 address and port that nothing else in the tree uses.
-func (b *builder) address(e entry) netip.AddrPort {
+// parseAddress reads an IPv4 address and port that nothing else in the tree uses.
+func (b *builder) parseAddress(e entry) netip.AddrPort {
 	address, err := netip.ParseAddrPort(e.value.Value)
 	if err != nil || !address.Addr().Is4() || address.Port() == 0 {
-		b.find(e.value, e.path, fmt.Sprintf("%q does not fit", e.value.Value), "an IPv4 address and port such as 10.0.0.1:5683", "write numbers, not names")
+		b.addFinding(e.value, e.path, fmt.Sprintf("%q does not fit", e.value.Value), "an IPv4 address and port such as 10.0.0.1:5683", "write numbers, not names")
 		return netip.AddrPort{}
 	}
-	if other, ok := b.addresses[address]; ok {
-		b.find(e.value, e.path, "the address stands at "+other+" too", "each address once", "give one of the two another address")
+	if other, ok := b.addressPaths[address]; ok {
+		b.addFinding(e.value, e.path, "the address stands at "+other+" too", "each address once", "give one of the two another address")
 		return netip.AddrPort{}
 	}
-	b.addresses[address] = e.path
+	b.addressPaths[address] = e.path
 	return address
 }
 
-func (b *builder) service(e entry, region string, prefix netip.Prefix, parent inherited) {
+func (b *builder) buildService(e entry, region string, prefix netip.Prefix, parent inheritedPolicy) {
 	service := Service{Name: e.key, Region: region, ReturnPrefix: prefix}
-	in := parent.copied()
-	b.unique(e, "service "+e.key)
+	in := parent.clone()
+	b.requireUniqueName(e, "service "+e.key)
 	var targets []entry
-	for _, f := range b.mapping(e.value, e.path) {
+	for _, f := range b.mappingEntries(e.value, e.path) {
 		switch f.key {
 		case "id":
-			service.ID = b.serviceID(f)
+			service.ID = b.parseServiceID(f)
 		case "tenant":
 			service.Tenant = f.value.Value
 		case "address":
-			service.Address = b.address(f)
+			service.Address = b.parseAddress(f)
 		case "targets":
-			targets = b.mapping(f.value, f.path)
+			targets = b.mappingEntries(f.value, f.path)
 		default:
-			b.apply(f, e.path, &in)
+			b.applyKey(f, e.path, &in)
 		}
 	}
-	b.required(e, "id", service.ID != 0)
-	b.required(e, "tenant", service.Tenant != "")
-	b.required(e, "address", service.Address.IsValid())
+	b.requireKey(e, "id", service.ID != 0)
+	b.requireKey(e, "tenant", service.Tenant != "")
+	b.requireKey(e, "address", service.Address.IsValid())
 	service.Policy = in.policy
-	b.explain(e.path, in)
+	b.recordValues(e.path, in)
 	for _, t := range targets {
-		service.Targets = append(service.Targets, b.target(t, region, in))
+		service.Targets = append(service.Targets, b.buildTarget(t, region, in))
 	}
 	slices.SortFunc(service.Targets, func(x, y Target) int { return strings.Compare(x.Name, y.Name) })
 	b.settings.Services = append(b.settings.Services, service)
 }
 
-func (b *builder) serviceID(e entry) ServiceID {
+func (b *builder) parseServiceID(e entry) ServiceID {
 	n, err := strconv.ParseUint(e.value.Value, 10, 16)
 	if err != nil || n == 0 {
-		b.find(e.value, e.path, fmt.Sprintf("%q does not fit", e.value.Value), "a whole number from 1 to 65535", "give the service a number of its own and never use it again")
+		b.addFinding(e.value, e.path, fmt.Sprintf("%q does not fit", e.value.Value), "a whole number from 1 to 65535", "give the service a number of its own and never use it again")
 		return 0
 	}
-	b.unique(e, "id "+e.value.Value)
+	b.requireUniqueName(e, "id "+e.value.Value)
 	return ServiceID(n)
 }
 
-func (b *builder) target(e entry, region string, parent inherited) Target {
+func (b *builder) buildTarget(e entry, region string, parent inheritedPolicy) Target {
 	target := Target{Name: e.key}
-	in := parent.copied()
-	b.unique(e, "target "+e.key)
-	entries := b.mapping(e.value, e.path)
+	in := parent.clone()
+	b.requireUniqueName(e, "target "+e.key)
+	entries := b.mappingEntries(e.value, e.path)
 	for _, f := range entries {
 		if f.key == "availabilityZone" {
-			target.AvailabilityZone = b.targetZone(f, region)
+			target.AvailabilityZone = b.parseTargetZone(f, region)
 		}
 	}
-	if node, ok := b.zonePolicy[target.AvailabilityZone]; ok {
-		b.applyZone(node, target.AvailabilityZone, region, &in)
+	if node, ok := b.zoneDefaults[target.AvailabilityZone]; ok {
+		b.applyZoneDefaults(node, target.AvailabilityZone, region, &in)
 	}
 	for _, f := range entries {
 		switch f.key {
 		case "availabilityZone":
 		case "address":
-			target.Address = b.address(f)
+			target.Address = b.parseAddress(f)
 		default:
-			b.apply(f, e.path, &in)
+			b.applyKey(f, e.path, &in)
 		}
 	}
-	b.required(e, "availabilityZone", target.AvailabilityZone != "")
-	b.required(e, "address", target.Address.IsValid())
+	b.requireKey(e, "availabilityZone", target.AvailabilityZone != "")
+	b.requireKey(e, "address", target.Address.IsValid())
 	target.Policy = in.policy
-	b.explain(e.path, in)
+	b.recordValues(e.path, in)
 	return target
 }
 
-// applyZone lays a zone's defaults under a target's own values. What the
+// applyZoneDefaults lays a zone's defaults under a target's own values. What the
 // service itself says goes before the zone's defaults.
-func (b *builder) applyZone(node *yaml.Node, zone, region string, in *inherited) {
+func (b *builder) applyZoneDefaults(node *yaml.Node, zone, region string, in *inheritedPolicy) {
 	level := fmt.Sprintf("regions.%s.availabilityZones.%s.defaults", region, zone)
-	quiet := &builder{file: b.file}
-	for _, e := range quiet.mapping(node, level) {
+	discarding := &builder{file: b.file}
+	for _, e := range discarding.mappingEntries(node, level) {
 		from := in.origins[e.key]
 		if strings.Contains(from.level, ".services.") {
 			continue
 		}
-		quiet.apply(e, level, in)
+		discarding.applyKey(e, level, in)
 	}
 }
 
-func (b *builder) targetZone(e entry, region string) string {
-	in, ok := b.zones[e.value.Value]
+func (b *builder) parseTargetZone(e entry, region string) string {
+	in, ok := b.zoneRegions[e.value.Value]
 	if !ok || in != region {
-		b.find(e.value, e.path, fmt.Sprintf("no availability zone %q in region %s", e.value.Value, region), "an availability zone of the same region", "correct the name or add the zone")
+		b.addFinding(e.value, e.path, fmt.Sprintf("no availability zone %q in region %s", e.value.Value, region), "an availability zone of the same region", "correct the name or add the zone")
 		return e.value.Value
 	}
 	return e.value.Value
 }
 
-func (b *builder) explain(path string, in inherited) {
+func (b *builder) recordValues(path string, in inheritedPolicy) {
 	values := make([]Value, 0, len(policyFields))
 	for _, f := range policyFields {
 		from, ok := in.origins[f.key]
 		if !ok {
 			from = origin{level: "built in"}
 		}
-		values = append(values, Value{Key: f.key, Value: f.show(in.policy), Level: from.level, Line: from.line})
+		values = append(values, Value{Key: f.key, Value: f.format(in.policy), Level: from.level, Line: from.line})
 	}
-	b.settings.explained[path] = values
+	b.settings.valuesByPath[path] = values
 }
--- a/core/resolver/error.go
+++ b/core/resolver/error.go
@@ -5,13 +5,13 @@
 	"strings"
 )
 
-// Kind tells callers which sort of failure an Error is.
-type Kind uint8
+// ErrorKind tells callers which sort of failure an Error is.
+type ErrorKind uint8
 
 // The kinds of Error.
 const (
 	// KindSyntax means that the document is not YAML at all.
-	KindSyntax Kind = iota + 1
+	KindSyntax ErrorKind = iota + 1
 	// KindInvalid means that the document is YAML but breaks a rule of the tree.
 	KindInvalid
 	// KindTooLarge means that the document is larger than MaxDocumentBytes.
@@ -20,7 +20,7 @@
 	KindNotFound
 )
 
-func (k Kind) String() string {
+func (k ErrorKind) String() string {
 	switch k {
 	case KindSyntax:
 		return "syntax"
@@ -37,7 +37,7 @@
 // Error is the one error type of this package.
 type Error struct {
 	Op       string
-	Kind     Kind
+	Kind     ErrorKind
 	Findings []Finding
 	Err      error
 }
--- a/core/resolver/policy.go
+++ b/core/resolver/policy.go
@@ -56,17 +56,17 @@
 	// ExchangeLifetime is the longest time over which a caller repeats one request
 	// with the same message ID, plus the time a datagram may spend in the network.
 	ExchangeLifetime time.Duration
-	// FlowMemory is how long an idle flow stays on its target.
-	FlowMemory time.Duration
+	// FlowIdleTimeout is how long an idle flow stays on its target.
+	FlowIdleTimeout time.Duration
 	// WarmUp is how long a target that is new takes to reach its full share.
 	WarmUp time.Duration
-	// TenantInFlight bounds the requests, queued or at targets, of all services of
+	// MaxTenantInFlight bounds the requests, queued or at targets, of all services of
 	// one tenant, on one host.
-	TenantInFlight int
-	// QueueLength bounds the requests that wait for one target, on one host.
-	QueueLength int
-	// RetryShare bounds retries as a share of requests, 0 to 1.
-	RetryShare float64
+	MaxTenantInFlight int
+	// MaxQueueLength bounds the requests that wait for one target, on one host.
+	MaxQueueLength int
+	// RetryBudget bounds retries as a share of requests, 0 to 1.
+	RetryBudget float64
 	// MaxEjectedShare bounds the targets of a service that health may exclude, 0 to 1.
 	MaxEjectedShare float64
 	// Priority decides what is shed first.
@@ -75,8 +75,8 @@
 	Weight int
 	// Slots is how many requests a target runs at once.
 	Slots int
-	// Connections is how many flows a target holds.
-	Connections int
+	// MaxConnections is how many flows a target holds.
+	MaxConnections int
 	// State says whether a target receives new flows.
 	State TargetState
 }
@@ -84,42 +84,42 @@
 // DefaultPolicy is in force where the tree says nothing.
 func DefaultPolicy() Policy {
 	return Policy{
-		RequestDeadline:  5 * time.Second,
-		ExchangeLifetime: 60 * time.Second,
-		FlowMemory:       10 * time.Minute,
-		WarmUp:           10 * time.Second,
-		TenantInFlight:   10_000,
-		QueueLength:      64,
-		RetryShare:       0.1,
-		MaxEjectedShare:  0.5,
-		Priority:         PriorityNormal,
-		Weight:           100,
-		Slots:            3,
-		Connections:      2000,
-		State:            TargetActive,
+		RequestDeadline:   5 * time.Second,
+		ExchangeLifetime:  60 * time.Second,
+		FlowIdleTimeout:   10 * time.Minute,
+		WarmUp:            10 * time.Second,
+		MaxTenantInFlight: 10_000,
+		MaxQueueLength:    64,
+		RetryBudget:       0.1,
+		MaxEjectedShare:   0.5,
+		Priority:          PriorityNormal,
+		Weight:            100,
+		Slots:             3,
+		MaxConnections:    2000,
+		State:             TargetActive,
 	}
 }
 
-// field describes one inheritable key: how it is written, checked and shown.
-type field struct {
+// policyField describes one inheritable key: how it is written, checked and shown.
+type policyField struct {
 	key      string
 	expected string
-	// effect tells an operator what a change of the key does to flows.
-	effect string
-	parse  func(policy *Policy, text string) bool
-	show   func(policy Policy) string
+	// changeWarning tells an operator what a change of the key does to flows.
+	changeWarning string
+	parse         func(policy *Policy, text string) bool
+	format        func(policy Policy) string
 }
 
 // policyFields is the table of all inheritable keys, in the order in which
 // explain prints them.
-var policyFields = []field{
+var policyFields = []policyField{
 	durationField("requestDeadline", time.Millisecond, 10*time.Minute, func(p *Policy) *time.Duration { return &p.RequestDeadline }),
 	durationField("exchangeLifetime", time.Second, 10*time.Minute, func(p *Policy) *time.Duration { return &p.ExchangeLifetime }),
-	durationField("flowMemory", time.Second, 24*time.Hour, func(p *Policy) *time.Duration { return &p.FlowMemory }),
+	durationField("flowMemory", time.Second, 24*time.Hour, func(p *Policy) *time.Duration { return &p.FlowIdleTimeout }),
 	durationField("warmUp", 0, time.Hour, func(p *Policy) *time.Duration { return &p.WarmUp }),
-	intField("tenantInFlight", 1, 1_000_000, "", func(p *Policy) *int { return &p.TenantInFlight }),
-	intField("queueLength", 0, 100_000, "", func(p *Policy) *int { return &p.QueueLength }),
-	shareField("retryShare", func(p *Policy) *float64 { return &p.RetryShare }),
+	intField("tenantInFlight", 1, 1_000_000, "", func(p *Policy) *int { return &p.MaxTenantInFlight }),
+	intField("queueLength", 0, 100_000, "", func(p *Policy) *int { return &p.MaxQueueLength }),
+	shareField("retryShare", func(p *Policy) *float64 { return &p.RetryBudget }),
 	shareField("maxEjectedShare", func(p *Policy) *float64 { return &p.MaxEjectedShare }),
 	{
 		key:      "priority",
@@ -137,15 +137,15 @@
 			}
 			return true
 		},
-		show: func(p Policy) string { return p.Priority.String() },
+		format: func(p Policy) string { return p.Priority.String() },
 	},
 	intField("weight", 1, 10_000, "new flows move; established flows stay", func(p *Policy) *int { return &p.Weight }),
 	intField("slots", 1, 10_000, "", func(p *Policy) *int { return &p.Slots }),
-	intField("connections", 1, 1_000_000, "", func(p *Policy) *int { return &p.Connections }),
+	intField("connections", 1, 1_000_000, "", func(p *Policy) *int { return &p.MaxConnections }),
 	{
-		key:      "state",
-		expected: "one of active, draining",
-		effect:   "a draining target gets no new flows; established flows stay",
+		key:           "state",
+		expected:      "one of active, draining",
+		changeWarning: "a draining target gets no new flows; established flows stay",
 		parse: func(p *Policy, text string) bool {
 			switch text {
 			case "active":
@@ -157,12 +157,12 @@
 			}
 			return true
 		},
-		show: func(p Policy) string { return p.State.String() },
+		format: func(p Policy) string { return p.State.String() },
 	},
 }
 
-func durationField(key string, low, high time.Duration, at func(*Policy) *time.Duration) field {
-	return field{
+func durationField(key string, low, high time.Duration, ptr func(*Policy) *time.Duration) policyField {
+	return policyField{
 		key:      key,
 		expected: fmt.Sprintf("a duration from %s to %s, such as 5s", low, high),
 		parse: func(p *Policy, text string) bool {
@@ -170,32 +170,32 @@
 			if err != nil || d < low || d > high {
 				return false
 			}
-			*at(p) = d
+			*ptr(p) = d
 			return true
 		},
-		show: func(p Policy) string { return at(&p).String() },
+		format: func(p Policy) string { return ptr(&p).String() },
 	}
 }
 
-func intField(key string, low, high int, effect string, at func(*Policy) *int) field {
-	return field{
-		key:      key,
-		expected: fmt.Sprintf("a whole number from %d to %d", low, high),
-		effect:   effect,
+func intField(key string, low, high int, changeWarning string, ptr func(*Policy) *int) policyField {
+	return policyField{
+		key:           key,
+		expected:      fmt.Sprintf("a whole number from %d to %d", low, high),
+		changeWarning: changeWarning,
 		parse: func(p *Policy, text string) bool {
 			n, err := strconv.Atoi(text)
 			if err != nil || n < low || n > high {
 				return false
 			}
-			*at(p) = n
+			*ptr(p) = n
 			return true
 		},
-		show: func(p Policy) string { return strconv.Itoa(*at(&p)) },
+		format: func(p Policy) string { return strconv.Itoa(*ptr(&p)) },
 	}
 }
 
-func shareField(key string, at func(*Policy) *float64) field {
-	return field{
+func shareField(key string, ptr func(*Policy) *float64) policyField {
+	return policyField{
 		key:      key,
 		expected: "a share from 0 to 1, such as 0.1",
 		parse: func(p *Policy, text string) bool {
@@ -203,18 +203,18 @@
 			if err != nil || !(share >= 0 && share <= 1) {
 				return false
 			}
-			*at(p) = share
+			*ptr(p) = share
 			return true
 		},
-		show: func(p Policy) string { return strconv.FormatFloat(*at(&p), 'g', -1, 64) },
+		format: func(p Policy) string { return strconv.FormatFloat(*ptr(&p), 'g', -1, 64) },
 	}
 }
 
-func fieldByKey(key string) (field, bool) {
+func fieldByKey(key string) (policyField, bool) {
 	for _, f := range policyFields {
 		if f.key == key {
 			return f, true
 		}
 	}
-	return field{}, false
+	return policyField{}, false
 }
--- a/core/resolver/resolver_test.go
+++ b/core/resolver/resolver_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const valid = `version: 1
+const validDocument = `version: 1
 peerKeys: [an-old-key-of-some-length, a-new-key-of-some-length]
 defaults: {slots: 2, requestDeadline: 4s}
 regions:
@@ -32,7 +32,7 @@
           ledger-02: {availabilityZone: pa-hall, address: 10.2.0.2:5683, slots: 5}
 `
 
-func TestBadDocumentsAreReportedWhole(t *testing.T) {
+func TestInvalidDocumentFindings(t *testing.T) {
 	tests := []struct {
 		name     string
 		from, to string
@@ -58,8 +58,8 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			require.Contains(t, valid, test.from)
-			_, err := resolver.Resolve("tree.yaml", []byte(strings.Replace(valid, test.from, test.to, 1)))
+			require.Contains(t, validDocument, test.from)
+			_, err := resolver.Resolve("tree.yaml", []byte(strings.Replace(validDocument, test.from, test.to, 1)))
 			var failure *resolver.Error
 			require.ErrorAs(t, err, &failure)
 			require.Equal(t, resolver.KindInvalid, failure.Kind)
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestLargeAndBrokenDocumentsAreRefused(t *testing.T) {
+func TestOversizedAndMalformedDocumentsAreRejected(t *testing.T) {
 	_, err := resolver.Resolve("t", make([]byte, 2<<20))
 	var failure *resolver.Error
 	require.ErrorAs(t, err, &failure)
@@ -89,7 +89,7 @@
 // Sequence: settings are printed, logged or encoded. Cause: a secret that is a
 // plain string.
 func TestPeerKeysAreNeverPrinted(t *testing.T) {
-	settings, err := resolver.Resolve("t", []byte(valid))
+	settings, err := resolver.Resolve("t", []byte(validDocument))
 	require.NoError(t, err)
 	require.Len(t, settings.PeerKeys, 2)
 	require.NotContains(t, fmt.Sprintf("%v %+v %s", settings, settings.PeerKeys, settings.PeerKeys[0]), "some-length")
@@ -98,8 +98,8 @@
 	require.NotContains(t, string(text), "some-length")
 }
 
-func TestChildrenInherit(t *testing.T) {
-	settings, err := resolver.Resolve("t", []byte(valid))
+func TestPolicyInheritance(t *testing.T) {
+	settings, err := resolver.Resolve("t", []byte(validDocument))
 	require.NoError(t, err)
 	targets := settings.Services[0].Targets
 	require.Equal(t, 3, targets[0].Policy.Slots)
@@ -107,13 +107,13 @@
 	require.Equal(t, "4s", targets[0].Policy.RequestDeadline.String())
 }
 
-func TestDiffWarnsOfWhatHurtsFlows(t *testing.T) {
+func TestDiffWarnings(t *testing.T) {
 	resolve := func(text string) *resolver.Settings {
 		settings, err := resolver.Resolve("t", []byte(text))
 		require.NoError(t, err)
 		return settings
 	}
-	before := resolve(valid)
+	before := resolve(validDocument)
 	tests := []struct {
 		name, from, to, warning string
 	}{
@@ -125,7 +125,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			after := resolve(strings.Replace(valid, test.from, test.to, 1))
+			after := resolve(strings.Replace(validDocument, test.from, test.to, 1))
 			var warnings []string
 			for _, c := range resolver.Diff(before, after) {
 				warnings = append(warnings, c.Warning)
@@ -136,7 +136,7 @@
 }
 
 func FuzzResolve(f *testing.F) {
-	f.Add([]byte(valid))
+	f.Add([]byte(validDocument))
 	f.Add([]byte("version: 1\nregions: {a: {services: {s: {targets: {t: null}}}}}"))
 	f.Add([]byte("&a [*a]"))
 	f.Add([]byte("a: &x {b: *x}"))
@@ -158,7 +158,7 @@
 		caller := netip.AddrPortFrom(netip.AddrFrom4([4]byte{byte(ip >> 24), byte(ip >> 16), byte(ip >> 8), byte(ip)}), port)
 		key, ok := resolver.NewFlowKey(caller, resolver.ServiceID(service))
 		prefix := netip.MustParsePrefix("fd00:51::/64")
-		back := resolver.FlowKeyOf(resolver.ReturnAddress(prefix, key))
+		back := resolver.FlowKeyFromAddress(resolver.ReturnAddress(prefix, key))
 		if !ok || back != key || back.Caller() != caller || back.Service() != resolver.ServiceID(service) {
 			t.Fatalf("%v became %v", caller, back.Caller())
 		}
@@ -170,14 +170,14 @@
 	key, _ := resolver.NewFlowKey(caller, 1)
 	address := resolver.ReturnAddress(netip.MustParsePrefix("fd00:51::/64"), key)
 	fmt.Println(address)
-	fmt.Println(resolver.FlowKeyOf(address).Caller())
+	fmt.Println(resolver.FlowKeyFromAddress(address).Caller())
 	// Output:
 	// fd00:51::a01:203:9c40:1
 	// 10.1.2.3:40000
 }
 
 func ExampleSettings_Explain() {
-	settings, err := resolver.Resolve("tree.yaml", []byte(valid))
+	settings, err := resolver.Resolve("tree.yaml", []byte(validDocument))
 	if err != nil {
 		panic(err)
 	}
--- a/core/resolver/settings.go
+++ b/core/resolver/settings.go
@@ -75,11 +75,11 @@
 	Revision uint64
 	PeerKeys []Secret
 	// Hosts is sorted by name, Services by ID.
-	Hosts     []Host
-	Services  []Service
-	explained map[string][]Value
-	byAddress map[netip.AddrPort]int
-	byID      map[ServiceID]int
+	Hosts        []Host
+	Services     []Service
+	valuesByPath map[string][]Value
+	byAddress    map[netip.AddrPort]int
+	byID         map[ServiceID]int
 }
 
 // WithRevision returns a copy under another revision number.
@@ -88,8 +88,8 @@
 	return s
 }
 
-// ServiceAt returns the service that callers reach at an address.
-func (s *Settings) ServiceAt(address netip.AddrPort) (*Service, bool) {
+// ServiceByAddress returns the service that callers reach at an address.
+func (s *Settings) ServiceByAddress(address netip.AddrPort) (*Service, bool) {
 	i, ok := s.byAddress[address]
 	if !ok {
 		return nil, false
@@ -106,8 +106,8 @@
 	return &s.Services[i], true
 }
 
-// HostNamed returns the host with a name.
-func (s *Settings) HostNamed(name string) (Host, bool) {
+// HostByName returns the host with a name.
+func (s *Settings) HostByName(name string) (Host, bool) {
 	i, ok := slices.BinarySearchFunc(s.Hosts, name, func(h Host, name string) int {
 		return strings.Compare(h.Name, name)
 	})
@@ -117,7 +117,7 @@
 	return s.Hosts[i], true
 }
 
-func (s *Settings) index() {
+func (s *Settings) buildIndex() {
 	s.byAddress = make(map[netip.AddrPort]int, len(s.Services))
 	s.byID = make(map[ServiceID]int, len(s.Services))
 	for i, service := range s.Services {
@@ -170,8 +170,8 @@
 	return netip.AddrFrom16(ip)
 }
 
-// FlowKeyOf reads the key out of a return address.
-func FlowKeyOf(address netip.Addr) FlowKey {
+// FlowKeyFromAddress reads the key out of a return address.
+func FlowKeyFromAddress(address netip.Addr) FlowKey {
 	ip := address.As16()
 	return FlowKey(binary.BigEndian.Uint64(ip[8:]))
 }
--- a/scripts/red.sh
+++ b/scripts/red.sh
@@ -90,7 +90,7 @@
 without "votes that are left behind" reducer/handover.go 'chunk.Votes, chunk.DeniedRecipients = r.detector.GiveVotes(to, h.leaving)' 'r.detector.GiveVotes(to, h.leaving)' TestGracefulShutdownCutsNothing
 without "votes that count at once" detector/votes.go 'return !v.refuses(d.self, d.incarnation)' 'return v.deniesFrom.Passed(d.now)' TestRollingReplacementRefusesNothing
 without "the way around a broken link" reducer/witness.go 'if r.detector.State(peer).Liveness == messenger.LivenessAlive {' 'if true {' TestOneBrokenLinkInACellRefusesNothing
-without "the limit of a tenant" reducer/dispatch.go 'if r.tenantLoad[tenant] >= policy.TenantInFlight {' 'if r.tenantLoad[tenant] < 0 {' TestOneTenantCannotTakeAllPlaces
+without "the limit of a tenant" reducer/dispatch.go 'if r.tenantLoad[tenant] >= policy.MaxTenantInFlight {' 'if r.tenantLoad[tenant] < 0 {' TestOneTenantCannotTakeAllPlaces
 without "shedding what would be late" reducer/dispatch.go 'case r.now.Add(t.expectedWait(r.now)) >= q.deadline:' 'case false:' TestWhatWouldBeLateIsRefusedAtOnce
 without "the comparison of revisions" reducer/adoption.go 'if revision <= r.Revision() ||' 'if revision == r.Revision() ||' TestRevisionIsInForceEverywhereAndStays
 without "learning settings from peers" reducer/adoption.go 'if host == "" || highest' 'if true || host == "" || highest' TestRevisionIsInForceEverywhereAndStays
