--- a/core/estimator/estimator.go
+++ b/core/estimator/estimator.go
@@ -31,88 +31,88 @@
 )
 
 const (
-	// memory is the time in which a sample loses all but a third of its weight. Callers
+	// sampleDecayTime is the time in which a sample loses all but a third of its weight. Callers
 	// are to have a recovered target back within two seconds.
-	memory = time.Second
+	sampleDecayTime = time.Second
 	// priorSamples is how many samples at the usual count towards the mean of each target,
 	// so that one late answer makes no target slow. A slow target gets few requests, whose
 	// samples have to keep it slow: for it slowPriorSamples count.
 	priorSamples     = 4.0
 	slowPriorSamples = 1.0
-	// slowAbove is the binary logarithm above which a target is slow: 1.7 times the usual,
+	// slowThreshold is the binary logarithm above which a target is slow: 1.7 times the usual,
 	// which requests that take unequally long rarely reach by chance. A slow target is usual
-	// again at quickBelow, 1.3 times: with one bound it would turn with each answer.
-	slowAbove  = 0.75
-	quickBelow = 0.4
-	// mostExcess and leastExcess bound one sample, a binary logarithm: a single answer that
+	// again at recoveryThreshold, 1.3 times: with one bound it would turn with each answer.
+	slowThreshold     = 0.75
+	recoveryThreshold = 0.4
+	// maxLogSlowdown and minLogSlowdown bound one sample, a binary logarithm: a single answer that
 	// takes a hundred times as long says little of the next ones.
-	mostExcess  = 3.0
-	leastExcess = -1.0
-	// mostFactor bounds what is believed of a target and its zone together, as a multiple of
+	maxLogSlowdown = 3.0
+	minLogSlowdown = -1.0
+	// maxSlowdown bounds what is believed of a target and its zone together, as a multiple of
 	// the usual.
-	mostFactor = 16.0
-	// negligible is the weight, in samples, below which what was seen is forgotten.
-	negligible = 0.05
+	maxSlowdown = 16.0
+	// negligibleWeight is the weight, in samples, below which what was seen is forgotten.
+	negligibleWeight = 0.05
 )
 
-// Excess is the binary logarithm of a time as a multiple of what was expected: the usual
-// time for a request times wait (see Wait). It is within leastExcess and mostExcess, and 0 if
+// LogSlowdown is the binary logarithm of a time as a multiple of what was expected: the usual
+// time for a request times wait (see Wait). It is within minLogSlowdown and maxLogSlowdown, and 0 if
 // a time is not known.
-func Excess(took, usual time.Duration, wait float64) float64 {
-	if took <= 0 || usual <= 0 {
+func LogSlowdown(elapsed, baseline time.Duration, queueingFactor float64) float64 {
+	if elapsed <= 0 || baseline <= 0 {
 		return 0
 	}
-	ratio := float64(took) / (float64(usual) * max(wait, 1))
-	return min(max(math.Log2(ratio), leastExcess), mostExcess)
+	ratio := float64(elapsed) / (float64(baseline) * max(queueingFactor, 1))
+	return min(max(math.Log2(ratio), minLogSlowdown), maxLogSlowdown)
 }
 
-// Wait is how many times its usual a request takes at a target that has others under way
+// QueueingFactor is how many times its usual a request takes at a target that has others under way
 // when it comes, 1 at the least: requests that find no free slot wait for one.
-func Wait(underWay, slots int) float64 {
+func QueueingFactor(inFlight, slots int) float64 {
 	slots = max(slots, 1)
-	return 1 + max(float64(underWay+1-slots), 0)/float64(slots)
+	return 1 + max(float64(inFlight+1-slots), 0)/float64(slots)
 }
 
-// Factor turns a binary logarithm into a multiple of the usual, at most mostFactor.
-func Factor(excess float64) float64 { return min(math.Exp2(excess), mostFactor) }
+// Slowdown turns a binary logarithm into a multiple of the usual, at most maxSlowdown.
+func Slowdown(logSlowdown float64) float64 { return min(math.Exp2(logSlowdown), maxSlowdown) }
 
-// sum adds up samples that lose weight over time.
-type sum struct {
+// decayingSum adds up samples that lose weight over time.
+type decayingSum struct {
 	// weight is how many samples count, excess the sum of their binary logarithms.
-	weight float64
-	excess float64
-	// at is up to when they have lost weight.
-	at timekeeper.Instant
+	weight      float64
+	logSlowdown float64
+	// decayedAt is up to when they have lost weight.
+	decayedAt timekeeper.Instant
 }
 
 // decay takes away the weight that samples have lost up to a moment.
-func (s *sum) decay(now timekeeper.Instant) {
-	if now <= s.at {
+func (s *decayingSum) decay(now timekeeper.Instant) {
+	if now <= s.decayedAt {
 		return
 	}
-	kept := 0.0
+	remaining := 0.0
 	if s.weight > 0 {
-		kept = math.Exp(-float64(now.Since(s.at)) / float64(memory))
+		remaining = math.Exp(-float64(now.Since(s.decayedAt)) / float64(sampleDecayTime))
 	}
-	s.weight *= kept
-	s.excess *= kept
-	s.at = now
+	s.weight *= remaining
+	s.logSlowdown *= remaining
+	s.decayedAt = now
 }
 
 // add adds a number of samples by their mean, a binary logarithm.
-func (s *sum) add(mean, weight float64, now timekeeper.Instant) {
+func (s *decayingSum) add(mean, weight float64, now timekeeper.Instant) {
 	s.decay(now)
 	s.weight += weight
-	s.excess += mean * weight
+	s.logSlowdown += mean * weight
 }
 
 // remove takes out what is left of a sum that was added before.
-func (s *sum) remove(other sum, now timekeeper.Instant) {
+func (s *decayingSum) remove(other decayingSum, now timekeeper.Instant) {
 	s.decay(now)
 	other.decay(now)
 	s.weight = max(s.weight-other.weight, 0)
-	s.excess -= other.excess
-	if s.weight < negligible {
-		s.weight, s.excess = 0, 0
+	s.logSlowdown -= other.logSlowdown
+	if s.weight < negligibleWeight {
+		s.weight, s.logSlowdown = 0, 0
 	}
 }
--- a/core/estimator/ranking_test.go
+++ b/core/estimator/ranking_test.go
@@ -14,105 +14,105 @@
 	"github.com/stretchr/testify/require"
 )
 
-// zoneLoad is hosts of a zone before targets, half of which turn slow after two seconds.
+// scenario is hosts of a zone before targets, half of which turn slow after two seconds.
 // Each host meets each target once a second, as in a large fleet. What it knows of the
 // others is a quarter of a second old, and comes from a few of them.
-type zoneLoad struct {
+type scenario struct {
 	hosts, targets, slots int
-	// perSecond is how many requests a second come for each target.
-	perSecond float64
-	slowTimes float64
-	slowFrom  time.Duration
-	slowUntil time.Duration
-	length    time.Duration
+	// requestsPerSecond is how many requests a second come for each target.
+	requestsPerSecond float64
+	slowdown          float64
+	slowFrom          time.Duration
+	slowUntil         time.Duration
+	duration          time.Duration
 }
 
 const (
-	workTime   = 47 * time.Millisecond
-	tellPeriod = 250 * time.Millisecond
-	tellsHosts = 3
+	serviceTime    = 47 * time.Millisecond
+	reportInterval = 250 * time.Millisecond
+	reportFanout   = 3
 )
 
 // ranker is a way to place requests. rank is less for a better target.
 type ranker interface {
 	rank(host, target int) float64
-	placed(host, target int)
-	answered(host, target int, underWay int, took time.Duration, now timekeeper.Instant)
-	tell(from, to int, now timekeeper.Instant)
+	onPlaced(host, target int)
+	onResponse(host, target int, inFlight int, elapsed time.Duration, now timekeeper.Instant)
+	report(from, to int, now timekeeper.Instant)
 }
 
-type arrival struct {
+type event struct {
 	at           timekeeper.Instant
 	host, target int
-	began        timekeeper.Instant
-	underWay     int
-	// work is 0 for the arrival of a request, else its answer.
-	work time.Duration
+	startedAt    timekeeper.Instant
+	inFlight     int
+	// service is 0 for the arrival of a request, else its answer.
+	serviceTime time.Duration
 }
 
-type arrivals []arrival
+type eventQueue []event
 
-func (a arrivals) Len() int           { return len(a) }
-func (a arrivals) Less(i, j int) bool { return a[i].at < a[j].at }
-func (a arrivals) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *arrivals) Push(x any)        { *a = append(*a, x.(arrival)) }
-func (a *arrivals) Pop() any {
+func (a eventQueue) Len() int           { return len(a) }
+func (a eventQueue) Less(i, j int) bool { return a[i].at < a[j].at }
+func (a eventQueue) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
+func (a *eventQueue) Push(x any)        { *a = append(*a, x.(event)) }
+func (a *eventQueue) Pop() any {
 	last := (*a)[len(*a)-1]
 	*a = (*a)[:len(*a)-1]
 	return last
 }
 
-// outcome is what callers saw while targets were slow, and how work was spread.
-type outcome struct {
-	times []time.Duration
-	// slow and quick count the requests that went to slow and quick targets while some
+// result is what callers saw while targets were slow, and how work was spread.
+type result struct {
+	latencies []time.Duration
+	// slowRequests and quick count the requests that went to slow and quick targets while some
 	// were slow, back those that the slow ones got from two seconds after that.
-	slow, quick int
-	back, all   int
+	slowRequests, fastRequests               int
+	recoveredRequests, requestsAfterRecovery int
 }
 
-func (o *outcome) quantile(q float64) time.Duration {
-	slices.Sort(o.times)
-	return o.times[int(q*float64(len(o.times)-1))]
+func (o *result) quantile(q float64) time.Duration {
+	slices.Sort(o.latencies)
+	return o.latencies[int(q*float64(len(o.latencies)-1))]
 }
 
-// play lets requests come. counts is the view of requests under way that rankers share.
-func (l zoneLoad) play(make func(l zoneLoad, counts *counts, random *rand.Rand) ranker) outcome {
+// simulate lets requests come. counts is the view of requests under way that rankers share.
+func (l scenario) simulate(newRanker func(l scenario, counts *inFlightCounts, random *rand.Rand) ranker) result {
 	random := rand.New(rand.NewPCG(7, 7))
-	c := newCounts(l.hosts, l.targets)
-	r := make(l, c, random)
-	free := slotsOf(l.targets, l.slots)
-	var o outcome
-	queue := &arrivals{}
-	rate := l.perSecond * float64(l.targets)
-	heap.Push(queue, arrival{at: 1})
-	// Hosts tell others in turn, each once in a tellPeriod.
-	pause := tellPeriod / time.Duration(l.hosts)
-	nextTick := timekeeper.Instant(pause)
-	turn := 0
+	c := newInFlightCounts(l.hosts, l.targets)
+	r := newRanker(l, c, random)
+	slotFreeAt := newSlots(l.targets, l.slots)
+	var o result
+	queue := &eventQueue{}
+	rate := l.requestsPerSecond * float64(l.targets)
+	heap.Push(queue, event{at: 1})
+	// Hosts tell others in turn, each once in a reportInterval.
+	tickInterval := reportInterval / time.Duration(l.hosts)
+	nextTick := timekeeper.Instant(tickInterval)
+	reporter := 0
 	order := random.Perm(l.targets)
 	for queue.Len() > 0 {
-		e := heap.Pop(queue).(arrival)
+		e := heap.Pop(queue).(event)
 		for e.at >= nextTick {
-			for range min(tellsHosts, l.hosts-1) {
+			for range min(reportFanout, l.hosts-1) {
 				to := random.IntN(l.hosts)
-				c.tell(turn, to, nextTick)
-				r.tell(turn, to, nextTick)
+				c.report(reporter, to, nextTick)
+				r.report(reporter, to, nextTick)
 			}
-			c.forget(turn, nextTick)
-			turn = (turn + 1) % l.hosts
-			nextTick = nextTick.Add(pause)
+			c.expire(reporter, nextTick)
+			reporter = (reporter + 1) % l.hosts
+			nextTick = nextTick.Add(tickInterval)
 		}
-		if e.work > 0 {
-			c.own[e.host][e.target]--
-			r.answered(e.host, e.target, e.underWay, e.at.Since(e.began), e.at)
-			if began := time.Duration(e.began); began > l.slowFrom+500*time.Millisecond && began < l.slowUntil {
-				o.times = append(o.times, e.at.Since(e.began))
+		if e.serviceTime > 0 {
+			c.local[e.host][e.target]--
+			r.onResponse(e.host, e.target, e.inFlight, e.at.Since(e.startedAt), e.at)
+			if began := time.Duration(e.startedAt); began > l.slowFrom+500*time.Millisecond && began < l.slowUntil {
+				o.latencies = append(o.latencies, e.at.Since(e.startedAt))
 			}
 			continue
 		}
-		if time.Duration(e.at) < l.length {
-			heap.Push(queue, arrival{at: e.at.Add(time.Duration(random.ExpFloat64() / rate * float64(time.Second)))})
+		if time.Duration(e.at) < l.duration {
+			heap.Push(queue, event{at: e.at.Add(time.Duration(random.ExpFloat64() / rate * float64(time.Second)))})
 		}
 		host := random.IntN(l.hosts)
 		best := -1
@@ -124,45 +124,45 @@
 				best, least = t, rank
 			}
 		}
-		r.placed(host, best)
+		r.onPlaced(host, best)
 		slowNow := time.Duration(e.at) >= l.slowFrom && time.Duration(e.at) < l.slowUntil
-		work := time.Duration(float64(workTime) * math.Exp(0.47*random.NormFloat64()))
+		service := time.Duration(float64(serviceTime) * math.Exp(0.47*random.NormFloat64()))
 		if slowNow && best%2 == 0 {
-			work = time.Duration(float64(work) * l.slowTimes)
+			service = time.Duration(float64(service) * l.slowdown)
 		}
-		o.note(l, e.at, best)
+		o.count(l, e.at, best)
 		slot := 0
-		for i, at := range free[best] {
-			if at < free[best][slot] {
+		for i, at := range slotFreeAt[best] {
+			if at < slotFreeAt[best][slot] {
 				slot = i
 			}
 		}
-		underWay := c.seen(host, best)
-		c.own[host][best]++
-		free[best][slot] = max(free[best][slot], e.at).Add(work)
-		heap.Push(queue, arrival{at: free[best][slot], host: host, target: best, began: e.at, underWay: underWay, work: work})
+		underWay := c.total(host, best)
+		c.local[host][best]++
+		slotFreeAt[best][slot] = max(slotFreeAt[best][slot], e.at).Add(service)
+		heap.Push(queue, event{at: slotFreeAt[best][slot], host: host, target: best, startedAt: e.at, inFlight: underWay, serviceTime: service})
 	}
 	return o
 }
 
-func (o *outcome) note(l zoneLoad, at timekeeper.Instant, target int) {
+func (o *result) count(l scenario, at timekeeper.Instant, target int) {
 	switch begun := time.Duration(at); {
 	case begun >= l.slowFrom+time.Second && begun < l.slowUntil:
 		if target%2 == 0 {
-			o.slow++
+			o.slowRequests++
 		} else {
-			o.quick++
+			o.fastRequests++
 		}
 	case begun >= l.slowUntil+2*time.Second:
-		o.all++
+		o.requestsAfterRecovery++
 		if target%2 == 0 {
-			o.back++
+			o.recoveredRequests++
 		}
 	}
 }
 
-// slotsOf is when each slot of each target is free.
-func slotsOf(n, slots int) [][]timekeeper.Instant {
+// newSlots is when each slot of each target is free.
+func newSlots(n, slots int) [][]timekeeper.Instant {
 	all := make([][]timekeeper.Instant, n)
 	for i := range all {
 		all[i] = make([]timekeeper.Instant, slots)
@@ -170,88 +170,90 @@
 	return all
 }
 
-// counts is what each host knows of requests under way: its own, and what others told
+// inFlightCounts is what each host knows of requests under way: its own, and what others told
 // it of late.
-type counts struct {
-	own    [][]int
-	others [][]int
-	told   []map[int]toldCounts
+type inFlightCounts struct {
+	local    [][]int
+	remote   [][]int
+	reported []map[int]reportedCounts
 }
 
-type toldCounts struct {
+type reportedCounts struct {
 	at     timekeeper.Instant
 	counts []int
 }
 
-func newCounts(hosts, targets int) *counts {
-	c := &counts{}
+func newInFlightCounts(hosts, targets int) *inFlightCounts {
+	c := &inFlightCounts{}
 	for range hosts {
-		c.own = append(c.own, make([]int, targets))
-		c.others = append(c.others, make([]int, targets))
-		c.told = append(c.told, map[int]toldCounts{})
+		c.local = append(c.local, make([]int, targets))
+		c.remote = append(c.remote, make([]int, targets))
+		c.reported = append(c.reported, map[int]reportedCounts{})
 	}
 	return c
 }
 
-// countMemory is how long counts that were told hold.
-const countMemory = 600 * time.Millisecond
+// countTTL is how long counts that were told hold.
+const countTTL = 600 * time.Millisecond
 
-// tell lets one host tell another its counts.
-func (c *counts) tell(from, to int, now timekeeper.Instant) {
+// report lets one host tell another its counts.
+func (c *inFlightCounts) report(from, to int, now timekeeper.Instant) {
 	if from == to {
 		return
 	}
 	c.drop(from, to)
-	c.told[to][from] = toldCounts{now, slices.Clone(c.own[from])}
-	for t, n := range c.own[from] {
-		c.others[to][t] += n
+	c.reported[to][from] = reportedCounts{now, slices.Clone(c.local[from])}
+	for t, n := range c.local[from] {
+		c.remote[to][t] += n
 	}
 }
 
-func (c *counts) drop(from, to int) {
-	for t, n := range c.told[to][from].counts {
-		c.others[to][t] -= n
+func (c *inFlightCounts) drop(from, to int) {
+	for t, n := range c.reported[to][from].counts {
+		c.remote[to][t] -= n
 	}
-	delete(c.told[to], from)
+	delete(c.reported[to], from)
 }
 
-// forget drops what a host was told too long ago.
-func (c *counts) forget(host int, now timekeeper.Instant) {
-	for from, one := range c.told[host] {
-		if now.Since(one.at) > countMemory {
+// expire drops what a host was told too long ago.
+func (c *inFlightCounts) expire(host int, now timekeeper.Instant) {
+	for from, one := range c.reported[host] {
+		if now.Since(one.at) > countTTL {
 			c.drop(from, host)
 		}
 	}
 }
 
-func (c *counts) seen(host, target int) int { return c.own[host][target] + c.others[host][target] }
+func (c *inFlightCounts) total(host, target int) int {
+	return c.local[host][target] + c.remote[host][target]
+}
 
-func (c *counts) perSlot(host, target, slots int) float64 {
-	return float64(c.seen(host, target)) / float64(slots)
+func (c *inFlightCounts) perSlot(host, target, slots int) float64 {
+	return float64(c.total(host, target)) / float64(slots)
 }
 
-// byCounts places by requests under way.
-type byCounts struct {
-	*counts
+// leastRequests places by requests under way.
+type leastRequests struct {
+	*inFlightCounts
 	slots int
 }
 
-func (r *byCounts) rank(h, t int) float64                                     { return r.perSlot(h, t, r.slots) }
-func (r *byCounts) placed(int, int)                                           {}
-func (r *byCounts) answered(int, int, int, time.Duration, timekeeper.Instant) {}
-func (r *byCounts) tell(int, int, timekeeper.Instant)                         {}
+func (r *leastRequests) rank(h, t int) float64                                       { return r.perSlot(h, t, r.slots) }
+func (r *leastRequests) onPlaced(int, int)                                           {}
+func (r *leastRequests) onResponse(int, int, int, time.Duration, timekeeper.Instant) {}
+func (r *leastRequests) report(int, int, timekeeper.Instant)                         {}
 
-// latencies is each host's own moving mean of answer times.
-type latencies struct {
-	byCounts
+// latencyEWMA is each host's own moving mean of answer times.
+type latencyEWMA struct {
+	leastRequests
 	mean [][]float64
 	last [][]timekeeper.Instant
-	// peak lets a time above the mean replace it.
-	peak bool
+	// trackPeaks lets a time above the mean replace it.
+	trackPeaks bool
 }
 
-func newLatencies(l zoneLoad, c *counts, peak bool) *latencies {
-	r := &latencies{byCounts: byCounts{c, l.slots}, peak: peak}
+func newLatencyEWMA(l scenario, c *inFlightCounts, peak bool) *latencyEWMA {
+	r := &latencyEWMA{leastRequests: leastRequests{c, l.slots}, trackPeaks: peak}
 	for range l.hosts {
 		r.mean = append(r.mean, make([]float64, l.targets))
 		r.last = append(r.last, make([]timekeeper.Instant, l.targets))
@@ -259,125 +261,125 @@
 	return r
 }
 
-func (r *latencies) answered(h, t, _ int, took time.Duration, now timekeeper.Instant) {
+func (r *latencyEWMA) onResponse(h, t, _ int, elapsed time.Duration, now timekeeper.Instant) {
 	mean := &r.mean[h][t]
 	kept := math.Exp(-now.Since(r.last[h][t]).Seconds())
 	r.last[h][t] = now
-	if *mean == 0 || r.peak && took.Seconds() > *mean {
-		*mean = took.Seconds()
+	if *mean == 0 || r.trackPeaks && elapsed.Seconds() > *mean {
+		*mean = elapsed.Seconds()
 		return
 	}
-	*mean = kept**mean + (1-kept)*took.Seconds()
+	*mean = kept**mean + (1-kept)*elapsed.Seconds()
 }
 
 // peakEWMA is the mean that follows peaks at once, times a host's own requests.
-type peakEWMA struct{ *latencies }
+type peakEWMA struct{ *latencyEWMA }
 
-func (r peakEWMA) rank(h, t int) float64 { return r.mean[h][t] * float64(r.own[h][t]+1) }
+func (r peakEWMA) rank(h, t int) float64 { return r.mean[h][t] * float64(r.local[h][t]+1) }
 
 // c3 is the time of an answer and the cube of the queue, times the time of work.
 type c3 struct {
-	*latencies
+	*latencyEWMA
 	hosts int
 }
 
 func (r c3) rank(h, t int) float64 {
 	service := r.mean[h][t] / float64(r.slots)
-	q := 1 + float64(r.own[h][t]*r.hosts) + float64(r.others[h][t])
+	q := 1 + float64(r.local[h][t]*r.hosts) + float64(r.remote[h][t])
 	return r.mean[h][t] - service + q*q*q*service
 }
 
 // prequal takes the quickest of a few targets that are not among the busiest quarter.
 type prequal struct {
-	*latencies
-	random *rand.Rand
-	chosen map[int]bool
-	hot    float64
+	*latencyEWMA
+	random       *rand.Rand
+	sampled      map[int]bool
+	hotThreshold float64
 }
 
 func (r *prequal) rank(h, t int) float64 {
-	if len(r.chosen) == 0 {
+	if len(r.sampled) == 0 {
 		var loads []float64
-		for other := range r.own[h] {
+		for other := range r.local[h] {
 			loads = append(loads, r.perSlot(h, other, r.slots))
 		}
 		slices.Sort(loads)
-		r.hot = loads[len(loads)*3/4]
-		for _, one := range r.random.Perm(len(r.own[h]))[:3] {
-			r.chosen[one] = true
+		r.hotThreshold = loads[len(loads)*3/4]
+		for _, one := range r.random.Perm(len(r.local[h]))[:3] {
+			r.sampled[one] = true
 		}
 	}
 	load := r.perSlot(h, t, r.slots)
 	switch {
-	case !r.chosen[t]:
+	case !r.sampled[t]:
 		return math.Inf(1)
-	case load > r.hot:
+	case load > r.hotThreshold:
 		return 1000 + load
 	}
 	return r.mean[h][t]
 }
 
-func (r *prequal) placed(int, int) { clear(r.chosen) }
+func (r *prequal) onPlaced(int, int) { clear(r.sampled) }
 
-// estimates is what this package does.
-type estimates struct {
-	byCounts
-	targets [][]estimator.Target
-	zones   []estimator.Zone
-	trials  []estimator.Trials
-	trial   bool
-	now     timekeeper.Instant
-	random  *rand.Rand
+// slowdownRanker is what this package does.
+type slowdownRanker struct {
+	leastRequests
+	targets      [][]estimator.Target
+	zones        []estimator.Zone
+	trials       []estimator.TrialLimiter
+	trialAllowed bool
+	now          timekeeper.Instant
+	random       *rand.Rand
 }
 
-func newEstimates(l zoneLoad, c *counts, random *rand.Rand) *estimates {
-	r := &estimates{byCounts: byCounts{c, l.slots}, zones: make([]estimator.Zone, l.hosts), trials: make([]estimator.Trials, l.hosts), random: random}
+func newSlowdownRanker(l scenario, c *inFlightCounts, random *rand.Rand) *slowdownRanker {
+	r := &slowdownRanker{leastRequests: leastRequests{c, l.slots}, zones: make([]estimator.Zone, l.hosts), trials: make([]estimator.TrialLimiter, l.hosts), random: random}
 	for range l.hosts {
 		r.targets = append(r.targets, make([]estimator.Target, l.targets))
 	}
 	return r
 }
 
-func (r *estimates) rank(h, t int) float64 {
+func (r *slowdownRanker) rank(h, t int) float64 {
 	one := &r.targets[h][t]
-	if r.trial && one.TrialDue(r.now) {
+	if r.trialAllowed && one.TrialDue(r.now) {
 		return -1
 	}
-	return estimator.Factor(one.Slowness()) * (1 + r.perSlot(h, t, r.slots))
+	return estimator.Slowdown(one.LogSlowdown()) * (1 + r.perSlot(h, t, r.slots))
 }
 
-func (r *estimates) placed(h, t int) {
-	if one := &r.targets[h][t]; r.trial && one.TrialDue(r.now) {
-		one.SetTrial(len(r.targets), r.random.Float64(), r.now)
+func (r *slowdownRanker) onPlaced(h, t int) {
+	if one := &r.targets[h][t]; r.trialAllowed && one.TrialDue(r.now) {
+		one.ScheduleTrial(len(r.targets), r.random.Float64(), r.now)
 	}
-	r.trial = r.trials[h].Next()
+	r.trialAllowed = r.trials[h].Allow()
 }
 
-func (r *estimates) answered(h, t, underWay int, took time.Duration, now timekeeper.Instant) {
+func (r *slowdownRanker) onResponse(h, t, inFlight int, elapsed time.Duration, now timekeeper.Instant) {
 	r.now = now
-	excess := estimator.Excess(took, workTime, estimator.Wait(underWay, r.slots))
+	logSlowdown := estimator.LogSlowdown(elapsed, serviceTime, estimator.QueueingFactor(inFlight, r.slots))
 	one := &r.targets[h][t]
-	one.Observe(r.zones[h].Observe(excess, now), now)
+	one.Observe(r.zones[h].Observe(logSlowdown, now), now)
 	r.refresh(one)
 }
 
-func (r *estimates) refresh(one *estimator.Target) {
+func (r *slowdownRanker) refresh(one *estimator.Target) {
 	if one.Refresh(r.now) && one.Slow() {
-		one.SetTrial(len(r.targets), r.random.Float64(), r.now)
+		one.ScheduleTrial(len(r.targets), r.random.Float64(), r.now)
 	}
 }
 
-// tell lets one host tell another how fast targets are, and grow older itself.
-func (r *estimates) tell(from, to int, now timekeeper.Instant) {
+// report lets one host tell another how fast targets are, and grow older itself.
+func (r *slowdownRanker) report(from, to int, now timekeeper.Instant) {
 	r.now = now
-	told := 0
+	reported := 0
 	start := r.random.IntN(len(r.targets[from]))
 	for i := range r.targets[from] {
 		t := (start + i) % len(r.targets[from])
-		if p, ok := r.targets[from][t].Tell(now); ok && told < 32 && from != to {
-			r.targets[to][t].Told(fmt.Sprint(from), p, now)
+		if p, ok := r.targets[from][t].Report(now); ok && reported < 32 && from != to {
+			r.targets[to][t].ApplyReport(fmt.Sprint(from), p, now)
 			r.refresh(&r.targets[to][t])
-			told++
+			reported++
 		}
 		r.refresh(&r.targets[from][t])
 	}
@@ -385,38 +387,40 @@
 
 // halfSlow is 20 targets of which each second one takes five times as long for four
 // seconds. Two thirds of what all can do then are asked for.
-func halfSlow(hosts int) zoneLoad {
-	return zoneLoad{
-		hosts: hosts, targets: 20, slots: hosts/8 + 1, perSecond: float64(hosts), slowTimes: 5,
-		slowFrom: 2 * time.Second, slowUntil: 6 * time.Second, length: 11 * time.Second,
+func halfSlow(hosts int) scenario {
+	return scenario{
+		hosts: hosts, targets: 20, slots: hosts/8 + 1, requestsPerSecond: float64(hosts), slowdown: 5,
+		slowFrom: 2 * time.Second, slowUntil: 6 * time.Second, duration: 11 * time.Second,
 	}
 }
 
 // Symptom: callers wait at targets that take five times as long, while others idle.
 // Sequence: half of the targets of a zone turn slow; each host meets each of them once a
 // second. Cause: a target that does a fifth of the work gets half of it.
-func TestSlowHalfGetsWhatItCanDo(t *testing.T) {
-	ways := []struct {
+func TestSlowTargetsGetLoadByTheirCapacity(t *testing.T) {
+	strategies := []struct {
 		name string
-		make func(zoneLoad, *counts, *rand.Rand) ranker
+		make func(scenario, *inFlightCounts, *rand.Rand) ranker
 	}{
-		{"requests under way", func(l zoneLoad, c *counts, _ *rand.Rand) ranker { return &byCounts{c, l.slots} }},
-		{"peak EWMA", func(l zoneLoad, c *counts, _ *rand.Rand) ranker { return peakEWMA{newLatencies(l, c, true)} }},
-		{"cubic queue", func(l zoneLoad, c *counts, _ *rand.Rand) ranker { return c3{newLatencies(l, c, false), l.hosts} }},
-		{"hot and cold", func(l zoneLoad, c *counts, random *rand.Rand) ranker {
-			return &prequal{latencies: newLatencies(l, c, false), random: random, chosen: map[int]bool{}}
+		{"requests under way", func(l scenario, c *inFlightCounts, _ *rand.Rand) ranker { return &leastRequests{c, l.slots} }},
+		{"peak EWMA", func(l scenario, c *inFlightCounts, _ *rand.Rand) ranker { return peakEWMA{newLatencyEWMA(l, c, true)} }},
+		{"cubic queue", func(l scenario, c *inFlightCounts, _ *rand.Rand) ranker {
+			return c3{newLatencyEWMA(l, c, false), l.hosts}
+		}},
+		{"hot and cold", func(l scenario, c *inFlightCounts, random *rand.Rand) ranker {
+			return &prequal{latencyEWMA: newLatencyEWMA(l, c, false), random: random, sampled: map[int]bool{}}
 		}},
-		{"estimate times queue", func(l zoneLoad, c *counts, random *rand.Rand) ranker { return newEstimates(l, c, random) }},
+		{"estimate times queue", func(l scenario, c *inFlightCounts, random *rand.Rand) ranker { return newSlowdownRanker(l, c, random) }},
 	}
 	for _, hosts := range []int{35, 300} {
 		l := halfSlow(hosts)
-		for _, way := range ways {
-			o := l.play(way.make)
-			share := float64(o.slow) / float64(o.quick)
-			back := float64(o.back) / float64(o.all)
+		for _, strategy := range strategies {
+			o := l.simulate(strategy.make)
+			share := float64(o.slowRequests) / float64(o.fastRequests)
+			back := float64(o.recoveredRequests) / float64(o.requestsAfterRecovery)
 			t.Logf("%d hosts, %s: median %v, 99%% %v, a slow target gets %.2f of what a quick one gets, %.2f of all two seconds after it is quick again",
-				hosts, way.name, o.quantile(0.5).Round(time.Millisecond), o.quantile(0.99).Round(time.Millisecond), share, back)
-			if way.name != "estimate times queue" {
+				hosts, strategy.name, o.quantile(0.5).Round(time.Millisecond), o.quantile(0.99).Round(time.Millisecond), share, back)
+			if strategy.name != "estimate times queue" {
 				continue
 			}
 			require.Less(t, share, 0.25)
@@ -429,11 +433,11 @@
 // Symptom: all of the work goes to the quick half, which then is as late as the slow one.
 // Sequence: half of the targets turn slow, and callers ask for a little more than both
 // halves together can do. Cause: targets that are slow get nothing but trials.
-func TestSlowHalfHelpsWhenTheQuickIsFull(t *testing.T) {
+func TestSlowTargetsTakeOverflowWhenFastOnesAreSaturated(t *testing.T) {
 	l := halfSlow(35)
-	l.perSecond *= 1.7
-	o := l.play(func(l zoneLoad, c *counts, random *rand.Rand) ranker { return newEstimates(l, c, random) })
-	share := float64(o.slow) / float64(o.quick)
+	l.requestsPerSecond *= 1.7
+	o := l.simulate(func(l scenario, c *inFlightCounts, random *rand.Rand) ranker { return newSlowdownRanker(l, c, random) })
+	share := float64(o.slowRequests) / float64(o.fastRequests)
 	t.Logf("a slow target gets %.2f of what a quick one gets, median %v, 99%% %v", share, o.quantile(0.5), o.quantile(0.99))
 	require.InDelta(t, 0.2, share, 0.08)
 }
--- a/core/estimator/reports.go
+++ b/core/estimator/reports.go
@@ -2,19 +2,19 @@
 
 import "cranberryspan.dev/core/timekeeper"
 
-// quickReports are the latest reports of different hosts that a target's answers come too
-// quickly. More than enoughTooQuick say no more; all of them would be memory that grows with
+// fastFailureReports are the latest reports of different hosts that a target's answers come too
+// quickly. More than fastFailureThreshold say no more; all of them would be memory that grows with
 // hosts times targets.
-type quickReports [enoughTooQuick]quickReport
+type fastFailureReports [fastFailureThreshold]fastFailureReport
 
-// quickReport is which host reported it, and until when that counts.
-type quickReport struct {
+// fastFailureReport is which host reported it, and until when that counts.
+type fastFailureReport struct {
 	host     string
 	deadline timekeeper.Instant
 }
 
 // add takes in a host's report, in the place of its last one or of the oldest.
-func (r *quickReports) add(host string, deadline timekeeper.Instant) {
+func (r *fastFailureReports) add(host string, deadline timekeeper.Instant) {
 	oldest := 0
 	for i := range r {
 		if r[i].host == host {
@@ -25,11 +25,11 @@
 			oldest = i
 		}
 	}
-	r[oldest] = quickReport{host, deadline}
+	r[oldest] = fastFailureReport{host, deadline}
 }
 
 // count is how many hosts' reports still count.
-func (r *quickReports) count(now timekeeper.Instant) int {
+func (r *fastFailureReports) count(now timekeeper.Instant) int {
 	count := 0
 	for i := range r {
 		if r[i].host != "" && !r[i].deadline.Passed(now) {
--- a/core/steerer/choosing.go
+++ b/core/steerer/choosing.go
@@ -200,8 +200,8 @@
 	if s.cold(t) {
 		load = (load + 1/float64(max(t.Slots, 1))) * warmingLoad
 	}
-	if slowness := view.slowness + t.pace.Slowness(); slowness > 0 {
-		load += min((estimator.Factor(slowness)-1)*(1+load), maxSlowLoad)
+	if slowness := view.slowness + t.pace.LogSlowdown(); slowness > 0 {
+		load += min((estimator.Slowdown(slowness)-1)*(1+load), maxSlowLoad)
 	}
 	if s.failsWork(t) {
 		load += failsWorkLoad
--- a/core/steerer/estimating.go
+++ b/core/steerer/estimating.go
@@ -68,7 +68,7 @@
 // multiple of the usual; 0 if nothing is known.
 func (s *Steerer) zoneExcess(service, zone string) float64 {
 	if z, ok := s.estimating.zones[serviceZone{service, zone}]; ok {
-		return z.Excess()
+		return z.LogSlowdown()
 	}
 	return 0
 }
@@ -76,14 +76,14 @@
 // slowness is how much longer a target takes for a request than is usual: 1 is usual,
 // 2 twice as long.
 func (s *Steerer) slowness(t *target) float64 {
-	return estimator.Factor(s.zoneExcess(t.Service, t.AvailabilityZone) + t.pace.Slowness())
+	return estimator.Slowdown(s.zoneExcess(t.Service, t.AvailabilityZone) + t.pace.LogSlowdown())
 }
 
 // slownessBesideSiblings is how much longer a target takes than the others of its zone,
 // 1 at the least. Unlike slowness it leaves out what all of them have in common: in a crowd
 // that is waiting, which takes nothing of what they can do.
 func (t *target) slownessBesideSiblings() float64 {
-	return estimator.Factor(max(t.pace.Slowness(), 0))
+	return estimator.Slowdown(max(t.pace.LogSlowdown(), 0))
 }
 
 // expectAnswer notes when the answer to a request that begins is expected.
@@ -97,7 +97,7 @@
 	if !ok || !u.known() {
 		return
 	}
-	f.expected = time.Duration(float64(u.sent.median) * estimator.Wait(f.target.underWay(), f.target.Slots))
+	f.expected = time.Duration(float64(u.sent.median) * estimator.QueueingFactor(f.target.underWay(), f.target.Slots))
 	s.estimating.overdue = append(s.estimating.overdue, flowCheck{key: key, since: s.now, deadline: f.overdueFrom()})
 }
 
@@ -147,10 +147,10 @@
 		return
 	}
 	z := s.speedZone(t.Service, t.AvailabilityZone)
-	excess := estimator.Excess(took, f.expected, 1)
+	excess := estimator.LogSlowdown(took, f.expected, 1)
 	if f.assumed != 0 {
-		z.Correct(f.assumed, excess, s.now)
-		t.pace.Correct(f.assumed-z.Excess(), excess-z.Excess(), s.now)
+		z.ReplaceSample(f.assumed, excess, s.now)
+		t.pace.ReplaceSample(f.assumed-z.LogSlowdown(), excess-z.LogSlowdown(), s.now)
 	} else {
 		t.pace.Observe(z.Observe(excess, s.now), s.now)
 	}
@@ -173,11 +173,11 @@
 	if t.pace.Slow() {
 		event = "targetSlow"
 		s.counts.add(TargetSlow)
-		t.pace.SetTrial(s.hostsInZone(), s.random.Float64(), s.now)
+		t.pace.ScheduleTrial(s.hostsInZone(), s.random.Float64(), s.now)
 	}
 	all, own := t.pace.Samples()
 	s.log(event, field("target", t.ID), field("service", t.Service), field("zone", t.AvailabilityZone),
-		field("times", fmt.Sprintf("%.2f", estimator.Factor(t.pace.Excess()))), field("samples", fmt.Sprintf("%.1f", all)),
+		field("times", fmt.Sprintf("%.2f", estimator.Slowdown(t.pace.MeanLogSlowdown()))), field("samples", fmt.Sprintf("%.1f", all)),
 		field("own", fmt.Sprintf("%.1f", own)), field("cause", cause))
 }
 
@@ -186,12 +186,12 @@
 	s.checkOverdue()
 	maps.DeleteFunc(s.estimating.zones, func(_ serviceZone, z *estimator.Zone) bool {
 		z.Refresh(s.now)
-		return z.Idle()
+		return z.NoData()
 	})
 	kept := s.estimating.active[:0]
 	for _, t := range s.estimating.active {
 		s.refreshSpeed(t, "age")
-		if t.pace.Idle() {
+		if t.pace.NoData() {
 			t.estimated = false
 			continue
 		}
@@ -213,7 +213,7 @@
 // Nothing is tried while requests of the service wait here: some may wait for the slow
 // target, and the new flow would be refused on their account though quick targets idle.
 func (s *Steerer) trial(c choice, views []zoneView, crowd *crowd) *target {
-	if c.avoid != nil || s.service(c.service).paced > 0 || !s.service(c.service).trials.Next() {
+	if c.avoid != nil || s.service(c.service).paced > 0 || !s.service(c.service).trials.Allow() {
 		return nil
 	}
 	var due *target
@@ -224,12 +224,12 @@
 		if _, room := s.connectionLoad(t, crowd); !room {
 			continue
 		}
-		if due == nil || t.pace.Trial() < due.pace.Trial() {
+		if due == nil || t.pace.NextTrial() < due.pace.NextTrial() {
 			due = t
 		}
 	}
 	if due != nil {
-		due.pace.SetTrial(s.hostsInZone(), s.random.Float64(), s.now)
+		due.pace.ScheduleTrial(s.hostsInZone(), s.random.Float64(), s.now)
 		s.counts.add(TrialFlow)
 		return due
 	}
@@ -301,7 +301,7 @@
 	}
 	for _, name := range s.targets.zones {
 		other, ok := s.estimating.zones[serviceZone{t.Service, name}]
-		if ok && other.Known() && other.Excess()+slowZone < excess {
+		if ok && other.HasEnoughSamples() && other.LogSlowdown()+slowZone < excess {
 			return true
 		}
 	}
@@ -312,26 +312,26 @@
 // pressed service say nothing of that: full targets refuse at once, and work that goes
 // elsewhere for it fills the next.
 func (s *Steerer) failsWork(t *target) bool {
-	return t.failures.Enough(s.now) && !s.pressed(t.Service)
+	return t.failures.ThresholdReached(s.now) && !s.pressed(t.Service)
 }
 
 // takeTooQuick takes in which targets another host of the zone saw answer too quickly.
 func (s *Steerer) takeTooQuick(from *peer, tags []uint32) {
 	for _, tag := range tags {
 		if t, ok := s.told(from, tag); ok {
-			t.failures.Told(from.name, s.now)
+			t.failures.ApplyReport(from.name, s.now)
 		}
 	}
 }
 
 // tooQuickOfLate reports whether this host saw a target answer too quickly of late.
-func (s *Steerer) tooQuickOfLate(t *target) bool { return t.failures.Recent(s.now) }
+func (s *Steerer) tooQuickOfLate(t *target) bool { return t.failures.SeenRecently(s.now) }
 
 // takePaces takes in how fast another host of the zone finds targets.
 func (s *Steerer) takePaces(from *peer, paces []messenger.TargetSlowdown) {
 	for _, p := range paces[:min(len(paces), maxPaces)] {
 		if t, ok := s.told(from, p.Tag); ok {
-			t.pace.Told(from.name, estimator.Pace{SlownessEighths: p.LogSlowdownEighths, Samples: p.Samples}, s.now)
+			t.pace.ApplyReport(from.name, estimator.SlowdownReport{LogSlowdownEighths: p.LogSlowdownEighths, Samples: p.Samples}, s.now)
 			s.refreshSpeed(t, from.name)
 		}
 	}
@@ -353,8 +353,8 @@
 	for at < len(active) && len(paces) < maxPaces {
 		t := active[(s.estimating.turn+at)%len(active)]
 		at++
-		if p, ok := t.pace.Tell(s.now); ok {
-			paces = append(paces, messenger.TargetSlowdown{Tag: uint32(t.tag), LogSlowdownEighths: p.SlownessEighths, Samples: p.Samples})
+		if p, ok := t.pace.Report(s.now); ok {
+			paces = append(paces, messenger.TargetSlowdown{Tag: uint32(t.tag), LogSlowdownEighths: p.LogSlowdownEighths, Samples: p.Samples})
 		}
 	}
 	if len(active) > 0 {
--- a/core/steerer/life.go
+++ b/core/steerer/life.go
@@ -41,7 +41,7 @@
 	t.foundFullAt = 0
 	s.connections.limiter.Forget(uint32(t.tag))
 	t.toldSilentDeadline = 0
-	t.failures = estimator.Failures{}
+	t.failures = estimator.FastFailures{}
 	t.pace = estimator.Target{}
 	for _, p := range s.peers.loaded {
 		delete(p.busy, uint32(t.tag))
--- a/core/steerer/load.go
+++ b/core/steerer/load.go
@@ -29,7 +29,7 @@
 	// wait.
 	underWay int
 	paced    int
-	trials   estimator.Trials
+	trials   estimator.TrialLimiter
 	// lines are the targets at which requests wait, in the order in which the first
 	// of them came.
 	lines []*target
--- a/core/steerer/sampling.go
+++ b/core/steerer/sampling.go
@@ -51,7 +51,7 @@
 func (v *zoneView) idleLoad() float64 {
 	load := v.load()
 	if v.slowness > 0 {
-		load += min(estimator.Factor(v.slowness)-1, maxSlowLoad)
+		load += min(estimator.Slowdown(v.slowness)-1, maxSlowLoad)
 	}
 	return load
 }
--- a/core/steerer/target.go
+++ b/core/steerer/target.go
@@ -129,7 +129,7 @@
 	// pace is how fast the target is, failures are its answers that came too quickly for
 	// work. estimated says that the target is among the estimating ones.
 	pace      estimator.Target
-	failures  estimator.Failures
+	failures  estimator.FastFailures
 	estimated bool
 }
 
--- a/core/steerer/usual.go
+++ b/core/steerer/usual.go
@@ -37,7 +37,7 @@
 
 // tooQuick reports whether no work can have been done in a time.
 func (u *usualTime) tooQuick(took time.Duration) bool {
-	return u.known() && estimator.TooQuick(took, u.median)
+	return u.known() && estimator.ImplausiblyFast(took, u.median)
 }
 
 // add takes in a time. One that came while targets were full or slow says less of what is
--- a/scripts/red.sh
+++ b/scripts/red.sh
@@ -274,18 +274,18 @@
 without "reads of all that a restore has undone" steerer/restoring.go 's.reading.targets.urgent = true' '_ = s' TestRestoreFoundByOneReadHasTheOtherFollow
 without "versions that never go back" steerer/reading.go 'if s.settings != nil && settings.Version <= s.settings.Version {' 'if false {' TestPublishedVersionNeverGoesBack
 package=estimator
-without "the wait for what is under way" estimator/estimator.go 'max(float64(underWay+1-slots), 0)/float64(slots)' '0*float64(underWay+1-slots)/float64(slots)' TestQueueIsNoSlowness
-without "samples that hold back" estimator/estimator.go 'priorSamples     = 4.0' 'priorSamples     = 0.0' TestChanceDoesNotMakeTargetsSlow
-without "what was told before" estimator/target.go 't.all.remove(before, now)' '_ = before' TestWhatIsToldAgainCountsOnce
-without "word of the zone's hosts" estimator/target.go 't.all.add(mean, weight, now)' '' TestHostsLearnTogether
-without "the zone's part in a sample" estimator/zone.go 'return excess - z.excess' 'return excess' TestLatenessOfAllBlamesNobody
-without "the quick quarter" estimator/zone.go 'zoneQuantile = 0.25' 'zoneQuantile = 0.6' TestSlowHalfIsNoSlowZone
-without "an end of belief in a zone" estimator/zone.go '&& now.Since(one.at) < zoneMemory' '&& now.Since(one.at) < 100*zoneMemory' TestSlowZoneShowsWithinHalfASecond
-without "corrections of what waits" estimator/target.go 't.all.excess += to - from' '' TestWaitingRequestsCountBeforeTheyAreAnswered
-without "trials" estimator/trials.go 't.slow && t.all.weight < enoughSamples' 'false && t.all.weight < enoughSamples' TestTrialsFindOutWhatIsQuickAgain
-without "trials that all hosts share" estimator/trials.go 'time.Duration(max(hosts, 1)) * time.Second' 'time.Duration(max(hosts/hosts, 1)) * time.Second' TestTrialsOfAllHostsTogetherAreFew
-without "memory that ends" estimator/estimator.go 'memory = time.Second' 'memory = 20 * time.Second' 'TestTrialsFindOutWhatIsQuickAgain|TestSlowHalfGetsWhatItCanDo'
-without "the latest quick words" estimator/reports.go 'r[i].deadline < r[oldest].deadline' 'r[i].deadline > r[oldest].deadline' TestTwoQuickWordsSayWhatAllSay
+without "the wait for what is under way" estimator/estimator.go 'max(float64(inFlight+1-slots), 0)/float64(slots)' '0*float64(inFlight+1-slots)/float64(slots)' TestQueueingDelayIsNotCountedAsSlowdown
+without "samples that hold back" estimator/estimator.go 'priorSamples     = 4.0' 'priorSamples     = 0.0' TestLatencyVarianceDoesNotMarkTargetsSlow
+without "what was told before" estimator/target.go 't.combined.remove(previous, now)' '_ = previous' TestRepeatedReportIsCountedOnce
+without "word of the zone's hosts" estimator/target.go 't.combined.add(mean, weight, now)' '' TestHostsDetectSlowTargetFromSharedReports
+without "the zone's part in a sample" estimator/zone.go 'return logSlowdown - z.logSlowdown' 'return logSlowdown' TestSlowdownOfAllTargetsMarksNoneSlow
+without "the quick quarter" estimator/zone.go 'zoneQuantile = 0.25' 'zoneQuantile = 0.6' TestHalfSlowTargetsDoNotMakeZoneSlow
+without "an end of belief in a zone" estimator/zone.go '&& now.Since(sample.at) < zoneSampleTTL' '&& now.Since(sample.at) < 100*zoneSampleTTL' TestSlowZoneIsDetectedWithinHalfASecond
+without "corrections of what waits" estimator/target.go 't.combined.logSlowdown += to - from' '' TestPendingRequestsCountBeforeTheirResponses
+without "trials" estimator/trials.go 't.slow && t.combined.weight < trialSampleThreshold' 'false && t.combined.weight < trialSampleThreshold' TestTrialsDetectRecoveredTarget
+without "trials that all hosts share" estimator/trials.go 'time.Duration(max(hosts, 1)) * time.Second' 'time.Duration(max(hosts/hosts, 1)) * time.Second' TestTrialRateIsBoundedAcrossHosts
+without "memory that ends" estimator/estimator.go 'sampleDecayTime = time.Second' 'sampleDecayTime = 20 * time.Second' 'TestTrialsDetectRecoveredTarget|TestSlowTargetsGetLoadByTheirCapacity'
+without "the latest quick words" estimator/reports.go 'r[i].deadline < r[oldest].deadline' 'r[i].deadline > r[oldest].deadline' TestBoundedFastFailureReportsMatchUnboundedCount
 
 package=steerer
 without "speed in placement" steerer/choosing.go 'slowness > 0 {' 'slowness > 1000 {' 'TestSlowTargetGetsFewFlows|TestSlowZoneSpillsOver'
@@ -422,9 +422,9 @@
 without "trials in regions" steerer/estimating.go 'case s.excluded(t, views) != notExcluded, !s.admits(t):' 'case false:' TestTargetOfAnotherRegionIsNotTried
 without "trials in evacuated zones" steerer/estimating.go 'case s.excluded(t, views) != notExcluded, !s.admits(t):' 'case false:' TestTargetOfAnEvacuatedZoneIsNotTried
 without "trials of targets that are not busy" steerer/estimating.go 'return t.underWayPerSlot() < 1' 'return true' TestBusyTargetIsNotTried
-without "an end to what is known of zones" steerer/estimating.go 'return z.Idle()' 'return false' TestZonesOfOldServicesAreForgotten
+without "an end to what is known of zones" steerer/estimating.go 'return z.NoData()' 'return false' TestZonesOfOldServicesAreForgotten
 without "one turn a round" steerer/estimating.go 'if s.estimating.turnDeadline.Passed(s.now) {' 'if true {' TestReportsOfARoundTellOfTheSameTargets
-without "trials by service" steerer/estimating.go 's.service(c.service).trials.Next()' 's.service("").trials.Next()' TestServicesCountTheirTrialsApart
+without "trials by service" steerer/estimating.go 's.service(c.service).trials.Allow()' 's.service("").trials.Allow()' TestServicesCountTheirTrialsApart
 without "targets whose digest changed" steerer/digest.go 't.digestSum += next - one.digest' 't.digestSum = next' TestDigestFollowsEachChange
 without "targets whose slots changed" steerer/slots.go '	for _, t := range s.targets.uncounted {
 		t.uncounted = false
