--- a/balancer/internal/configurer/flows.go
+++ b/balancer/internal/configurer/flows.go
@@ -44,7 +44,7 @@
 	ColdAllowance *float64 `yaml:"coldAllowance"`
 	Forwarding    string   `yaml:"forwarding"`
 	// Quotas may be left out.
-	Quotas []throttler.QuotaText `yaml:"quotas"`
+	Quotas []throttler.QuotaSpec `yaml:"quotas"`
 }
 
 // FlowConfig is what a host that steers flows has to know before it can read the
--- a/core/limiter/limiter.go
+++ b/core/limiter/limiter.go
@@ -33,65 +33,65 @@
 )
 
 const (
-	// NearEvery is the time between two rounds in which a host tells hosts of its zone.
-	NearEvery = 250 * time.Millisecond
-	// NearFanout is how many of them it tells in a round where there are many.
-	NearFanout = 3
-	// minSilence is after how long a host of the own zone that tells nothing is taken to
+	// ZoneReportInterval is the time between two rounds in which a host tells hosts of its zone.
+	ZoneReportInterval = 250 * time.Millisecond
+	// ZoneReportFanout is how many of them it tells in a round where there are many.
+	ZoneReportFanout = 3
+	// minHostTimeout is after how long a host of the own zone that tells nothing is taken to
 	// have ended, where all are told in each round: many of its reports in a row would have
 	// been lost. Its callers' flows come to other hosts as they send something.
-	minSilence = 4 * time.Second
-	// turnsMissed is the same for a large zone, in passes of the rounds over all its hosts:
+	minHostTimeout = 4 * time.Second
+	// hostTimeoutPasses is the same for a large zone, in passes of the rounds over all its hosts:
 	// a host that is first in one pass may be last in the next.
-	turnsMissed = 2
-	// turnSpan is how long hosts that have their turn at the last places of a target keep
+	hostTimeoutPasses = 2
+	// turnDuration is how long hosts that have their turn at the last places of a target keep
 	// it: as long as their news takes to the others.
-	turnSpan = time.Second
+	turnDuration = time.Second
 )
 
-// Bound is what a target holds, as one flow asks for it.
-type Bound struct {
-	// Flows is how many flows a target holds at once.
-	Flows int
+// FlowLimit is what a target holds, as one flow asks for it.
+type FlowLimit struct {
+	// LocalFlows is how many flows a target holds at once.
+	MaxFlows int
 	// Reserved is how many of them are kept for others than the flow that asks: liveness
 	// checks, and flows of higher priority.
 	Reserved int
-	// Brief says that the flow leaves its place so soon that it need not wait for a turn.
-	Brief bool
+	// ShortLived says that the flow leaves its place so soon that it need not wait for a turn.
+	ShortLived bool
 }
 
-// Guess is what stands for flows at a target of which nobody tells.
-type Guess struct {
+// UnreportedEstimate is what stands for flows at a target of which nobody tells.
+type UnreportedEstimate struct {
 	// PerHost is how many flows a host of the target's zone has there that tells nothing.
 	PerHost float64
 	// Growth is how many flows a host of the target's zone has placed there since it was
 	// last heard: as many as this host has, since callers are spread evenly.
 	Growth float64
-	// Least is how many flows the targets of another zone have on average, by word of that
+	// Min is how many flows the targets of another zone have on average, by word of that
 	// zone.
-	Least int
+	Min int
 }
 
-// Belief is what a host takes the flows at a target to be.
-type Belief struct {
-	// Own are flows through this host.
-	Own int
-	// Told are those that other hosts tell of.
-	Told int
+// EstimateFlows is what a host takes the flows at a target to be.
+type FlowEstimate struct {
+	// Local are flows through this host.
+	Local int
+	// Reported are those that other hosts tell of.
+	Reported int
 	// Estimated are those that nobody tells of.
 	Estimated int
 }
 
-// Sum is all flows at the target.
-func (b Belief) Sum() int { return b.Own + b.Told + b.Estimated }
+// Total is all flows at the target.
+func (b FlowEstimate) Total() int { return b.Local + b.Reported + b.Estimated }
 
-// Word is what another host tells of its flows.
-type Word struct {
+// Report is what another host tells of its flows.
+type Report struct {
 	// Incarnation differs between two starts of the host.
 	Incarnation uint64
-	// Near says that the host is of this host's availability zone.
-	Near bool
-	// Flows are the host's flows by target. A target that is left out holds as many as
+	// SameZone says that the host is of this host's availability zone.
+	SameZone bool
+	// LocalFlows are the host's flows by target. A target that is left out holds as many as
 	// were told last.
 	Flows map[uint32]uint16
 	// Partial says that the host has flows at more targets than it could tell of.
@@ -103,74 +103,74 @@
 	// seed differs by host.
 	seed  uint64
 	start timekeeper.Instant
-	// idle is after how long a flow that sends nothing has ended.
-	idle    time.Duration
-	targets map[uint32]*Target
-	holders map[string]*holder
-	// living counts the other hosts of the own zone that live.
-	living int
-	// tellers counts the other hosts of the own zone that have told of their flows of late.
-	tellers int
-	// whole counts those of the tellers that have told of all their flows.
-	whole int
-}
-
-// holder is another host that has told what it holds.
-type holder struct {
+	// idleTimeout is after how long a flow that sends nothing has ended.
+	idleTimeout time.Duration
+	targets     map[uint32]*TargetFlows
+	hosts       map[string]*remoteHost
+	// livePeers counts the other hosts of the own zone that live.
+	livePeers int
+	// reporters counts the other hosts of the own zone that have told of their flows of late.
+	reporters int
+	// fullReporters counts those of the tellers that have told of all their flows.
+	fullReporters int
+}
+
+// remoteHost is another host that has told what it holds.
+type remoteHost struct {
 	incarnation uint64
-	near        bool
-	// partial says that the host holds flows at targets of which it has not told.
+	sameZone    bool
+	// partialReporters says that the host holds flows at targets of which it has not told.
 	partial bool
-	// silent says that nothing was heard of it for too long; its flows end bit by bit.
-	silent bool
-	heard  timekeeper.Instant
+	// timedOut says that nothing was heard of it for too long; its flows end bit by bit.
+	timedOut  bool
+	lastHeard timekeeper.Instant
 	// flows is what the host has told last, by target.
 	flows map[uint32]uint16
-	// former is what the host held before it started again, at formerSince. Its flows are
+	// previousFlows is what the host held before it started again, at previousSince. Its flows are
 	// still at the targets, but the host knows of them only once they send something.
-	former      map[uint32]uint16
-	formerSince timekeeper.Instant
-	// counted is how many flows the host adds to Target.told, by target.
-	counted map[uint32]int
-}
-
-// Target is what one host knows of the flows at a target.
-type Target struct {
-	// own counts the open flows through this host.
-	own int
-	// told counts the flows that other hosts tell of.
-	told int
-	// partial counts the hosts of the own zone that have told of this target, of those that
+	previousFlows map[uint32]uint16
+	previousSince timekeeper.Instant
+	// contribution is how many flows the host adds to Target.told, by target.
+	contribution map[uint32]int
+}
+
+// TargetFlows is what one host knows of the flows at a target.
+type TargetFlows struct {
+	// local counts the open flows through this host.
+	local int
+	// reported counts the flows that other hosts tell of.
+	reported int
+	// partialReporters counts the hosts of the own zone that have told of this target, of those that
 	// have not told of all.
-	partial int
-	// net is how many more flows this host has placed there than have ended.
-	net int
-	// freed counts places that this host's flows have left of late, the last at freedAt.
-	freed   int
-	freedAt timekeeper.Instant
-	// placedAt is when this host last placed a flow there.
-	placedAt timekeeper.Instant
-	// used says that this host has placed a flow there.
-	used bool
-	// unseen counts flows that nobody tells of and that fill the target nevertheless, as
-	// of unseenSince.
-	unseen      int
-	unseenSince timekeeper.Instant
+	partialReporters int
+	// netOpened is how many more flows this host has placed there than have ended.
+	netOpened int
+	// recentlyFreed counts places that this host's flows have left of late, the last at freedAt.
+	recentlyFreed int
+	freedAt       timekeeper.Instant
+	// openedAt is when this host last placed a flow there.
+	openedAt timekeeper.Instant
+	// everUsed says that this host has placed a flow there.
+	everUsed bool
+	// unaccounted counts flows that nobody tells of and that fill the target nevertheless, as
+	// of unaccountedSince.
+	unaccounted      int
+	unaccountedSince timekeeper.Instant
 }
 
 // New makes the Limiter of a host that started at a moment.
-func New(self string, start timekeeper.Instant, idle time.Duration) *Limiter {
+func New(self string, start timekeeper.Instant, idleTimeout time.Duration) *Limiter {
 	return &Limiter{
-		seed: xxhash.Sum64String(self), start: start, idle: idle,
-		targets: map[uint32]*Target{}, holders: map[string]*holder{},
+		seed: xxhash.Sum64String(self), start: start, idleTimeout: idleTimeout,
+		targets: map[uint32]*TargetFlows{}, hosts: map[string]*remoteHost{},
 	}
 }
 
-// Target returns the record of a target, which it makes if there is none.
-func (l *Limiter) Target(tag uint32) *Target {
+// TargetFlows returns the record of a target, which it makes if there is none.
+func (l *Limiter) Target(tag uint32) *TargetFlows {
 	t, ok := l.targets[tag]
 	if !ok {
-		t = &Target{}
+		t = &TargetFlows{}
 		l.targets[tag] = t
 	}
 	return t
@@ -178,264 +178,264 @@
 
 // Forget drops what is known of a target that has ended, or has started again.
 func (l *Limiter) Forget(tag uint32) {
-	for _, h := range l.holders {
-		l.unlist(h, tag)
-		delete(h.former, tag)
-		delete(h.counted, tag)
+	for _, h := range l.hosts {
+		l.removeReported(h, tag)
+		delete(h.previousFlows, tag)
+		delete(h.contribution, tag)
 	}
 	delete(l.targets, tag)
 }
 
-// SetIdle changes after how long a flow that sends nothing has ended.
-func (l *Limiter) SetIdle(idle time.Duration) { l.idle = idle }
+// SetIdleTimeout changes after how long a flow that sends nothing has ended.
+func (l *Limiter) SetIdleTimeout(idleTimeout time.Duration) { l.idleTimeout = idleTimeout }
 
-// SetNear takes in how many other hosts of the own zone live.
-func (l *Limiter) SetNear(living int) { l.living = living }
+// SetLivePeers takes in how many other hosts of the own zone live.
+func (l *Limiter) SetLivePeers(livePeers int) { l.livePeers = livePeers }
 
-// silence is after how long a host of the own zone that tells nothing has ended.
-func (l *Limiter) silence() time.Duration {
-	rounds := (l.others() + NearFanout - 1) / NearFanout
-	return max(minSilence, turnsMissed*time.Duration(rounds)*NearEvery)
+// timeout is after how long a host of the own zone that tells nothing has ended.
+func (l *Limiter) hostTimeout() time.Duration {
+	rounds := (l.peerCount() + ZoneReportFanout - 1) / ZoneReportFanout
+	return max(minHostTimeout, hostTimeoutPasses*time.Duration(rounds)*ZoneReportInterval)
 }
 
-// others is how many other hosts the own zone has.
-func (l *Limiter) others() int { return max(l.living, l.tellers) }
+// unreported is how many other hosts the own zone has.
+func (l *Limiter) peerCount() int { return max(l.livePeers, l.reporters) }
 
-// Told reports whether any other host has told of its flows of late.
-func (l *Limiter) Told() bool { return len(l.holders) > 0 }
+// Reported reports whether any other host has told of its flows of late.
+func (l *Limiter) HasReports() bool { return len(l.hosts) > 0 }
 
-// Tellers is how many hosts of the own zone have told what they hold at a target, be it
+// Reporters is how many hosts of the own zone have told what they hold at a target, be it
 // nothing.
-func (l *Limiter) Tellers(t *Target) int { return l.whole + t.partial }
+func (l *Limiter) Reporters(t *TargetFlows) int { return l.fullReporters + t.partialReporters }
 
 // PerHost is how many flows at a target a host of the own zone has on average, given this
 // host's flows at some of the zone's targets, those that it was told of, and the sum of the
 // targets' tellers. What others have goes first: this host may have started just now.
-func (l *Limiter) PerHost(own, told, targets, tellers int) float64 {
-	if tellers > 0 {
-		return float64(told) / float64(tellers)
+func (l *Limiter) PerHost(local, reported, targets, reporters int) float64 {
+	if reporters > 0 {
+		return float64(reported) / float64(reporters)
 	}
-	return float64(own) / float64(max(targets, 1))
+	return float64(local) / float64(max(targets, 1))
 }
 
-// Own is how many open flows at a target go through this host.
-func (t *Target) Own() int { return t.own }
+// Local is how many open flows at a target go through this host.
+func (t *TargetFlows) Local() int { return t.local }
 
-// Net is how many more flows this host has placed at a target than have ended.
-func (t *Target) Net() int { return t.net }
+// NetOpened is how many more flows this host has placed at a target than have ended.
+func (t *TargetFlows) NetOpened() int { return t.netOpened }
 
-// Told is how many flows at a target other hosts tell of.
-func (t *Target) Told() int { return t.told }
+// Reported is how many flows at a target other hosts tell of.
+func (t *TargetFlows) Reported() int { return t.reported }
 
-// Placed counts a flow that this host has placed at the target.
-func (t *Target) Placed(now timekeeper.Instant) {
-	t.Seen()
-	t.net++
-	t.placedAt = now
-	t.freed = max(t.freed-1, 0)
+// AddOpened counts a flow that this host has placed at the target.
+func (t *TargetFlows) AddOpened(now timekeeper.Instant) {
+	t.AddDiscovered()
+	t.netOpened++
+	t.openedAt = now
+	t.recentlyFreed = max(t.recentlyFreed-1, 0)
 }
 
-// Seen counts a flow that goes on through this host and that it did not know of.
-func (t *Target) Seen() {
-	t.own++
-	t.used = true
+// AddDiscovered counts a flow that goes on through this host and that it did not know of.
+func (t *TargetFlows) AddDiscovered() {
+	t.local++
+	t.everUsed = true
 }
 
-// Ended takes back a flow that Placed counted, and that has left its place.
-func (t *Target) Ended(now timekeeper.Instant) {
-	t.net--
-	t.Left(now)
+// RemoveOpened takes back a flow that Placed counted, and that has left its place.
+func (t *TargetFlows) RemoveOpened(now timekeeper.Instant) {
+	t.netOpened--
+	t.RemoveDiscovered(now)
 }
 
-// Left takes back a flow that Seen counted, and that has left its place.
-func (t *Target) Left(now timekeeper.Instant) {
-	t.own = max(t.own-1, 0)
-	t.freed++
+// RemoveDiscovered takes back a flow that Seen counted, and that has left its place.
+func (t *TargetFlows) RemoveDiscovered(now timekeeper.Instant) {
+	t.local = max(t.local-1, 0)
+	t.recentlyFreed++
 	t.freedAt = now
 }
 
-// Withdrawn takes back a flow that Placed counted, and that holds no place: it has not opened.
-func (t *Target) Withdrawn() {
-	t.own = max(t.own-1, 0)
-	t.net--
+// CancelOpened takes back a flow that Placed counted, and that holds no place: it has not opened.
+func (t *TargetFlows) CancelOpened() {
+	t.local = max(t.local-1, 0)
+	t.netOpened--
 }
 
-// Take takes in what another host tells.
-func (l *Limiter) Take(host string, w Word, now timekeeper.Instant) {
-	h, ok := l.holders[host]
+// ApplyReport takes in what another host tells.
+func (l *Limiter) ApplyReport(host string, w Report, now timekeeper.Instant) {
+	h, ok := l.hosts[host]
 	if !ok {
-		h = &holder{incarnation: w.Incarnation, near: w.Near, flows: map[uint32]uint16{}, counted: map[uint32]int{}}
-		l.holders[host] = h
-		l.countTeller(h, 1)
+		h = &remoteHost{incarnation: w.Incarnation, sameZone: w.SameZone, flows: map[uint32]uint16{}, contribution: map[uint32]int{}}
+		l.hosts[host] = h
+		l.adjustReporters(h, 1)
 	}
 	if h.incarnation != w.Incarnation {
-		l.retire(h)
+		l.movePreviousFlows(h)
 		h.incarnation = w.Incarnation
 	}
-	l.hear(h, w, now)
+	l.markHeard(h, w, now)
 	for tag, n := range w.Flows {
-		if _, listed := h.flows[tag]; !listed && h.tellsPart() {
-			l.Target(tag).partial++
+		if _, listed := h.flows[tag]; !listed && h.reportsPartially() {
+			l.Target(tag).partialReporters++
 		}
 		h.flows[tag] = n
-		l.count(h, tag, now)
+		l.updateContribution(h, tag, now)
 	}
 }
 
-// hear takes in that a host tells something.
-func (l *Limiter) hear(h *holder, w Word, now timekeeper.Instant) {
-	back := h.silent
-	l.countTeller(h, -1)
-	h.silent, h.partial, h.heard = false, w.Partial, now
-	l.countTeller(h, 1)
-	if !back {
+// markHeard takes in that a host tells something.
+func (l *Limiter) markHeard(h *remoteHost, w Report, now timekeeper.Instant) {
+	wasTimedOut := h.timedOut
+	l.adjustReporters(h, -1)
+	h.timedOut, h.partial, h.lastHeard = false, w.Partial, now
+	l.adjustReporters(h, 1)
+	if !wasTimedOut {
 		return
 	}
 	for tag := range h.flows {
-		l.count(h, tag, now)
+		l.updateContribution(h, tag, now)
 	}
 }
 
-// countTeller adds a host to those that tell, or takes it out.
-func (l *Limiter) countTeller(h *holder, by int) {
+// adjustReporters adds a host to those that tell, or takes it out.
+func (l *Limiter) adjustReporters(h *remoteHost, by int) {
 	switch {
-	case !h.near || h.silent:
+	case !h.sameZone || h.timedOut:
 		return
 	case h.partial:
 		for tag := range h.flows {
-			l.Target(tag).partial += by
+			l.Target(tag).partialReporters += by
 		}
 	default:
-		l.whole += by
+		l.fullReporters += by
 	}
-	l.tellers += by
+	l.reporters += by
 }
 
-// tellsPart reports whether a host counts as one that tells only of the targets it has listed.
-func (h *holder) tellsPart() bool { return h.near && !h.silent && h.partial }
+// reportsPartially reports whether a host counts as one that tells only of the targets it has listed.
+func (h *remoteHost) reportsPartially() bool { return h.sameZone && !h.timedOut && h.partial }
 
-// unlist forgets what a host has told of a target.
-func (l *Limiter) unlist(h *holder, tag uint32) {
-	if _, listed := h.flows[tag]; listed && h.tellsPart() {
-		l.Target(tag).partial--
+// removeReported forgets what a host has told of a target.
+func (l *Limiter) removeReported(h *remoteHost, tag uint32) {
+	if _, listed := h.flows[tag]; listed && h.reportsPartially() {
+		l.Target(tag).partialReporters--
 	}
 	delete(h.flows, tag)
 }
 
-// retire marks what a host has told as what it held before it started again. Of what it held
+// movePreviousFlows marks what a host has told as what it held before it started again. Of what it held
 // before that, the rest counts on.
-func (l *Limiter) retire(h *holder) {
+func (l *Limiter) movePreviousFlows(h *remoteHost) {
 	if len(h.flows) == 0 {
 		return
 	}
-	l.countTeller(h, -1)
-	for tag, n := range h.former {
-		h.flows[tag] = max(h.flows[tag], uint16(l.remaining(int(n), h.formerSince, h.heard)))
+	l.adjustReporters(h, -1)
+	for tag, n := range h.previousFlows {
+		h.flows[tag] = max(h.flows[tag], uint16(l.remaining(int(n), h.previousSince, h.lastHeard)))
 	}
-	h.former, h.formerSince = h.flows, h.heard
+	h.previousFlows, h.previousSince = h.flows, h.lastHeard
 	h.flows = map[uint32]uint16{}
-	l.countTeller(h, 1)
+	l.adjustReporters(h, 1)
 }
 
-// count replaces what stands for a host at a target.
-func (l *Limiter) count(h *holder, tag uint32, now timekeeper.Instant) {
-	told := int(h.flows[tag])
-	if h.silent {
-		told = l.remaining(told, h.heard, now)
+// updateContribution replaces what stands for a host at a target.
+func (l *Limiter) updateContribution(h *remoteHost, tag uint32, now timekeeper.Instant) {
+	reported := int(h.flows[tag])
+	if h.timedOut {
+		reported = l.remaining(reported, h.lastHeard, now)
 	}
-	n := max(told, l.remaining(int(h.former[tag]), h.formerSince, now))
-	l.Target(tag).told += n - h.counted[tag]
+	n := max(reported, l.remaining(int(h.previousFlows[tag]), h.previousSince, now))
+	l.Target(tag).reported += n - h.contribution[tag]
 	if n == 0 {
-		delete(h.counted, tag)
+		delete(h.contribution, tag)
 		return
 	}
-	h.counted[tag] = n
+	h.contribution[tag] = n
 }
 
 // remaining is how many of some flows are still open, if nothing was heard of them since a
 // moment: they are taken to end at an even rate until the idle time is over.
 func (l *Limiter) remaining(flows int, since, now timekeeper.Instant) int {
-	span := l.idle - now.Since(since)
+	span := l.idleTimeout - now.Since(since)
 	if flows == 0 || span <= 0 {
 		return 0
 	}
-	return int(float64(flows)*float64(span)/float64(l.idle) + 0.5)
+	return int(float64(flows)*float64(span)/float64(l.idleTimeout) + 0.5)
 }
 
 // Sweep lets what was told grow old. It has to be called several times within the idle time.
 func (l *Limiter) Sweep(now timekeeper.Instant) {
-	silence := l.silence()
-	for name, h := range l.holders {
-		if now.Since(h.heard) > max(l.idle, silence) {
-			l.drop(name, h)
+	timeout := l.hostTimeout()
+	for name, h := range l.hosts {
+		if now.Since(h.lastHeard) > max(l.idleTimeout, timeout) {
+			l.removeHost(name, h)
 			continue
 		}
-		if h.near && !h.silent && now.Since(h.heard) > silence {
-			l.countTeller(h, -1)
-			h.silent = true
+		if h.sameZone && !h.timedOut && now.Since(h.lastHeard) > timeout {
+			l.adjustReporters(h, -1)
+			h.timedOut = true
 		}
-		if h.silent {
+		if h.timedOut {
 			for tag := range h.flows {
-				l.count(h, tag, now)
+				l.updateContribution(h, tag, now)
 			}
 		}
-		if len(h.former) == 0 {
+		if len(h.previousFlows) == 0 {
 			continue
 		}
-		for tag := range h.former {
-			l.count(h, tag, now)
+		for tag := range h.previousFlows {
+			l.updateContribution(h, tag, now)
 		}
-		if now.Since(h.formerSince) > l.idle {
-			h.former = nil
+		if now.Since(h.previousSince) > l.idleTimeout {
+			h.previousFlows = nil
 		}
 	}
 }
 
-// drop forgets a host. Its callers' flows have gone to others, or have ended.
-func (l *Limiter) drop(name string, h *holder) {
-	for tag, n := range h.counted {
-		l.Target(tag).told -= n
+// removeHost forgets a host. Its callers' flows have gone to others, or have ended.
+func (l *Limiter) removeHost(name string, h *remoteHost) {
+	for tag, n := range h.contribution {
+		l.Target(tag).reported -= n
 	}
-	l.countTeller(h, -1)
-	delete(l.holders, name)
+	l.adjustReporters(h, -1)
+	delete(l.hosts, name)
 }
 
-// Belief is what this host takes the flows at a target to be, if the target holds at most
+// EstimateFlows is what this host takes the flows at a target to be, if the target holds at most
 // bound of them.
-func (l *Limiter) Belief(t *Target, bound int, g Guess, now timekeeper.Instant) Belief {
-	b := Belief{Own: t.own, Told: t.told}
-	tellers := l.Tellers(t)
-	others := g.PerHost*float64(max(l.others()-tellers, 0)) + g.Growth*float64(tellers)
-	b.Estimated = l.forgotten(t, now) + int(others+0.5)
-	b.Estimated = max(b.Estimated, g.Least-b.Own-b.Told)
+func (l *Limiter) EstimateFlows(t *TargetFlows, bound int, g UnreportedEstimate, now timekeeper.Instant) FlowEstimate {
+	b := FlowEstimate{Local: t.local, Reported: t.reported}
+	reporters := l.Reporters(t)
+	unreported := g.PerHost*float64(max(l.peerCount()-reporters, 0)) + g.Growth*float64(reporters)
+	b.Estimated = l.estimateForgotten(t, now) + int(unreported+0.5)
+	b.Estimated = max(b.Estimated, g.Min-b.Local-b.Reported)
 	// No target holds more than its bound, so what has been told of since is unseen no more.
-	unseen := min(l.remaining(t.unseen, t.unseenSince, now), max(bound-b.Sum(), 0))
-	if unseen == 0 {
-		t.unseen = 0
+	unaccounted := min(l.remaining(t.unaccounted, t.unaccountedSince, now), max(bound-b.Total(), 0))
+	if unaccounted == 0 {
+		t.unaccounted = 0
 	}
-	b.Estimated += unseen
+	b.Estimated += unaccounted
 	return b
 }
 
-// forgotten estimates how many flows this host's callers hold that it has not seen since it
+// estimateForgotten estimates how many flows this host's callers hold that it has not seen since it
 // started: as many as those of another host of the zone, fewer with time.
-func (l *Limiter) forgotten(t *Target, now timekeeper.Instant) int {
-	tellers := l.Tellers(t)
-	if tellers == 0 || t.told == 0 {
+func (l *Limiter) estimateForgotten(t *TargetFlows, now timekeeper.Instant) int {
+	reporters := l.Reporters(t)
+	if reporters == 0 || t.reported == 0 {
 		return 0
 	}
-	return max(l.remaining(t.told/tellers, l.start, now)-t.own, 0)
+	return max(l.remaining(t.reported/reporters, l.start, now)-t.local, 0)
 }
 
-// Room is how many more flows this host may place at a target; 0 if none.
-func (l *Limiter) Room(t *Target, b Bound, g Guess, now timekeeper.Instant) int {
-	return b.room(l.Belief(t, b.Flows, g, now).Sum())
+// Available is how many more flows this host may place at a target; 0 if none.
+func (l *Limiter) Available(t *TargetFlows, b FlowLimit, g UnreportedEstimate, now timekeeper.Instant) int {
+	return b.available(l.EstimateFlows(t, b.MaxFlows, g, now).Total())
 }
 
-// room is what a bound leaves beside some flows.
-func (b Bound) room(flows int) int { return max(b.Flows-b.Reserved-flows, 0) }
+// available is what a bound leaves beside some flows.
+func (b FlowLimit) available(flows int) int { return max(b.MaxFlows-b.Reserved-flows, 0) }
 
-// Offer returns how many flows a target is believed to hold, and whether this host may place
+// Evaluate returns how many flows a target is believed to hold, and whether this host may place
 // one more. A choice asks this of each target.
 //
 // What goes wrong if all hosts may while there is room: what each knows of the others is a
@@ -444,62 +444,62 @@
 // are fewer places than hosts, as many hosts as places have their turn, others each
 // second, and each places one flow. A place that this host's own flow has left is its own
 // for that time: nobody else knows of it.
-func (l *Limiter) Offer(t *Target, tag uint32, b Bound, g Guess, now timekeeper.Instant) (flows int, admits bool) {
-	flows = l.Belief(t, b.Flows, g, now).Sum()
-	return flows, l.admits(t, tag, b.room(flows), b.Brief, now)
+func (l *Limiter) Evaluate(t *TargetFlows, tag uint32, b FlowLimit, g UnreportedEstimate, now timekeeper.Instant) (flows int, admits bool) {
+	flows = l.EstimateFlows(t, b.MaxFlows, g, now).Total()
+	return flows, l.admits(t, tag, b.available(flows), b.ShortLived, now)
 }
 
 // admits reports whether this host may place one more flow, given how many there is room for.
-func (l *Limiter) admits(t *Target, tag uint32, room int, brief bool, now timekeeper.Instant) bool {
-	hosts := l.others() + 1
+func (l *Limiter) admits(t *TargetFlows, tag uint32, available int, shortLived bool, now timekeeper.Instant) bool {
+	hosts := l.peerCount() + 1
 	switch {
-	case room == 0:
+	case available == 0:
 		return false
-	case brief, room >= hosts, t.freed > 0 && now.Since(t.freedAt) < turnSpan:
+	case shortLived, available >= hosts, t.recentlyFreed > 0 && now.Since(t.freedAt) < turnDuration:
 		return true
-	case turnOf(t.placedAt) == turnOf(now):
+	case turnNumber(t.openedAt) == turnNumber(now):
 		return false
 	}
-	return int(l.draw(tag, now)%uint64(hosts)) < room
+	return int(l.turnHash(tag, now)%uint64(hosts)) < available
 }
 
-// turnOf numbers the turns.
-func turnOf(now timekeeper.Instant) uint64 { return uint64(now) / uint64(turnSpan) }
+// turnNumber numbers the turns.
+func turnNumber(now timekeeper.Instant) uint64 { return uint64(now) / uint64(turnDuration) }
 
-// draw is a number that differs by host, target and turn.
-func (l *Limiter) draw(tag uint32, now timekeeper.Instant) uint64 {
+// turnHash is a number that differs by host, target and turn.
+func (l *Limiter) turnHash(tag uint32, now timekeeper.Instant) uint64 {
 	var buffer [20]byte
 	binary.BigEndian.PutUint32(buffer[:4], tag)
-	binary.BigEndian.PutUint64(buffer[4:12], turnOf(now))
+	binary.BigEndian.PutUint64(buffer[4:12], turnNumber(now))
 	binary.BigEndian.PutUint64(buffer[12:], l.seed)
 	return xxhash.Sum64(buffer[:])
 }
 
-// Full takes in that a target has turned out to be full: what is missing from its bound
+// MarkFull takes in that a target has turned out to be full: what is missing from its bound
 // counts as flows that nobody tells of.
-func (l *Limiter) Full(t *Target, bound int, g Guess, now timekeeper.Instant) {
-	t.unseen, t.unseenSince = 0, now
-	t.unseen = max(bound-l.Belief(t, bound, g, now).Sum(), 0)
+func (l *Limiter) MarkFull(t *TargetFlows, bound int, g UnreportedEstimate, now timekeeper.Instant) {
+	t.unaccounted, t.unaccountedSince = 0, now
+	t.unaccounted = max(bound-l.EstimateFlows(t, bound, g, now).Total(), 0)
 }
 
-// Used lists those of some targets at which this host has placed flows.
-func (l *Limiter) Used(tags []uint32) []uint32 {
+// UsedTargets lists those of some targets at which this host has placed flows.
+func (l *Limiter) UsedTargets(tags []uint32) []uint32 {
 	var used []uint32
 	for _, tag := range tags {
-		if t, ok := l.targets[tag]; ok && t.used {
+		if t, ok := l.targets[tag]; ok && t.everUsed {
 			used = append(used, tag)
 		}
 	}
 	return used
 }
 
-// Flows lists this host's flows at those of some targets at which it has placed any, for
+// LocalFlows lists this host's flows at those of some targets at which it has placed any, for
 // what it tells. A target whose flows have all ended is listed with 0.
-func (l *Limiter) Flows(tags []uint32) map[uint32]uint16 {
+func (l *Limiter) LocalFlows(tags []uint32) map[uint32]uint16 {
 	flows := make(map[uint32]uint16, len(tags))
 	for _, tag := range tags {
-		if t, ok := l.targets[tag]; ok && t.used {
-			flows[tag] = uint16(min(t.own, math.MaxUint16))
+		if t, ok := l.targets[tag]; ok && t.everUsed {
+			flows[tag] = uint16(min(t.local, math.MaxUint16))
 		}
 	}
 	return flows
--- a/core/steerer/connections.go
+++ b/core/steerer/connections.go
@@ -72,7 +72,7 @@
 	// places is how many flows all targets hold together.
 	places int
 	// home stands for flows at this zone's targets of which nobody tells.
-	home limiter.Guess
+	home limiter.UnreportedEstimate
 	// homeMean is how many flows each of this zone's targets has on average.
 	homeMean int
 	// net is the sum of limiter.Target.Net over this zone's targets at each of the last
@@ -90,26 +90,26 @@
 }
 
 // belief is what is known of the flows at a target of a tight service.
-func (s *Steerer) belief(t *target, v *tightService) limiter.Belief {
-	return s.connections.limiter.Belief(s.connections.limiter.Target(uint32(t.tag)), v.bound, s.guess(t, v), s.now)
+func (s *Steerer) belief(t *target, v *tightService) limiter.FlowEstimate {
+	return s.connections.limiter.EstimateFlows(s.connections.limiter.Target(uint32(t.tag)), v.bound, s.guess(t, v), s.now)
 }
 
 // guess is what stands for the flows at a target of which nobody tells.
-func (s *Steerer) guess(t *target, v *tightService) limiter.Guess {
+func (s *Steerer) guess(t *target, v *tightService) limiter.UnreportedEstimate {
 	if t.AvailabilityZone == s.config.AvailabilityZone {
 		return v.home
 	}
 	away := s.connections.away[zoneService{t.AvailabilityZone, v.name}]
 	if away.deadline.Passed(s.now) {
-		return limiter.Guess{}
+		return limiter.UnreportedEstimate{}
 	}
-	return limiter.Guess{Least: away.mean}
+	return limiter.UnreportedEstimate{Min: away.mean}
 }
 
 // crowd is how the connections of a service's targets bear on a choice.
 type crowd struct {
 	service *tightService
-	bound   limiter.Bound
+	bound   limiter.FlowLimit
 }
 
 // crowdOf returns what a choice has to know of connections; nil if the service has plenty.
@@ -132,11 +132,11 @@
 		return 0, true
 	}
 	l, tag := s.connections.limiter, uint32(t.tag)
-	flows, admits := l.Offer(l.Target(tag), tag, c.bound, s.guess(t, c.service), s.now)
+	flows, admits := l.Evaluate(l.Target(tag), tag, c.bound, s.guess(t, c.service), s.now)
 	if !admits {
 		return 0, false
 	}
-	return connectionWeight * float64(flows) / float64(c.bound.Flows-flows), true
+	return connectionWeight * float64(flows) / float64(c.bound.MaxFlows-flows), true
 }
 
 // connectionsTick works out which services are short of connections, and sends on openings
@@ -150,9 +150,9 @@
 	}
 	c.deadline = s.now.Add(connectionsEvery)
 	if s.settings.IdleTimeout > 0 {
-		c.limiter.SetIdle(s.settings.IdleTimeout)
+		c.limiter.SetIdleTimeout(s.settings.IdleTimeout)
 	}
-	c.limiter.SetNear(s.hostsInZone() - 1)
+	c.limiter.SetLivePeers(s.hostsInZone() - 1)
 	c.limiter.Sweep(s.now)
 	for _, service := range s.settings.Services {
 		s.lookAtConnections(service)
@@ -194,8 +194,8 @@
 			continue
 		}
 		b := s.belief(t, &v)
-		flows := b.Sum()
-		own += b.Own
+		flows := b.Total()
+		own += b.Local
 		v.flows += flows
 		v.places += v.bound
 		if t.AvailabilityZone == s.config.AvailabilityZone {
@@ -224,7 +224,7 @@
 // What goes wrong without it: a host looks at thousands of targets several times a second
 // that hold a hundredth of the flows that they may.
 func (s *Steerer) plentyOfConnections(service Service) bool {
-	if s.connections.limiter.Told() || len(s.connections.away) > 0 {
+	if s.connections.limiter.HasReports() || len(s.connections.away) > 0 {
 		return false
 	}
 	own := 0
@@ -247,17 +247,17 @@
 			continue
 		}
 		one := s.connections.limiter.Target(uint32(t.tag))
-		own += one.Own()
-		told += one.Told()
-		net += one.Net()
-		tellers += s.connections.limiter.Tellers(one)
+		own += one.Local()
+		told += one.Reported()
+		net += one.NetOpened()
+		tellers += s.connections.limiter.Reporters(one)
 		targets++
 	}
 	if before != nil {
 		v.net = before.net[max(len(before.net)-growthLooks, 0):]
 	}
 	v.net = append(slices.Clone(v.net), net)
-	v.home = limiter.Guess{
+	v.home = limiter.UnreportedEstimate{
 		PerHost: s.connections.limiter.PerHost(own, told, targets, tellers),
 		Growth:  float64(max(net-v.net[0], 0)) / float64(max(targets, 1)),
 	}
@@ -283,7 +283,7 @@
 func (s *Steerer) noteFullTargets(v *tightService) {
 	for _, t := range s.targets.choices(v.name) {
 		b := s.belief(t, v)
-		room := v.bound - checkPlaces - b.Sum()
+		room := v.bound - checkPlaces - b.Total()
 		switch {
 		case !t.full && room <= 0:
 			t.full = true
@@ -296,9 +296,9 @@
 }
 
 // logConnections logs an event of a target with what its flows are believed to be.
-func (s *Steerer) logConnections(event string, t *target, v *tightService, b limiter.Belief, inputs ...Field) {
+func (s *Steerer) logConnections(event string, t *target, v *tightService, b limiter.FlowEstimate, inputs ...Field) {
 	fields := []Field{
-		field("service", v.name), field("own", itoa(b.Own)), field("told", itoa(b.Told)), field("estimated", itoa(b.Estimated)),
+		field("service", v.name), field("own", itoa(b.Local)), field("told", itoa(b.Reported)), field("estimated", itoa(b.Estimated)),
 		field("bound", itoa(v.bound)), field("toldAgeMillis", ageText(s.now, s.connections.heard)),
 	}
 	s.logTarget(event, t, append(fields, inputs...)...)
--- a/core/steerer/counts.go
+++ b/core/steerer/counts.go
@@ -140,7 +140,7 @@
 	snapshot.Ready = s.Ready()
 	snapshot.Era = s.reading.era
 	snapshot.Paced = s.paced
-	snapshot.Callers = s.throttler.Kept()
+	snapshot.Callers = s.throttler.CallerCount()
 	snapshot.Evacuated = len(s.evacuator.Zones())
 	for _, v := range s.services {
 		if v.load.Pressed() {
--- a/core/steerer/crowding.go
+++ b/core/steerer/crowding.go
@@ -87,8 +87,8 @@
 	before := s.belief(t, v)
 	t.foundFullAt = s.now
 	t.health.probeDeadline = s.now
-	s.connections.limiter.Full(s.connections.limiter.Target(uint32(t.tag)), v.bound, s.guess(t, v), s.now)
-	s.logConnections("targetFull", t, v, s.belief(t, v), field("cause", "checkCut"), field("believed", itoa(before.Sum())), field("waiting", itoa(len(keys))))
+	s.connections.limiter.MarkFull(s.connections.limiter.Target(uint32(t.tag)), v.bound, s.guess(t, v), s.now)
+	s.logConnections("targetFull", t, v, s.belief(t, v), field("cause", "checkCut"), field("believed", itoa(before.Total())), field("waiting", itoa(len(keys))))
 	for _, key := range never {
 		if f := s.flows[key]; !f.queued {
 			f.queued = true
@@ -171,7 +171,7 @@
 	v := s.connections.tight[c.service]
 	bound := v.boundFor(&c.route)
 	s.refuse(p, "connections", field("service", c.service), field("priority", itoa(c.route.Priority)), field("flows", itoa(v.flows)), field("places", itoa(v.places)),
-		field("bound", itoa(bound.Flows)), field("reserved", itoa(bound.Reserved)), field("toldAgeMillis", ageText(s.now, s.connections.heard)))
+		field("bound", itoa(bound.MaxFlows)), field("reserved", itoa(bound.Reserved)), field("toldAgeMillis", ageText(s.now, s.connections.heard)))
 }
 
 // connectionsOf is how many flows a target holds as far as known, and how many it may; 0 if
@@ -181,7 +181,7 @@
 	if v == nil {
 		return 0, 0
 	}
-	return s.belief(t, v).Sum(), v.bound
+	return s.belief(t, v).Total(), v.bound
 }
 
 // tellsOfFlows reports whether a host that has just been heard of should learn at once what
--- a/core/steerer/flow.go
+++ b/core/steerer/flow.go
@@ -51,7 +51,7 @@
 	// placed says that this host placed the flow at its target; it found any other open.
 	placed bool
 	// place counts the flow among those that its target holds; nil if it is not.
-	place *limiter.Target
+	place *limiter.TargetFlows
 	// openedAt is when the first opening packet went out.
 	openedAt timekeeper.Instant
 	// sentEnd is the end of the data that the caller has sent, acknowledged the
--- a/core/steerer/places.go
+++ b/core/steerer/places.go
@@ -53,9 +53,9 @@
 	f.place = s.connections.limiter.Target(uint32(f.target.tag))
 	f.placed = !f.opened
 	if f.placed {
-		f.place.Placed(s.now)
+		f.place.AddOpened(s.now)
 	} else {
-		f.place.Seen()
+		f.place.AddDiscovered()
 	}
 	s.use(f.target.Service, &f.route).held++
 }
@@ -67,11 +67,11 @@
 	}
 	switch {
 	case !f.opened:
-		f.place.Withdrawn() // No place comes free: most likely it had none.
+		f.place.CancelOpened() // No place comes free: most likely it had none.
 	case f.placed:
-		f.place.Ended(s.now)
+		f.place.RemoveOpened(s.now)
 	default:
-		f.place.Left(s.now)
+		f.place.RemoveDiscovered(s.now)
 	}
 	f.place = nil
 	use := s.use(f.target.Service, &f.route)
@@ -107,9 +107,9 @@
 // is room for nothing else, and callers with short flows, or with more urgent ones, find
 // every place taken by flows that idle. Short flows may use the place that is kept for
 // checks, since both leave it at once.
-func (v *tightService) boundFor(route *Route) limiter.Bound {
+func (v *tightService) boundFor(route *Route) limiter.FlowLimit {
 	if v.brief[route.Name] {
-		return limiter.Bound{Flows: v.bound, Brief: true}
+		return limiter.FlowLimit{MaxFlows: v.bound, ShortLived: true}
 	}
 	rank := 0
 	if v.manyBrief {
@@ -119,7 +119,7 @@
 		rank++
 	}
 	step := int(reservedShare*float64(v.bound) + 0.5)
-	return limiter.Bound{Flows: v.bound, Reserved: min(checkPlaces+rank*step, max(v.bound/reservedDivisor, checkPlaces), v.bound-1)}
+	return limiter.FlowLimit{MaxFlows: v.bound, Reserved: min(checkPlaces+rank*step, max(v.bound/reservedDivisor, checkPlaces), v.bound-1)}
 }
 
 // classifyRoutes tells the routes whose flows last from those whose flows are brief, by what
--- a/core/steerer/telling.go
+++ b/core/steerer/telling.go
@@ -43,12 +43,12 @@
 	// Those without flows are left out first, and each receiver has turns of its own: else
 	// some targets come only to some hosts.
 	targets := tags
-	tags = s.connections.limiter.Used(targets)
+	tags = s.connections.limiter.UsedTargets(targets)
 	if len(tags) > maxToldFlows {
 		to.flowsTurn = (to.flowsTurn + maxToldFlows) % len(tags)
 		tags = append(tags[to.flowsTurn:], tags[:to.flowsTurn]...)[:maxToldFlows]
 	}
-	flows := s.connections.limiter.Flows(tags)
+	flows := s.connections.limiter.LocalFlows(tags)
 	if len(flows) == 0 && len(targets) > 0 {
 		flows[targets[0]] = 0 // A host that tells nothing is taken to hold what others do.
 	}
@@ -122,11 +122,11 @@
 		}
 	}
 	s.connections.heard = s.now
-	word := limiter.Word{
+	word := limiter.Report{
 		Incarnation: r.Incarnation,
-		Near:        p.zone == s.config.AvailabilityZone,
+		SameZone:    p.zone == s.config.AvailabilityZone,
 		Flows:       flows,
 		Partial:     len(r.OpenFlows) >= maxToldFlows,
 	}
-	s.connections.limiter.Take(p.name, word, s.now)
+	s.connections.limiter.ApplyReport(p.name, word, s.now)
 }
--- a/core/steerer/telling_internal_test.go
+++ b/core/steerer/telling_internal_test.go
@@ -14,8 +14,8 @@
 
 // The limiter takes its silence from how often hosts report.
 func TestSilenceOfLargeZonesFollowsTheReports(t *testing.T) {
-	require.Equal(t, reportEvery, limiter.NearEvery)
-	require.Equal(t, nearFanout, limiter.NearFanout)
+	require.Equal(t, reportEvery, limiter.ZoneReportInterval)
+	require.Equal(t, nearFanout, limiter.ZoneReportFanout)
 }
 
 // Symptom: in a large zone hosts take full targets to be empty. Sequence: 100 hosts tell each
@@ -29,7 +29,7 @@
 		record := Target{ID: fmt.Sprintf("i-%04d", n), Number: Number(n + 1), Service: "ledger", AvailabilityZone: "a"}
 		one, _ := s.targets.put(record)
 		if n%2 == 0 {
-			s.connections.limiter.Target(uint32(one.tag)).Placed(s.now)
+			s.connections.limiter.Target(uint32(one.tag)).AddOpened(s.now)
 		}
 	}
 	var receivers []*peer
@@ -108,17 +108,17 @@
 	f := &flow{target: one, route: Route{Name: "reads"}}
 	s.takePlace(f)
 	s.releasePlace(f)
-	require.Zero(t, count.Net())
+	require.Zero(t, count.NetOpened())
 	s.follow(f, one, &Packet{})
-	require.Equal(t, 1, count.Own())
-	require.Zero(t, count.Net(), "it was found open")
+	require.Equal(t, 1, count.Local())
+	require.Zero(t, count.NetOpened(), "it was found open")
 	s.releasePlace(f)
-	require.Zero(t, count.Net())
-	require.Zero(t, count.Own())
+	require.Zero(t, count.NetOpened())
+	require.Zero(t, count.Local())
 
 	closed := &flow{target: one, route: Route{Name: "reads"}, closed: true}
 	s.follow(closed, one, &Packet{})
-	require.Zero(t, count.Own())
+	require.Zero(t, count.Local())
 }
 
 func TestSmallBoundsKeepAPlaceForChecks(t *testing.T) {
@@ -161,11 +161,11 @@
 	}
 	count := s.connections.limiter.Target(uint32(one.tag))
 	for range 4 {
-		count.Seen()
+		count.AddDiscovered()
 	}
 	require.False(t, tried())
 	for range 4 {
-		count.Left(s.now)
+		count.RemoveDiscovered(s.now)
 	}
 	require.True(t, tried())
 }
--- a/core/steerer/throttling.go
+++ b/core/steerer/throttling.go
@@ -27,16 +27,16 @@
 // Quotas come first: what they refuse is no demand for the service's room, or it would look
 // as if others were refused for want of room, and shares would shrink.
 func (s *Steerer) throttled(p *Packet, route *Route, service string) bool {
-	if quota, exceeded := s.throttler.Exceeded(p.Caller.Addr(), route.Name, s.now); exceeded {
+	if quota, exceeded := s.throttler.ExceededQuota(p.Caller.Addr(), route.Name, s.now); exceeded {
 		s.counts.add(RefusedCallerQuota)
 		s.refuse(p, "callerQuota", field("quota", quota.String()), field("requestsPerSecond", perSecond(quota.PerSecond)))
 		return true
 	}
-	asked := throttler.Request{Caller: p.Caller.Addr(), Service: service, Short: s.shortOrPressed(service)}
-	if verdict := s.throttler.Ask(asked, s.now); verdict.Refused {
+	asked := throttler.Request{Caller: p.Caller.Addr(), Service: service, Overloaded: s.shortOrPressed(service)}
+	if verdict := s.throttler.Check(asked, s.now); verdict.Refused {
 		s.counts.add(RefusedCallerShare)
 		s.refuse(p, "callerShare", field("service", service), field("prefix", verdict.Prefix.String()),
-			field("share", perSecond(verdict.Had)), field("fairShare", perSecond(verdict.FairShare)))
+			field("share", perSecond(verdict.ForwardedRate)), field("fairShare", perSecond(verdict.FairShare)))
 		return true
 	}
 	return false
@@ -49,7 +49,7 @@
 func (s *Steerer) notePassed(key flowKey, f *flow) {
 	f.countedFor = s.service(f.target.Service)
 	s.throttler.Charge(key.caller.Addr(), f.route.Name, s.now)
-	s.throttler.Pass(throttler.Request{Caller: key.caller.Addr(), Service: f.countedFor.name}, s.now)
+	s.throttler.FlowStarted(throttler.Request{Caller: key.caller.Addr(), Service: f.countedFor.name}, s.now)
 }
 
 // noteEnded counts the end of a flow for its caller, once.
@@ -63,7 +63,7 @@
 	}
 	ended := throttler.Request{Caller: key.caller.Addr(), Service: f.countedFor.name}
 	f.countedFor = nil
-	s.throttler.End(ended, s.now)
+	s.throttler.FlowEnded(ended, s.now)
 }
 
 // chargeRequest counts a request of an open flow for its caller's quotas, also if it has
@@ -81,5 +81,5 @@
 	if !s.throttler.HasQuotas() {
 		return
 	}
-	s.throttler.ShareQuotas(s.hostsInZone(), s.now)
+	s.throttler.DivideQuotas(s.hostsInZone(), s.now)
 }
--- a/core/steerer/throttling_internal_test.go
+++ b/core/steerer/throttling_internal_test.go
@@ -15,14 +15,14 @@
 	key := flowKey{caller: netip.MustParseAddrPort(caller)}
 	f := &flow{target: &target{Target: Target{Service: service}}}
 	require.True(t, s.remember(key, f))
-	s.throttler.Ask(throttler.Request{Caller: key.caller.Addr(), Service: service}, s.now)
+	s.throttler.Check(throttler.Request{Caller: key.caller.Addr(), Service: service}, s.now)
 	s.notePassed(key, f)
 	return key, f
 }
 
 // shareOf is what a caller may have of a service that is short of room.
 func shareOf(s *Steerer, key flowKey, service string) float64 {
-	return s.throttler.Ask(throttler.Request{Caller: key.caller.Addr(), Service: service, Short: true}, s.now).FairShare
+	return s.throttler.Check(throttler.Request{Caller: key.caller.Addr(), Service: service, Overloaded: true}, s.now).FairShare
 }
 
 // Symptom: an address weighs for good as much as flows that ended long ago. Sequence: its
--- a/core/throttler/quota.go
+++ b/core/throttler/quota.go
@@ -20,8 +20,8 @@
 	PerSecond float64
 }
 
-// Touches reports whether a caller's requests to a route count.
-func (q Quota) Touches(caller netip.Addr, route string) bool {
+// Matches reports whether a caller's requests to a route count.
+func (q Quota) Matches(caller netip.Addr, route string) bool {
 	if q.Route != "" && q.Route != route {
 		return false
 	}
@@ -39,8 +39,8 @@
 	return fmt.Sprintf("%s on %s", callers, route)
 }
 
-// QuotaText is a quota as operators write it.
-type QuotaText struct {
+// QuotaSpec is a quota as operators write it.
+type QuotaSpec struct {
 	// Prefix is such as "203.0.113.0/24", or a single address. Prefix or Route may be
 	// left out.
 	Prefix            string  `yaml:"prefix"`
@@ -50,26 +50,26 @@
 
 // ParseQuotas checks quotas as operators write them. Its errors are of type Error; they name
 // the quota by its index.
-func ParseQuotas(texts []QuotaText) ([]Quota, error) {
-	quotas := make([]Quota, 0, len(texts))
+func ParseQuotas(specs []QuotaSpec) ([]Quota, error) {
+	quotas := make([]Quota, 0, len(specs))
 	seen := map[Quota]int{}
-	for i, text := range texts {
+	for i, text := range specs {
 		q, err := text.parse()
 		if err != nil {
 			return nil, &Error{Op: "check quotas", Kind: KindInvalid, Err: fmt.Errorf("quotas[%d]: %w", i, err)}
 		}
-		whose := Quota{Prefix: q.Prefix, Route: q.Route}
-		if first, taken := seen[whose]; taken {
+		scope := Quota{Prefix: q.Prefix, Route: q.Route}
+		if first, taken := seen[scope]; taken {
 			return nil, &Error{Op: "check quotas", Kind: KindInvalid, Err: fmt.Errorf("quotas[%d]: %s has a quota in quotas[%d]; write one", i, q, first)}
 		}
-		seen[whose] = i
+		seen[scope] = i
 		quotas = append(quotas, q)
 	}
 	return quotas, nil
 }
 
 // parse checks one quota.
-func (t QuotaText) parse() (Quota, error) {
+func (t QuotaSpec) parse() (Quota, error) {
 	q := Quota{Route: t.Route, PerSecond: t.RequestsPerSecond}
 	if t.Prefix == "" && t.Route == "" {
 		return q, fmt.Errorf("it names neither prefix nor route; write one of them, or both")
@@ -114,13 +114,13 @@
 
 func newBucket(q Quota) *bucket {
 	b := &bucket{quota: q, hosts: 1}
-	b.limiter = rate.NewLimiter(b.part())
+	b.limiter = rate.NewLimiter(b.hostShare())
 	return b
 }
 
-// part is the host's part of the quota, in requests a second, and how many requests may come
+// limit is the host's part of the quota, in requests a second, and how many requests may come
 // at once.
-func (b *bucket) part() (perSecond rate.Limit, atOnce int) {
+func (b *bucket) hostShare() (perSecond rate.Limit, burst int) {
 	part := b.quota.PerSecond / float64(b.hosts)
 	return rate.Limit(part), max(int(math.Ceil(part)), 1)
 }
@@ -128,23 +128,23 @@
 // HasQuotas reports whether there is any quota.
 func (t *Throttler) HasQuotas() bool { return len(t.quotas) > 0 }
 
-// ShareQuotas divides the quotas by the live hosts of the zone, this one among them.
-func (t *Throttler) ShareQuotas(hosts int, now timekeeper.Instant) {
+// DivideQuotas divides the quotas by the live hosts of the zone, this one among them.
+func (t *Throttler) DivideQuotas(hosts int, now timekeeper.Instant) {
 	for _, b := range t.quotas {
 		if hosts = max(hosts, 1); hosts == b.hosts {
 			continue
 		}
 		b.hosts = hosts
-		part, atOnce := b.part()
-		b.limiter.SetLimitAt(limiterTime(now), part)
-		b.limiter.SetBurstAt(limiterTime(now), atOnce)
+		limit, burst := b.hostShare()
+		b.limiter.SetLimitAt(limiterTime(now), limit)
+		b.limiter.SetBurstAt(limiterTime(now), burst)
 	}
 }
 
-// Exceeded returns a quota that a caller's new flow on a route would exceed.
-func (t *Throttler) Exceeded(caller netip.Addr, route string, now timekeeper.Instant) (Quota, bool) {
+// ExceededQuota returns a quota that a caller's new flow on a route would exceed.
+func (t *Throttler) ExceededQuota(caller netip.Addr, route string, now timekeeper.Instant) (Quota, bool) {
 	for _, b := range t.quotas {
-		if b.quota.Touches(caller, route) && b.limiter.TokensAt(limiterTime(now)) < 1 {
+		if b.quota.Matches(caller, route) && b.limiter.TokensAt(limiterTime(now)) < 1 {
 			return b.quota, true
 		}
 	}
@@ -155,8 +155,8 @@
 // up to what a second's requests are, so that the debt ends with its cause.
 func (t *Throttler) Charge(caller netip.Addr, route string, now timekeeper.Instant) {
 	for _, b := range t.quotas {
-		_, atOnce := b.part()
-		if b.quota.Touches(caller, route) && b.limiter.TokensAt(limiterTime(now)) > -float64(atOnce) {
+		_, burst := b.hostShare()
+		if b.quota.Matches(caller, route) && b.limiter.TokensAt(limiterTime(now)) > -float64(burst) {
 			b.limiter.ReserveN(limiterTime(now), 1)
 		}
 	}
--- a/core/throttler/throttler.go
+++ b/core/throttler/throttler.go
@@ -42,13 +42,13 @@
 	maxPrefixes  = 128
 	// maxServices bounds the services that are kept.
 	maxServices = 64
-	// prefixBits4 and prefixBits6 are the length of a caller's prefix: what a site is
+	// ipv4PrefixBits and ipv6PrefixBits are the length of a caller's prefix: what a site is
 	// given at the least.
-	prefixBits4 = 24
-	prefixBits6 = 48
-	// calmAfter is how long after a shortage weights are not learned: until then callers
+	ipv4PrefixBits = 24
+	ipv6PrefixBits = 48
+	// weightFreezeDuration is how long after a shortage weights are not learned: until then callers
 	// repeat what was refused.
-	calmAfter = 5 * time.Second
+	weightFreezeDuration = 5 * time.Second
 )
 
 // Throttler is what one host knows of its callers.
@@ -61,15 +61,15 @@
 type service struct {
 	// addresses are those that came in calm times, each of which answers for itself.
 	// prefixes answer for all other addresses of theirs.
-	addresses *table
-	prefixes  *table
-	// division is what callers ask for, and may have, until divisionDeadline.
-	division         division
-	divisionDeadline timekeeper.Instant
-	// throttled is the rate of new flows that were refused for their callers' shares.
-	throttled meanRate
-	// calmDeadline is when weights are learned again after a shortage.
-	calmDeadline timekeeper.Instant
+	addresses *callerTable
+	prefixes  *callerTable
+	// allocation is what callers ask for, and may have, until allocationDeadline.
+	allocation         allocation
+	allocationDeadline timekeeper.Instant
+	// throttledRate is the rate of new flows that were refused for their callers' shares.
+	throttledRate meanRate
+	// weightFreezeDeadline is when weights are learned again after a shortage.
+	weightFreezeDeadline timekeeper.Instant
 }
 
 // New makes the Throttler of a host with some quotas.
@@ -89,150 +89,152 @@
 type Request struct {
 	Caller  netip.Addr
 	Service string
-	// Short says that the service is short of room.
-	Short bool
+	// Overloaded says that the service is short of room.
+	Overloaded bool
 }
 
-// Verdict says whether a new flow is refused for what its caller has had.
-type Verdict struct {
+// Decision says whether a new flow is refused for what its caller has had.
+type Decision struct {
 	Refused bool
 	// Prefix is the address or prefix that has had too much, Had what was passed on for
 	// it and FairShare what it may have, in new flows a second.
-	Prefix    netip.Prefix
-	Had       float64
-	FairShare float64
+	Prefix        netip.Prefix
+	ForwardedRate float64
+	FairShare     float64
 }
 
-// Ask takes in that a caller asks for a new flow, and says whether it is refused.
-func (t *Throttler) Ask(r Request, now timekeeper.Instant) Verdict {
+// Check takes in that a caller asks for a new flow, and says whether it is refused.
+func (t *Throttler) Check(r Request, now timekeeper.Instant) Decision {
 	s := t.service(r.Service)
-	if r.Short {
-		if s.calm(now) {
-			s.addresses.settle(s.calmDeadline, now)
-			s.prefixes.settle(s.calmDeadline, now)
+	if r.Overloaded {
+		if s.learningWeights(now) {
+			s.addresses.updateWeights(s.weightFreezeDeadline, now)
+			s.prefixes.updateWeights(s.weightFreezeDeadline, now)
 		}
-		s.calmDeadline = now.Add(calmAfter)
+		s.weightFreezeDeadline = now.Add(weightFreezeDuration)
 	}
-	c := s.claimant(r.Caller, now)
-	verdict := Verdict{}
-	if r.Short {
-		verdict = s.judge(c, now)
+	c := s.callerFor(r.Caller, now)
+	decision := Decision{}
+	if r.Overloaded {
+		decision = s.decide(c, now)
 	}
-	c.asked.add(now)
-	return verdict
+	c.requestedRate.add(now)
+	return decision
 }
 
-// claimant returns who answers for an address that asks. In calm times it answers for
+// chargedCaller returns who answers for an address that asks. In calm times it answers for
 // itself from now on.
-func (s *service) claimant(address netip.Addr, now timekeeper.Instant) *caller {
+func (s *service) callerFor(address netip.Addr, now timekeeper.Instant) *caller {
 	key, prefix := keysOf(address)
-	if s.calm(now) {
-		return s.addresses.at(key, now)
+	if s.learningWeights(now) {
+		return s.addresses.getOrCreate(key, now)
 	}
 	if own, ok := s.addresses.callers.Get(key); ok {
 		return own
 	}
-	return s.prefixes.at(prefix, now)
+	return s.prefixes.getOrCreate(prefix, now)
 }
 
-// judge says whether a caller has had more than its share, and asks for much more than others.
-func (s *service) judge(c *caller, now timekeeper.Instant) Verdict {
-	if s.divisionDeadline.Passed(now) {
-		s.division = s.divide(now)
-		s.divisionDeadline = now.Add(divideEvery)
+// decide says whether a caller has had more than its share, and asks for much more than others.
+func (s *service) decide(c *caller, now timekeeper.Instant) Decision {
+	if s.allocationDeadline.Passed(now) {
+		s.allocation = s.allocate(now)
+		s.allocationDeadline = now.Add(allocationInterval)
 	}
-	weight := s.division.weightOf(c)
-	verdict := Verdict{Prefix: c.prefix, Had: c.passed.at(now), FairShare: s.division.level * weight}
-	verdict.Refused = verdict.Had >= max(verdict.FairShare, s.division.leastOf(c)) && s.division.asksForMuchMore(c, now)
-	if verdict.Refused {
-		s.throttled.add(now)
+	weight := s.allocation.weightOf(c)
+	decision := Decision{Prefix: c.prefix, ForwardedRate: c.forwardedRate.at(now), FairShare: s.allocation.sharePerWeight * weight}
+	decision.Refused = decision.ForwardedRate >= max(decision.FairShare, s.allocation.guaranteedRateOf(c)) && s.allocation.exceedsOthers(c, now)
+	if decision.Refused {
+		s.throttledRate.add(now)
 	}
-	return verdict
+	return decision
 }
 
-// divide shares out what is passed on at present among the callers. If nobody is refused,
+// allocate shares out what is passed on at present among the callers. If nobody is refused,
 // there is nothing to divide. If few are refused but for their shares, there may be more room.
-func (s *service) divide(now timekeeper.Instant) division {
-	d := division{level: math.Inf(1)}
-	d.weighUnknown(s.prefixes, now)
+func (s *service) allocate(now timekeeper.Instant) allocation {
+	d := allocation{sharePerWeight: math.Inf(1)}
+	d.weighNewcomers(s.prefixes, now)
 	var demands []demand
-	room := 0.0
-	for _, t := range []*table{s.addresses, s.prefixes} {
+	forwarded := 0.0
+	for _, t := range []*callerTable{s.addresses, s.prefixes} {
 		for _, c := range t.callers.Values() {
-			one := demand{asked: c.asked.at(now), weight: d.weightOf(c)}
-			if one.asked < leastRate {
+			one := demand{rate: c.requestedRate.at(now), weight: d.weightOf(c)}
+			if one.rate < negligibleRate {
 				continue
 			}
 			demands = append(demands, one)
 			d.total.add(one)
-			if !c.known {
-				d.unknown.add(one)
+			if !c.hasHistory {
+				d.newcomers.add(one)
 			}
-			room += c.passed.at(now)
+			forwarded += c.forwardedRate.at(now)
 		}
 	}
-	refused := d.total.asked - room
-	if refused < leastRate {
+	refused := d.total.rate - forwarded
+	if refused < negligibleRate {
 		return d
 	}
-	d.level = maxMinLevel(demands, room)
-	if refused-s.throttled.at(now) < fewRefused*room {
-		d.level *= growth
+	d.sharePerWeight = maxMinSharePerWeight(demands, forwarded)
+	if refused-s.throttledRate.at(now) < lowRefusalRatio*forwarded {
+		d.sharePerWeight *= shareGrowth
 	}
 	return d
 }
 
-// Pass takes in that a caller's new flow is passed on. Its end has to be told.
-func (t *Throttler) Pass(r Request, now timekeeper.Instant) {
+// FlowStarted takes in that a caller's new flow is passed on. Its end has to be told.
+func (t *Throttler) FlowStarted(r Request, now timekeeper.Instant) {
 	s := t.service(r.Service)
 	key, prefix := keysOf(r.Caller)
-	claimant := s.prefixes.at(prefix, now)
-	claimant.count(1, s.calmDeadline, now)
+	chargedCaller := s.prefixes.getOrCreate(prefix, now)
+	chargedCaller.addOpenFlows(1, s.weightFreezeDeadline, now)
 	if own, ok := s.addresses.callers.Peek(key); ok {
-		own.count(1, s.calmDeadline, now)
-		claimant = own
+		own.addOpenFlows(1, s.weightFreezeDeadline, now)
+		chargedCaller = own
 	}
-	claimant.passed.add(now)
+	chargedCaller.forwardedRate.add(now)
 }
 
-// End takes in that a flow that was passed on has ended. It counts for nothing if its
+// FlowEnded takes in that a flow that was passed on has ended. It counts for nothing if its
 // caller has been forgotten meanwhile: flows keep no callers in memory.
-func (t *Throttler) End(r Request, now timekeeper.Instant) {
+func (t *Throttler) FlowEnded(r Request, now timekeeper.Instant) {
 	s := t.service(r.Service)
 	key, prefix := keysOf(r.Caller)
-	s.addresses.end(key, s.calmDeadline, now)
-	s.prefixes.end(prefix, s.calmDeadline, now)
+	s.addresses.flowEnded(key, s.weightFreezeDeadline, now)
+	s.prefixes.flowEnded(prefix, s.weightFreezeDeadline, now)
 }
 
-// Kept counts the addresses and prefixes that are kept, for operators.
-func (t *Throttler) Kept() int {
-	kept := 0
+// CallerCount counts the addresses and prefixes that are kept, for operators.
+func (t *Throttler) CallerCount() int {
+	count := 0
 	for _, s := range t.services.Values() {
-		kept += s.addresses.callers.Len() + s.prefixes.callers.Len()
+		count += s.addresses.callers.Len() + s.prefixes.callers.Len()
 	}
-	return kept
+	return count
 }
 
 // service returns what is kept of a service.
 func (t *Throttler) service(name string) *service {
 	s, ok := t.services.Get(name)
 	if !ok {
-		s = &service{addresses: newTable(maxAddresses), prefixes: newTable(maxPrefixes)}
+		s = &service{addresses: newCallerTable(maxAddresses), prefixes: newCallerTable(maxPrefixes)}
 		t.services.Add(name, s)
 	}
 	return s
 }
 
-// calm reports whether weights are learned.
-func (s *service) calm(now timekeeper.Instant) bool { return s.calmDeadline.Passed(now) }
+// learningWeights reports whether weights are learned.
+func (s *service) learningWeights(now timekeeper.Instant) bool {
+	return s.weightFreezeDeadline.Passed(now)
+}
 
 // keysOf returns a caller's address and its prefix. The address of an IPv6 caller is its
 // network: a host there has as many addresses as it likes.
 func keysOf(caller netip.Addr) (address, prefix netip.Prefix) {
 	caller = caller.Unmap()
-	bits, prefixBits := caller.BitLen(), prefixBits4
+	bits, prefixBits := caller.BitLen(), ipv4PrefixBits
 	if caller.Is6() {
-		bits, prefixBits = 64, prefixBits6
+		bits, prefixBits = 64, ipv6PrefixBits
 	}
 	address = netip.PrefixFrom(caller, bits).Masked()
 	return address, netip.PrefixFrom(caller, prefixBits).Masked()
--- a/operator/quotas.go
+++ b/operator/quotas.go
@@ -15,7 +15,7 @@
 
 // hostQuotas is the part of a host's file that bounds callers.
 type hostQuotas struct {
-	Quotas []throttler.QuotaText `yaml:"quotas"`
+	Quotas []throttler.QuotaSpec `yaml:"quotas"`
 }
 
 // quotas lists the quotas of a host's file, or those that touch a caller.
@@ -61,7 +61,7 @@
 func touching(all []throttler.Quota, caller netip.Addr) []throttler.Quota {
 	var some []throttler.Quota
 	for _, q := range all {
-		if q.Touches(caller, q.Route) {
+		if q.Matches(caller, q.Route) {
 			some = append(some, q)
 		}
 	}
--- a/scripts/red.sh
+++ b/scripts/red.sh
@@ -298,17 +298,17 @@
 without "usual times that leave out slow targets" steerer/estimating.go 'pressed || s.answersSlowly(f.target)' 'pressed' TestUsualDoesNotFollowSlowTargets
 without "speed that ends with a life" steerer/life.go 't.pace = estimator.Target{}' '' TestRestartedTargetIsNotSlow
 package=limiter
-without "what a host has forgotten since it started" limiter/limiter.go 'b.Estimated = l.forgotten(t, now) + int(others+0.5)' 'b.Estimated = int(others + 0.5)' TestHostThatHasStartedAgainCountsWhatItDoesNotRemember
-without "what a host told before it started again" limiter/limiter.go 'n := max(told, l.remaining(int(h.former[tag]), h.formerSince, now))' 'n := told' TestFlowsThatAHostHasForgottenCountOn
-without "flows unseen at full targets" limiter/limiter.go 't.unseen = max(bound-' 't.unseen = 0 * max(bound-' 'TestTargetThatIsFoundFullStaysSoUntilItsFlowsEnd|TestHostsThatDoNotHearEachOtherStayWithinTheBound'
-without "growth since others were heard" limiter/limiter.go '+ g.Growth*float64(tellers)' '+ 0*g.Growth' TestHerdIsTurnedAwayInTime
-without "turns at the last places" limiter/limiter.go 'return int(l.draw(tag, now)%uint64(hosts)) < room' 'return true || int(l.draw(tag, now)%uint64(hosts)) < room' TestHostsOfAZoneKeepToTheLastPlacesTogether
-without "flows that held no place" limiter/limiter.go 'func (t *Target) Withdrawn() {' 'func (t *Target) Withdrawn() { t.freed++; t.freedAt = t.placedAt' TestFlowsThatNeverOpenedLeaveNoPlace
-without "the end of hosts that are gone" limiter/limiter.go 'if now.Since(h.heard) > max(l.idle, silence) {' 'if false {' TestFlowsOfAHostThatIsGoneEnd
-without "word after a silence" limiter/limiter.go 'h.silent, h.partial, h.heard = false, w.Partial, now' 'h.partial, h.heard = w.Partial, now' TestWordAfterASilenceCounts
-without "the silence of large zones" limiter/limiter.go 'turnsMissed*time.Duration(rounds)*NearEvery' '0*time.Duration(rounds)*NearEvery' TestHostOfALargeZoneIsNotSilentBetweenItsReports
-without "words of a part of the targets" limiter/limiter.go 'case h.partial:' 'case false:' TestPartialWordIsNoWordOfAllTargets
-without "hosts that tell no more" limiter/limiter.go 'if h.near && !h.silent && now.Since(h.heard) > silence {' 'if false {' TestDeadHostsAreNoTellers
+without "what a host has forgotten since it started" limiter/limiter.go 'b.Estimated = l.estimateForgotten(t, now) + int(unreported+0.5)' 'b.Estimated = int(unreported + 0.5)' TestRestartedHostEstimatesForgottenFlows
+without "what a host told before it started again" limiter/limiter.go 'n := max(reported, l.remaining(int(h.previousFlows[tag]), h.previousSince, now))' 'n := reported' TestFlowsForgottenByRestartedPeerStillCount
+without "flows unseen at full targets" limiter/limiter.go 't.unaccounted = max(bound-' 't.unaccounted = 0 * max(bound-' 'TestFullTargetStaysFullUntilFlowsEnd|TestPartitionedHostsStayWithinLimit'
+without "growth since others were heard" limiter/limiter.go '+ g.Growth*float64(reporters)' '+ 0*g.Growth' TestThunderingHerdRarelyHitsFullTargets
+without "turns at the last places" limiter/limiter.go 'return int(l.turnHash(tag, now)%uint64(hosts)) < available' 'return true || int(l.turnHash(tag, now)%uint64(hosts)) < available' TestHostsTakeTurnsForLastFreeConnections
+without "flows that held no place" limiter/limiter.go 'func (t *TargetFlows) CancelOpened() {' 'func (t *TargetFlows) CancelOpened() { t.recentlyFreed++; t.freedAt = t.openedAt' TestCanceledFlowsFreeNoCapacity
+without "the end of hosts that are gone" limiter/limiter.go 'if now.Since(h.lastHeard) > max(l.idleTimeout, timeout) {' 'if false {' TestFlowsOfDeadHostExpire
+without "word after a silence" limiter/limiter.go 'h.timedOut, h.partial, h.lastHeard = false, w.Partial, now' 'h.partial, h.lastHeard = w.Partial, now' TestReportAfterTimeoutIsApplied
+without "the silence of large zones" limiter/limiter.go 'hostTimeoutPasses*time.Duration(rounds)*ZoneReportInterval' '0*time.Duration(rounds)*ZoneReportInterval' TestHostInLargeZoneDoesNotTimeOutBetweenReports
+without "words of a part of the targets" limiter/limiter.go 'case h.partial:' 'case false:' TestPartialReportDoesNotCoverOtherTargets
+without "hosts that tell no more" limiter/limiter.go 'if h.sameZone && !h.timedOut && now.Since(h.lastHeard) > timeout {' 'if false {' TestDeadHostsAreNotCountedAsReporters
 
 package=steerer
 without "an even spread of connections" steerer/connections.go 'return connectionWeight * float64(flows)' 'return 0 * connectionWeight * float64(flows)' TestIdleTargetIsNotFilledWithFlows
@@ -323,7 +323,7 @@
 without "copies that go back unless a target was found full" steerer/crowding.go '!f.opened && f.target.foundFullOf(s.now)' '!f.opened' TestCopyGoesToTheFirstTargetThatLives
 without "the end of idle flows" steerer/flow.go 'if f.lastPacket.Add(keep).Passed(s.now) {' 'if f.closed && f.lastPacket.Add(keep).Passed(s.now) {' TestFlowsThatEndWithoutAWordAreForgotten
 without "word of full zones" steerer/reports.go 's.addZoneFlows(r)' '_ = r' TestZonesTellEachOtherHowFullTheyAre
-without "targets with flows first in a report" steerer/telling.go 's.connections.limiter.Used(targets)' 'targets' TestEachHostOfALargeZoneHearsOfAllTargets
+without "targets with flows first in a report" steerer/telling.go 's.connections.limiter.UsedTargets(targets)' 'targets' TestEachHostOfALargeZoneHearsOfAllTargets
 without "openings sent on by the route of today" steerer/crowding.go 'if !ok || route.serviceFor' 'route = f.route; if false && !ok || false && route.serviceFor' TestOpeningsAreSentOnByTheRouteOfToday
 without "openings sent on bit by bit" steerer/crowding.go 'c.sendsOn < maxSendsOn' 'true' TestOpeningsAreSentOnBitByBit
 without "flows that were found open" steerer/places.go 'f.placed = !f.opened' 'f.placed = true' TestPlacesAreTakenBackAsTheyWereTaken
@@ -362,7 +362,7 @@
 without "first answers that count alike" steerer/usual.go 'doubtful && u.known()' 'doubtful' TestFirstAnswerInACrowdDoesNotStick
 package=steerer
 without "callers' shares" steerer/admitting.go 'if s.throttled(p, route, service) {' 'if false && s.throttled(p, route, service) {' 'TestCallerThatRepeatsWithoutPauseIsRefusedFirst|TestQuotaHoldsOverTheHostsOfAZone'
-without "shares only while room is short" steerer/throttling.go 'Short: s.shortOrPressed(service)}' 'Short: true || s.shortOrPressed(service)}' TestSharesEndWithTheShortage
+without "shares only while room is short" steerer/throttling.go 'Overloaded: s.shortOrPressed(service)}' 'Overloaded: true || s.shortOrPressed(service)}' TestSharesEndWithTheShortage
 without "quotas over a zone" steerer/steerer.go '	s.shareQuotas()
 ' '' TestQuotaHoldsOverTheHostsOfAZone
 without "requests of open flows in quotas" steerer/steering.go 's.chargeRequest(p, f)' '_ = p' TestRequestsOfOpenFlowsCountForAQuota
@@ -376,30 +376,30 @@
 without "news worked out at each event" steerer/steerer.go 's.own.known = false' '_ = s.own.known' 'TestOtherHostsHearOfSilentTargets|TestQuickAnswersAreToldToTheZonesHosts'
 
 package=throttler
-without "max-min fairness" throttler/throttler.go 'verdict.Refused = verdict.Had >= max(' 'verdict.Refused = false && verdict.Had >= max(' 'TestOneCallerThatRepeatsWithoutPauseLeavesRoomToTheOthers|TestAddressesThatChangeAnswerTogether'
-without "weights" throttler/table.go '	if c.known {
-		return c.weight' '	if c.known {
-		return leastWeight' 'TestThousandsBehindOneAddressAreNotOneCaller|TestCallersWhoAskAlikeAreServedAlike'
-without "weights that stay in a shortage" throttler/throttler.go 'return s.calmDeadline.Passed(now)' 'return true || s.calmDeadline.Passed(now)' TestAddressesThatChangeAnswerTogether
-without "prefixes of new addresses" throttler/throttler.go 'if own, ok := s.addresses.callers.Get(key); ok {' 'if own := s.addresses.at(key, now); own != nil {' 'TestAddressesThatChangeAnswerTogether|TestAddressesThatComeOnceDoNotDisplaceOthers'
-without "shares that grow again" throttler/throttler.go 'd.level *= growth' 'd.level *= 1' TestOneCallerThatRepeatsWithoutPauseLeavesRoomToTheOthers
-without "crowds that ask alike" throttler/table.go 'return some.asked*d.weight > muchMoreTimes*d.asked*some.weight' 'return true' TestCallersWhoComeFromElsewhereAreServedAlike
-without "unknown callers that ask for much more together" throttler/table.go '|| (!c.known &&' '|| (false && !c.known &&' TestAddressesThatComeOnceDoNotDisplaceOthers
-without "the weight of those who come from elsewhere" throttler/table.go 'd.unknownWeight = max(sum/most, leastWeight)' 'd.unknownWeight = leastWeight + 0*sum/most' TestCallersWhoComeFromElsewhereAreServedAlike
-without "room for all" throttler/throttler.go 'if refused < leastRate {' 'if false && refused < leastRate {' TestNobodyIsRefusedWhileAllAreServed
-without "bounded services" throttler/throttler.go 'maxServices = 64' 'maxServices = 640' TestMemoryIsBounded
-without "bounded callers" throttler/throttler.go 'maxAddresses = 512' 'maxAddresses = 51200' TestMemoryIsBounded
-without "a bound on a quota's debt" throttler/quota.go '&& b.limiter.TokensAt(limiterTime(now)) > -float64(atOnce) {' '&& atOnce > 0 {' TestRequestsOfOpenFlowsAreChargedWithinBounds
-without "a host's part of a quota" throttler/quota.go 'b.quota.PerSecond / float64(b.hosts)' 'b.quota.PerSecond' TestHostsOfAZoneShareAQuota
-without "quotas of a prefix" throttler/quota.go 'return !q.Prefix.IsValid() || q.Prefix.Contains(caller.Unmap())' 'return true' TestQuotasBoundThoseWhomTheyTouch
+without "max-min fairness" throttler/throttler.go 'decision.Refused = decision.ForwardedRate >= max(' 'decision.Refused = false && decision.ForwardedRate >= max(' 'TestRetryLoopDoesNotStarveOtherCallers|TestRotatingAddressesShareOnePrefixAllocation'
+without "weights" throttler/table.go '	if c.hasHistory {
+		return c.weight' '	if c.hasHistory {
+		return minWeight' 'TestCallersBehindNATGetMoreThanOneShare|TestEqualDemandIsServedEqually'
+without "weights that stay in a shortage" throttler/throttler.go 'return s.weightFreezeDeadline.Passed(now)' 'return true || s.weightFreezeDeadline.Passed(now)' TestRotatingAddressesShareOnePrefixAllocation
+without "prefixes of new addresses" throttler/throttler.go 'if own, ok := s.addresses.callers.Get(key); ok {' 'if own := s.addresses.getOrCreate(key, now); own != nil {' 'TestRotatingAddressesShareOnePrefixAllocation|TestOneTimeAddressesDoNotEvictOthers'
+without "shares that grow again" throttler/throttler.go 'd.sharePerWeight *= shareGrowth' 'd.sharePerWeight *= 1' TestRetryLoopDoesNotStarveOtherCallers
+without "crowds that ask alike" throttler/table.go 'return some.rate*d.weight > excessFactor*d.rate*some.weight' 'return true' TestCallersMovedFromFailedZoneAreServedEqually
+without "unknown callers that ask for much more together" throttler/table.go '|| (!c.hasHistory &&' '|| (false && !c.hasHistory &&' TestOneTimeAddressesDoNotEvictOthers
+without "the weight of those who come from elsewhere" throttler/table.go 'd.newcomerWeight = max(sum/most, minWeight)' 'd.newcomerWeight = minWeight + 0*sum/most' TestCallersMovedFromFailedZoneAreServedEqually
+without "room for all" throttler/throttler.go 'if refused < negligibleRate {' 'if false && refused < negligibleRate {' TestNothingIsThrottledWithinCapacity
+without "bounded services" throttler/throttler.go 'maxServices = 64' 'maxServices = 640' TestCallerTablesAreBounded
+without "bounded callers" throttler/throttler.go 'maxAddresses = 512' 'maxAddresses = 51200' TestCallerTablesAreBounded
+without "a bound on a quota's debt" throttler/quota.go '&& b.limiter.TokensAt(limiterTime(now)) > -float64(burst) {' '&& burst > 0 {' TestQuotaDebtOfOpenFlowsIsBounded
+without "a host's part of a quota" throttler/quota.go 'b.quota.PerSecond / float64(b.hosts)' 'b.quota.PerSecond' TestQuotaIsDividedAmongZoneHosts
+without "quotas of a prefix" throttler/quota.go 'return !q.Prefix.IsValid() || q.Prefix.Contains(caller.Unmap())' 'return true' TestQuotasLimitOnlyMatchingRequests
 
 package=steerer
 without "times from the end of a request" steerer/steering.go 'f.lastData = s.now' '_ = f.lastData' TestSlowUploadersBlameNoTarget
 without "pauses of callers who upload" steerer/estimating.go 'if f.route.Kind == KindUpload {' 'if false {' TestSlowUploadersBlameNoTarget
 
 package=throttler
-without "long flows of calm times" throttler/throttler.go 's.addresses.settle(s.calmDeadline, now)' '_ = now' TestLongFlowsOfCalmTimesWeigh
-without "weights of calm times only" throttler/table.go 'max(c.changed, calmSince)' 'max(c.changed, 0*calmSince)' TestNobodyGainsWeightInAShortage
+without "long flows of calm times" throttler/throttler.go 's.addresses.updateWeights(s.weightFreezeDeadline, now)' '_ = now' TestLongFlowsOpenedBeforeOverloadAddWeight
+without "weights of calm times only" throttler/table.go 'max(c.updatedAt, learningSince)' 'max(c.updatedAt, 0*learningSince)' TestWeightsDoNotGrowDuringOverload
 
 package=steerer
 without "ends where flows began" steerer/throttling.go 'Service: f.countedFor.name}
@@ -415,7 +415,7 @@
 	s.chargeRequest(p, f)
 ' TestPacedRequestsCountForAQuota
 without "quotas before shares" steerer/throttling.go 's.counts.add(RefusedCallerQuota)' 's.counts.add(RefusedCallerQuota)
-		s.throttler.Ask(throttler.Request{Caller: p.Caller.Addr(), Service: service, Short: s.shortOrPressed(service)}, s.now)' TestWhatAQuotaRefusesIsNoShortage
+		s.throttler.Check(throttler.Request{Caller: p.Caller.Addr(), Service: service, Overloaded: s.shortOrPressed(service)}, s.now)' TestWhatAQuotaRefusesIsNoShortage
 without "no trials while requests wait" steerer/estimating.go 's.service(c.service).paced > 0' 'false' TestNothingIsTriedWhileRequestsWait
 without "trials of slow targets" steerer/estimating.go 'if c.avoid != nil || ' 'if true || c.avoid != nil || ' TestSlowTargetIsTried
 without "trials that obey orders and regions" steerer/estimating.go 'case s.excluded(t, views) != notExcluded, !s.admits(t):' 'case false:' TestDrainingTargetIsNotTried
