--- a/core/pacer/pacer.go
+++ b/core/pacer/pacer.go
@@ -24,50 +24,50 @@
 import "time"
 
 const (
-	// pressureStep is the part of each answer in the moving mean of pressure: some 20
+	// pressureSmoothing is the part of each answer in the moving mean of pressure: some 20
 	// answers. A host sees 50 or more a second under a load worth pacing, so that a
 	// crowd is noticed within half a second.
-	pressureStep = 0.05
-	// pressedAbove is the pressure at which requests begin to wait. Waiting times
+	pressureSmoothing = 0.05
+	// congestionOnThreshold is the pressure at which requests begin to wait. Waiting times
 	// spread about as much as their mean, so that one answer in thirty is late then,
 	// and more soon. Ordinary days stay below 0.1.
-	pressedAbove = 0.3
-	// calmBelow ends it; the distance keeps the two from alternating.
-	calmBelow = 0.2
+	congestionOnThreshold = 0.3
+	// congestionOffThreshold ends it; the distance keeps the two from alternating.
+	congestionOffThreshold = 0.2
 	// maxPressure bounds what one answer counts, so that the memory of a few that
 	// hung is short.
 	maxPressure = 4
-	// slowdownStep is the part of each answer in the moving mean of slowdown.
-	slowdownStep = 0.1
+	// slowdownSmoothing is the part of each answer in the moving mean of slowdown.
+	slowdownSmoothing = 0.1
 	// maxSlowdown bounds what one answer counts.
 	maxSlowdown = 10
-	// tolerance is the slowdown that leaves the window as it is: a request may wait
+	// toleratedSlowdown is the slowdown that leaves the window as it is: a request may wait
 	// for one other. With less, slots stand idle while hosts wait for answers; with
 	// more, the urgent requests wait too long.
-	tolerance = 2
-	// leastGradient bounds how fast the window shrinks.
-	leastGradient = 0.5
-	// headroom is what the window grows by while answers are not slow, in requests. It
+	toleratedSlowdown = 2
+	// minGradient bounds how fast the window shrinks.
+	minGradient = 0.5
+	// windowHeadroom is what the window grows by while answers are not slow, in requests. It
 	// is what finds out that there is room again.
-	headroom = 1
-	// windowStep is the part of the way to its new size that the window goes with an
+	windowHeadroom = 1
+	// windowSmoothing is the part of the way to its new size that the window goes with an
 	// answer.
-	windowStep = 0.1
-	// leastWindow keeps a service from being shut.
-	leastWindow = 1
+	windowSmoothing = 0.1
+	// minWindow keeps a service from being shut.
+	minWindow = 1
 )
 
-// Answer is what a host learns when a request is answered.
-type Answer struct {
-	// Took is the time from passing the request on, Held how long it waited before.
-	Took time.Duration
-	Held time.Duration
-	// Usual is the median of Took while nothing is pressed, Objective what the callers
+// Response is what a host learns when a request is answered.
+type Response struct {
+	// Latency is the time from passing the request on, Held how long it waited before.
+	Latency    time.Duration
+	QueueDelay time.Duration
+	// BaselineLatency is the median of Took while nothing is pressed, Objective what the callers
 	// hope for.
-	Usual     time.Duration
-	Objective time.Duration
-	// UnderWay is how many requests the host has at the service.
-	UnderWay int
+	BaselineLatency time.Duration
+	Objective       time.Duration
+	// InFlight is how many requests the host has at the service.
+	InFlight int
 }
 
 // Load is what a host knows of the load of a service. The zero Load is calm.
@@ -76,13 +76,13 @@
 	// less usual) that waiting takes.
 	pressure float64
 	// slowdown is the moving mean of answer times as multiples of the usual.
-	slowdown float64
-	pressed  bool
-	window   float64
+	slowdown  float64
+	congested bool
+	window    float64
 }
 
-// Pressed reports whether requests have to wait.
-func (l *Load) Pressed() bool { return l.pressed }
+// Congested reports whether requests have to wait.
+func (l *Load) Congested() bool { return l.congested }
 
 // Pressure is the part of the callers' spare time that waiting takes, for operators.
 func (l *Load) Pressure() float64 { return l.pressure }
@@ -90,39 +90,39 @@
 // Window is how many requests the host may have under way while the service is pressed.
 func (l *Load) Window() float64 { return l.window }
 
-// Room reports whether one more request may be passed on.
-func (l *Load) Room(underWay int) bool { return float64(underWay) < l.window }
+// HasCapacity reports whether one more request may be passed on.
+func (l *Load) HasCapacity(inFlight int) bool { return float64(inFlight) < l.window }
 
-// Answered learns from an answer, and reports whether the service became pressed or
+// RecordResponse learns from an answer, and reports whether the service became pressed or
 // calm with it.
 //
 // An answer tells nothing if the callers' objective is not known, or if it would be
 // missed without any wait: then nobody gains by pacing.
-func (l *Load) Answered(a Answer) bool {
-	spare := a.Objective - a.Usual
-	if a.Usual <= 0 || spare <= 0 {
+func (l *Load) RecordResponse(a Response) bool {
+	slack := a.Objective - a.BaselineLatency
+	if a.BaselineLatency <= 0 || slack <= 0 {
 		return false
 	}
-	waited := float64(a.Took+a.Held-a.Usual) / float64(spare)
-	l.pressure += pressureStep * (min(max(waited, 0), maxPressure) - l.pressure)
+	waited := float64(a.Latency+a.QueueDelay-a.BaselineLatency) / float64(slack)
+	l.pressure += pressureSmoothing * (min(max(waited, 0), maxPressure) - l.pressure)
 	if l.slowdown == 0 {
 		l.slowdown = 1
 	}
-	l.slowdown += slowdownStep * (min(float64(a.Took)/float64(a.Usual), maxSlowdown) - l.slowdown)
-	before := l.pressed
-	l.pressed = l.pressure > pressedAbove || (before && l.pressure > calmBelow)
-	if l.pressed && !before {
-		l.window = max(float64(a.UnderWay), leastWindow)
+	l.slowdown += slowdownSmoothing * (min(float64(a.Latency)/float64(a.BaselineLatency), maxSlowdown) - l.slowdown)
+	before := l.congested
+	l.congested = l.pressure > congestionOnThreshold || (before && l.pressure > congestionOffThreshold)
+	if l.congested && !before {
+		l.window = max(float64(a.InFlight), minWindow)
 	}
-	if l.pressed {
+	if l.congested {
 		l.resize()
 	}
-	return l.pressed != before
+	return l.congested != before
 }
 
 // resize moves the window to where answers take as long as is tolerated.
 func (l *Load) resize() {
-	gradient := min(max(tolerance/l.slowdown, leastGradient), 1)
-	next := l.window*gradient + headroom
-	l.window = max(l.window+windowStep*(next-l.window), leastWindow)
+	gradient := min(max(toleratedSlowdown/l.slowdown, minGradient), 1)
+	next := l.window*gradient + windowHeadroom
+	l.window = max(l.window+windowSmoothing*(next-l.window), minWindow)
 }
--- a/core/steerer/admitting.go
+++ b/core/steerer/admitting.go
@@ -48,14 +48,14 @@
 	v := s.service(service)
 	s.assess(v)
 	a := v.room.admitter
-	a.AskedNew(route.Priority, s.work(route, v), s.now)
-	fits := a.Known() && a.Share(route.Priority) >= 1
-	nothingLeft := a.Known() && a.Share(route.Priority) <= 0
+	a.RecordNewFlowRequest(route.Priority, s.work(route, v), s.now)
+	fits := a.HasPeerReports() && a.AdmitRatio(route.Priority) >= 1
+	nothingLeft := a.HasPeerReports() && a.AdmitRatio(route.Priority) <= 0
 	switch {
-	case nothingLeft && a.Certain():
+	case nothingLeft && a.MayShutOut():
 		return refusedNoRoom // Higher priorities need all of it.
 	case !route.Kind.repeatable() && !nothingLeft:
-		if a.Known() && a.Crowded() && !a.Admit(route.Priority) {
+		if a.HasPeerReports() && a.Congested() && !a.Admit(route.Priority) {
 			return refusedNoRoom
 		}
 	case fits && s.wouldBeLate(v, to), !fits && s.wouldWait(v, to):
@@ -67,14 +67,14 @@
 // wouldWait reports whether the request of a new flow would wait behind others that wait
 // at this host already. Open flows can't be refused; with fewer of them less has to wait.
 func (s *Steerer) wouldWait(v *service, to *target) bool {
-	return v.load.Pressed() && s.waitingBeside(v, to) > 0
+	return v.load.Congested() && s.waitingBeside(v, to) > 0
 }
 
 // wouldBeLate reports whether maxWaitingShare of the host's window wait at this host. The
 // request of a new flow would wait for as large a part of the time of an answer then. Fewer
 // wait by chance, for a moment: while the fleet has room they are no reason to refuse anybody.
 func (s *Steerer) wouldBeLate(v *service, to *target) bool {
-	return v.load.Pressed() && float64(s.waitingBeside(v, to)) >= maxWaitingShare*v.load.Window()
+	return v.load.Congested() && float64(s.waitingBeside(v, to)) >= maxWaitingShare*v.load.Window()
 }
 
 // waitingBeside counts the requests that wait at this host for targets that are no slower
@@ -105,8 +105,8 @@
 	}
 	s.counts.add(RefusedNoRoom)
 	s.refuse(p, "noRoom", field("route", route.Name), field("service", service), field("priority", itoa(route.Priority)),
-		field("zone", s.config.AvailabilityZone), field("room", slotsText(a.Room())), field("demand", slotsText(a.Demand().Total())),
-		field("share", fmt.Sprintf("%.2f", a.Share(route.Priority))), field("demandAgeMillis", millis(a.Age(s.now))))
+		field("zone", s.config.AvailabilityZone), field("room", slotsText(a.Capacity())), field("demand", slotsText(a.Demand().Total())),
+		field("share", fmt.Sprintf("%.2f", a.AdmitRatio(route.Priority))), field("demandAgeMillis", millis(a.OldestReportAge(s.now))))
 }
 
 // slotsText writes a number of slots for logs.
@@ -124,6 +124,6 @@
 	if !f.route.Kind.repeatable() {
 		priority = 0 // It can't be held here either.
 	}
-	v.room.admitter.AskedOpen(priority, s.work(f.route, v), s.now)
+	v.room.admitter.RecordOpenFlowRequest(priority, s.work(f.route, v), s.now)
 	s.assess(v)
 }
--- a/core/steerer/counts.go
+++ b/core/steerer/counts.go
@@ -143,7 +143,7 @@
 	snapshot.Callers = s.throttler.CallerCount()
 	snapshot.Evacuated = len(s.evacuator.Zones())
 	for _, v := range s.services {
-		if v.load.Pressed() {
+		if v.load.Congested() {
 			snapshot.Pressed++
 		}
 	}
--- a/core/steerer/demands.go
+++ b/core/steerer/demands.go
@@ -17,14 +17,14 @@
 func (s *Steerer) addDemands(r *messenger.Report, to *peer) {
 	for _, name := range s.askedServices() {
 		a := s.services[name].room.admitter
-		if !a.Tells() {
+		if !a.ShouldReport() {
 			continue
 		}
 		if to.zone == s.config.AvailabilityZone && len(r.Demands) < maxDemands {
-			r.Demands = append(r.Demands, toldDemand(name, a.Own(s.now)))
+			r.Demands = append(r.Demands, toldDemand(name, a.LocalDemand(s.now)))
 		}
 		if to.zone != s.config.AvailabilityZone && len(r.ZoneDemands) < maxDemands {
-			r.ZoneDemands = append(r.ZoneDemands, toldDemand(name, a.Zone(s.now)))
+			r.ZoneDemands = append(r.ZoneDemands, toldDemand(name, a.ZoneDemand(s.now)))
 		}
 	}
 }
@@ -43,7 +43,7 @@
 			told.ByPriority = append(told.ByPriority, messenger.PriorityDemand{Priority: priority, MilliSlots: uint32(slots * milliSlots)})
 		}
 	}
-	for level := range admitter.Levels {
+	for level := range admitter.PriorityLevels {
 		add(level, demand.New[level])
 		add(openLevel(level), demand.Open[level])
 	}
@@ -59,9 +59,9 @@
 	for _, asked := range told.ByPriority {
 		slots := float64(asked.MilliSlots) / milliSlots
 		if asked.Priority < 0 {
-			demand.Open[min(openLevel(asked.Priority), admitter.Levels-1)] += slots
+			demand.Open[min(openLevel(asked.Priority), admitter.PriorityLevels-1)] += slots
 		} else {
-			demand.New[min(asked.Priority, admitter.Levels-1)] += slots
+			demand.New[min(asked.Priority, admitter.PriorityLevels-1)] += slots
 		}
 	}
 	return demand
@@ -82,9 +82,9 @@
 		}
 		v := s.service(told.Service)
 		if near {
-			v.room.admitter.TakeHost(from.name, demandOf(told), s.now)
+			v.room.admitter.ApplyHostReport(from.name, demandOf(told), s.now)
 		} else {
-			v.room.admitter.TakeZone(from.zone, demandOf(told), s.now)
+			v.room.admitter.ApplyZoneReport(from.zone, demandOf(told), s.now)
 		}
 		s.assess(v)
 	}
--- a/core/steerer/load.go
+++ b/core/steerer/load.go
@@ -47,7 +47,7 @@
 // pressed reports whether a service is asked for more than its targets can do.
 func (s *Steerer) pressed(name string) bool {
 	v, ok := s.services[name]
-	return ok && v.load.Pressed()
+	return ok && v.load.Congested()
 }
 
 // beginRequest counts a request that is passed on, first packet first.
@@ -93,10 +93,10 @@
 		return
 	}
 	v := s.service(f.target.Service)
-	changed := v.load.Answered(pacer.Answer{Took: took, Held: f.pacedFor, Usual: u.median, Objective: f.route.LatencyObjective, UnderWay: v.underWay})
+	changed := v.load.RecordResponse(pacer.Response{Latency: took, QueueDelay: f.pacedFor, BaselineLatency: u.median, Objective: f.route.LatencyObjective, InFlight: v.underWay})
 	if changed {
 		event := "serviceCalm"
-		if v.load.Pressed() {
+		if v.load.Congested() {
 			event = "servicePressed"
 		}
 		s.log(event, field("service", v.name), field("pressure", fmt.Sprintf("%.2f", v.load.Pressure())),
--- a/core/steerer/pacing.go
+++ b/core/steerer/pacing.go
@@ -41,7 +41,7 @@
 	if s.leaving.begun || f.target.health.unreachable() || s.paced >= maxPaced {
 		return false
 	}
-	return v.load.Pressed() && (f.target.line.Len() > 0 || !v.load.Room(v.underWay))
+	return v.load.Congested() && (f.target.line.Len() > 0 || !v.load.HasCapacity(v.underWay))
 }
 
 // pace lets a request wait if its service has no room for it, and reports whether it
@@ -63,10 +63,10 @@
 }
 
 // limits says what the callers of a route hope for.
-func (s *Steerer) limits(route Route) pacer.Limits {
-	limits := pacer.Limits{Objective: route.LatencyObjective, Timeout: route.Timeout, Priority: route.Priority}
+func (s *Steerer) limits(route Route) pacer.RouteParams {
+	limits := pacer.RouteParams{Objective: route.LatencyObjective, Timeout: route.Timeout, Priority: route.Priority}
 	if u, ok := s.usual[route.Name]; ok {
-		limits.Usual = u.median
+		limits.BaselineLatency = u.median
 	}
 	return limits
 }
@@ -128,7 +128,7 @@
 
 // passAllPaced passes on all that waits for a target.
 func (s *Steerer) passAllPaced(t *target, reason string) {
-	for r, waits := t.line.First(); waits; r, waits = t.line.First() {
+	for r, waits := t.line.Oldest(); waits; r, waits = t.line.Oldest() {
 		s.passPaced(r, reason)
 	}
 }
@@ -136,7 +136,7 @@
 // passOn passes on the requests of a service for which there is room, those for the
 // least busy targets first.
 func (s *Steerer) passOn(v *service) {
-	for v.paced > 0 && v.load.Room(v.underWay) {
+	for v.paced > 0 && v.load.HasCapacity(v.underWay) {
 		r := s.nextPaced(v)
 		if r == nil {
 			return
--- a/core/steerer/room.go
+++ b/core/steerer/room.go
@@ -77,11 +77,11 @@
 	case !u.known():
 	case spare <= 0:
 	case u.tooQuick(took):
-		if a.Short() {
-			a.Answered(1) // A full target has turned the request away.
+		if a.Overloaded() {
+			a.RecordWait(1) // A full target has turned the request away.
 		}
 	default:
-		a.Answered(float64(took-u.median) / float64(spare))
+		a.RecordWait(float64(took-u.median) / float64(spare))
 	}
 }
 
@@ -94,7 +94,7 @@
 		r.work[route.Name] = w
 	}
 	work := max(took-r.opening.median, shortestUsual)
-	doubtful := r.admitter.Tells() || r.admitter.Waits()
+	doubtful := r.admitter.ShouldReport() || r.admitter.Queueing()
 	w.add(work, doubtful)
 	if route.LatencyObjective > w.median {
 		r.anyWork.add(work, doubtful)
@@ -119,23 +119,23 @@
 	v.room.assessDeadline = s.now.Add(assessEvery)
 	a := v.room.admitter
 	reach := s.currentReach()
-	view := admitter.View{Room: s.roomOf(v.name), ZoneHosts: 1 + reach.living, InTouch: reach.inTouch()}
+	view := admitter.ServiceState{Capacity: s.roomOf(v.name), ZoneHosts: 1 + reach.living, HasPeerReports: reach.inTouch()}
 	if !a.Assess(s.now, view) {
 		return
 	}
 	event := "serviceFits"
-	if a.Short() {
+	if a.Overloaded() {
 		event = "serviceShort"
 	}
-	s.log(event, field("service", v.name), field("room", slotsText(a.Room())), field("slots", slotsText(view.Room)),
-		field("demand", slotsText(a.Demand().Total())), field("wait", fmt.Sprintf("%.2f", a.Wait())), field("zoneHosts", itoa(view.ZoneHosts)))
+	s.log(event, field("service", v.name), field("room", slotsText(a.Capacity())), field("slots", slotsText(view.Capacity)),
+		field("demand", slotsText(a.Demand().Total())), field("wait", fmt.Sprintf("%.2f", a.MeanWait())), field("zoneHosts", itoa(view.ZoneHosts)))
 }
 
 // assessTick brings the views of services up to date that may run short; those of others
 // follow what is asked and told.
 func (s *Steerer) assessTick() {
 	for _, name := range s.askedServices() {
-		if v := s.services[name]; v.room.admitter.Tells() || v.room.admitter.Short() {
+		if v := s.services[name]; v.room.admitter.ShouldReport() || v.room.admitter.Overloaded() {
 			s.assess(v)
 		}
 	}
@@ -224,10 +224,10 @@
 	fullest := 0.0
 	for _, v := range s.services {
 		a := v.room.admitter
-		if a.Short() {
+		if a.Overloaded() {
 			snapshot.Short++
 		}
-		demand, room := a.Demand().Total(), a.Room()
+		demand, room := a.Demand().Total(), a.Capacity()
 		if demand > fullest*room {
 			fullest = demand / max(room, 1)
 			snapshot.Demand, snapshot.Room = demand, room
--- a/core/steerer/target.go
+++ b/core/steerer/target.go
@@ -114,7 +114,7 @@
 	peersBusy int
 
 	// line holds the requests that wait at this host for the target.
-	line pacer.Line[*pacedRequest]
+	line pacer.Queue[*pacedRequest]
 
 	// toldSilentDeadline is until when another host's word counts that it is silent.
 	toldSilentDeadline timekeeper.Instant
--- a/core/steerer/throttling.go
+++ b/core/steerer/throttling.go
@@ -14,7 +14,7 @@
 		return false
 	}
 	a := v.room.admitter
-	return a.Short() || (!a.Known() && v.load.Pressed())
+	return a.Overloaded() || (!a.HasPeerReports() && v.load.Congested())
 }
 
 // throttled refuses a new flow whose caller has used up a quota, or has had more than its
--- a/scripts/red.sh
+++ b/scripts/red.sh
@@ -161,9 +161,9 @@
 without "one line for each change of an entry" steerer/foreign.go 'if !s.malformed[entry.Digest] {' 'if !s.malformed[0] {' TestEntryIsLoggedOnceThoughListsAreReadWhole
 without "one holder for each tag" steerer/table.go 'if !holder.missing {' 'if false {' TestEntryWithTheNumberOfAnotherGetsNoFlows
 without "requests that wait" steerer/pacing.go 'if !s.mayPace(f, v) {' 'if true {' 'TestFeedWaitsWhileItsServiceIsPressed|TestNewFeedIsRefusedWhileOthersWait'
-without "the bound on a wait" pacer/line.go 'return r.lastDeadline.Passed(now)' 'return false' TestPacedRequestIsPassedOnWhileItsCallerHasTime
+without "the bound on a wait" pacer/line.go 'return r.forcedDeadline.Passed(now)' 'return false' TestPacedRequestIsPassedOnWhileItsCallerHasTime
 without "repeats that wait, too" steerer/steering.go 'if f.paced != nil && s.pacedPacket(f, p) {' 'if false {' TestRepeatsOfAPacedRequestAreNotPassedOn
-without "refusals while others wait" steerer/admitting.go 'return v.load.Pressed() && s.waitingBeside(v, to) > 0' 'return false' TestNewFeedIsRefusedWhileOthersWait
+without "refusals while others wait" steerer/admitting.go 'return v.load.Congested() && s.waitingBeside(v, to) > 0' 'return false' TestNewFeedIsRefusedWhileOthersWait
 without "refusals only for who waits beside" steerer/admitting.go 'if s.slowness(t) <= most {' 'if true || s.slowness(t) <= most {' TestWaitForSlowTargetsRefusesNobody
 without "the end of a request whose caller has gone" steerer/flow.go 'func (s *Steerer) close(key flowKey, f *flow) {
 	s.dropPaced(f)' 'func (s *Steerer) close(key flowKey, f *flow) {' TestPacedRequestOfACallerThatHasGoneIsDropped
@@ -231,10 +231,10 @@
 without "room for a second set of holders" warmer/warmer.go 'holderSets = 2' 'holderSets = 1' TestTwoSetsOfHoldersStayWithinRateLimit
 
 package=pacer
-without "the gradient of the window" pacer/pacer.go 'next := l.window*gradient + headroom' 'next := l.window + headroom + 0*gradient' TestCrowdFindsShortQueues
-without "room for those that can be in time" pacer/line.go 'inTime := !r.aimDeadline.Passed(now)' 'inTime := true' 'TestCrowdFindsShortQueues|TestRequestThatWillBeLateLeavesItsPlaceToOthers'
-without "the turn of those that will be late" pacer/line.go 'if r.turnDeadline.Passed(now) {' 'if false {' TestWaitIsBounded
-without "the end of pacing" pacer/pacer.go '(before && l.pressure > calmBelow)' 'before' TestUsualLoadDoesNotWait
+without "the gradient of the window" pacer/pacer.go 'next := l.window*gradient + windowHeadroom' 'next := l.window + windowHeadroom + 0*gradient' TestPacingKeepsUrgentRequestsOnTimeInSurge
+without "room for those that can be in time" pacer/line.go 'onTime := !r.onTimeDeadline.Passed(now)' 'onTime := true' 'TestPacingKeepsUrgentRequestsOnTimeInSurge|TestLateRequestsYieldToOnTimeRequests'
+without "the turn of those that will be late" pacer/line.go 'if r.agingDeadline.Passed(now) {' 'if false {' TestQueueDelayIsBounded
+without "the end of pacing" pacer/pacer.go '(before && l.pressure > congestionOffThreshold)' 'before' TestNormalLoadIsNotQueued
 
 package=encoder
 without "targets in the shape of the release before" messenger/report.go 'Unreadable bool' 'Unreadable bool; Era uint64' TestTargetsAreReadByTheReleaseBefore
@@ -335,25 +335,25 @@
 without "word of known services alone" steerer/telling.go 'if d.OpenFlows > 0 && known {' '_ = known; if d.OpenFlows > 0 {' TestWordOfUnknownServicesIsNotKept
 without "word of flows" steerer/reports.go 'r.OpenFlows = s.toldFlows(to)' '_ = s.toldFlows(to)' TestHostsTellEachOtherWhatTheyHold
 package=admitter
-without "repeats told from first tries" admitter/admitter.go 'asked.New[i] /= triesAt(a.inForce[i])' 'asked.New[i] /= 1 + 0*triesAt(a.inForce[i])' TestRepeatsOfRefusedCallersAreNoDemand
-without "answers that overrule the estimate" admitter/admitter.go 'a.wait >= idleWait && a.demand' 'a.demand' TestIdleTargetsLetAnybodyIn
-without "the order of priorities" admitter/admitter.go 'room -= demand.New[i]' '_ = room' 'TestSharesFitIntoTheRoom|TestCrowdAfterLossServesUrgentCallersAndFillsTheRoom'
-without "the correction of the room" admitter/admitter.go 'a.correction = min(max(next, leastCorrection), mostCorrection)' '_ = next' TestWaitsCorrectTheRoom
-without "the mean over the hosts of a zone" admitter/admitter.go 'sum.Times(float64(max(a.view.ZoneHosts, count)) / float64(count))' 'sum.Times(1)' TestLargeFleetNeedsToHearOfFewHosts
-without "no room before a higher priority" admitter/admitter.go 'case room > 0:' 'default:' 'TestLowerPriorityWithoutMeteredDemandIsNotLetInBefore|TestSharesFitIntoTheRoom'
-without "sums that don't depend on order" admitter/admitter.go 'sum := a.own.demand(now).Plus(told.demand())' 'sum := a.own.demand(now)
-	for _, w := range a.hosts {
+without "repeats told from first tries" admitter/admitter.go 'requested.New[i] /= attemptsPerCaller(a.meanRatios[i])' 'requested.New[i] /= 1 + 0*attemptsPerCaller(a.meanRatios[i])' TestRetriesDoNotCountAsDemand
+without "answers that overrule the estimate" admitter/admitter.go 'a.wait >= minRefusalWait && a.demand' 'a.demand' TestIdleTargetsAdmitAll
+without "the order of priorities" admitter/admitter.go 'capacity -= demand.New[i]' '_ = capacity' 'TestAdmitRatiosFitCapacity|TestSurgeAfterTargetLossServesUrgentFirst'
+without "the correction of the room" admitter/admitter.go 'a.correction = min(max(next, minCorrection), maxCorrection)' '_ = next' TestWaitsCorrectCapacity
+without "the mean over the hosts of a zone" admitter/admitter.go 'sum.Times(float64(max(a.state.ZoneHosts, count)) / float64(count))' 'sum.Times(1)' TestLargeFleetConvergesWithSmallFanout
+without "no room before a higher priority" admitter/admitter.go 'case capacity > 0:' 'default:' 'TestUnmeteredLowPriorityIsNotAdmittedFirst|TestAdmitRatiosFitCapacity'
+without "sums that don't depend on order" admitter/admitter.go 'sum := a.localMeter.demand(now).Plus(reported.demand())' 'sum := a.localMeter.demand(now)
+	for _, w := range a.hostReports {
 		sum = sum.Plus(w.demand)
-	}' TestSumsDoNotDependOnOrder
+	}' TestDemandSumsAreOrderIndependent
 
 package=steerer
-without "refusals when nothing is left" steerer/admitting.go 'case nothingLeft && a.Certain():' 'case false && nothingLeft:' TestNothingLeftForReadsRefusesThemAtOnce
-without "the own window of hosts out of touch" steerer/room.go 'InTouch: reach.inTouch()}' 'InTouch: true}' TestHostOutOfTouchGoesByItsOwnWindow
-without "shares at the only host of a zone" steerer/room.go 'InTouch: reach.inTouch()}' 'InTouch: reach.heard}' TestOnlyHostOfAZoneSharesRoomWithOtherZones
+without "refusals when nothing is left" steerer/admitting.go 'case nothingLeft && a.MayShutOut():' 'case false && nothingLeft:' TestNothingLeftForReadsRefusesThemAtOnce
+without "the own window of hosts out of touch" steerer/room.go 'HasPeerReports: reach.inTouch()}' 'HasPeerReports: true}' TestHostOutOfTouchGoesByItsOwnWindow
+without "shares at the only host of a zone" steerer/room.go 'HasPeerReports: reach.inTouch()}' 'HasPeerReports: reach.heard}' TestOnlyHostOfAZoneSharesRoomWithOtherZones
 without "neighbours that are out of touch" steerer/room.go '(!r.neighbours && len(r.fresh) > 0)' 'len(r.fresh) > 0' TestHostOutOfTouchGoesByItsOwnWindow
-without "demand of other zones" steerer/demands.go 'v.room.admitter.TakeZone(from.zone, demandOf(told), s.now)' '_ = demandOf(told)' TestDemandOfOtherZonesCounts
-without "demand in reports" steerer/demands.go 'if !a.Tells() {' 'if true || !a.Tells() {' TestDemandIsToldOnceItFillsHalfOfTheRoom
-without "what can't run again where nothing is left" steerer/admitting.go 'case nothingLeft && a.Certain():' 'case nothingLeft && a.Certain() && route.Kind.repeatable():' TestLowPriorityThatCantRunAgainGetsNoRoomBeforeHigherOnes
+without "demand of other zones" steerer/demands.go 'v.room.admitter.ApplyZoneReport(from.zone, demandOf(told), s.now)' '_ = demandOf(told)' TestDemandOfOtherZonesCounts
+without "demand in reports" steerer/demands.go 'if !a.ShouldReport() {' 'if true || !a.ShouldReport() {' TestDemandIsToldOnceItFillsHalfOfTheRoom
+without "what can't run again where nothing is left" steerer/admitting.go 'case nothingLeft && a.MayShutOut():' 'case nothingLeft && a.MayShutOut() && route.Kind.repeatable():' TestLowPriorityThatCantRunAgainGetsNoRoomBeforeHigherOnes
 without "work that is not known" steerer/room.go 'case v.room.anyWork.known():' 'case false:' TestWorkThatIsNotKnownCountsAsTheServicesOther
 without "words of flows left out" steerer/demands.go 'len(told.ByPriority) == 0 || ' '' TestWordOfFlowsIsNoWordOfDemand
 without "word of hosts without callers" steerer/demands.go 'if len(told.ByPriority) == 0 {' 'if false {' TestHostWithoutCallersSaysSo
