--- a/core/detector/detector.go
+++ b/core/detector/detector.go
@@ -44,50 +44,50 @@
 	revision    uint64
 	members     map[string]*member
 	// names is sorted; it gives every loop over members the same order.
-	names    []string
-	cell     roster
-	fenced   []fencedRoster
-	sequence uint64
-	pings    map[uint64]sentPing
-	rumors   []spreading
-	held     map[string]heldVote
-	outgoing []Outgoing
-	relays   []relay
-
-	lastAnswer   timekeeper.Instant
-	now          timekeeper.Instant
-	start        timekeeper.Instant
-	nextRound    timekeeper.Instant
-	rotation     []string
-	decorate     func(peer string) messenger.Heartbeat
-	rejoined     bool
-	acted        bool
-	firstContact bool
+	names            []string
+	membership       cellMembership
+	priorMemberships []priorMembership
+	sequence         uint64
+	pings            map[uint64]sentPing
+	pendingUpdates   []pendingUpdate
+	heldVotes        map[string]heldVote
+	outgoing         []Outgoing
+	indirectPings    []indirectPing
+
+	lastAnswer       timekeeper.Instant
+	now              timekeeper.Instant
+	startedAt        timekeeper.Instant
+	nextPingRound    timekeeper.Instant
+	pingOrder        []string
+	extraPayload     func(peer string) messenger.Heartbeat
+	rejoined         bool
+	heldQuorum       bool
+	initialPingsSent bool
 }
 
 type sentPing struct {
 	to     string
 	sentAt timekeeper.Instant
-	// view is the version of the cell's view that went with it; zero for none.
-	view uint64
+	// viewVersion is the version of the cell's view that went with it; zero for none.
+	viewVersion uint64
 }
 
 // New makes the detector of a host. incarnation must be higher than at any
 // earlier start of the same host; seed makes the choice of hosts to ping
 // repeatable. decorate adds what other parts of the host have to say to a peer.
-func New(self string, incarnation, seed uint64, timing Timing, start timekeeper.Instant, decorate func(peer string) messenger.Heartbeat) *Detector {
+func New(self string, incarnation, seed uint64, timing Timing, start timekeeper.Instant, extraPayload func(peer string) messenger.Heartbeat) *Detector {
 	return &Detector{
-		self:        self,
-		timing:      timing,
-		random:      rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
-		incarnation: incarnation,
-		phase:       messenger.PhaseJoining,
-		members:     map[string]*member{},
-		pings:       map[uint64]sentPing{},
-		held:        map[string]heldVote{},
-		decorate:    decorate,
-		now:         start,
-		start:       start,
+		self:         self,
+		timing:       timing,
+		random:       rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
+		incarnation:  incarnation,
+		phase:        messenger.PhaseJoining,
+		members:      map[string]*member{},
+		pings:        map[uint64]sentPing{},
+		heldVotes:    map[string]heldVote{},
+		extraPayload: extraPayload,
+		now:          start,
+		startedAt:    start,
 	}
 }
 
@@ -113,7 +113,7 @@
 		}
 		m, ok := d.members[h.Name]
 		if !ok {
-			m = &member{deniedBy: map[string]bool{}, silentSince: now}
+			m = &member{declaredDeadBy: map[string]bool{}, lastHeardAt: now}
 			d.members[h.Name] = m
 		}
 		m.host = h
@@ -124,9 +124,9 @@
 			m.liveness = messenger.LivenessSuspect
 		}
 	}
-	d.changeRoster(cellNames, revision, now)
+	d.changeMembership(cellNames, revision, now)
 	for name := range d.members {
-		if !known[name] && !d.fencing(name) {
+		if !known[name] && !d.inPriorMembership(name) {
 			delete(d.members, name)
 		}
 	}
@@ -135,19 +135,19 @@
 		d.names = append(d.names, name)
 	}
 	slices.Sort(d.names)
-	d.rotation = nil
-	if !d.firstContact {
-		d.firstContact = true
-		d.greet(now)
+	d.pingOrder = nil
+	if !d.initialPingsSent {
+		d.initialPingsSent = true
+		d.sendInitialPings(now)
 	}
 }
 
-// greet pings some hosts at once, so that a new host learns about the fleet
+// sendInitialPings pings some hosts at once, so that a new host learns about the fleet
 // within a round trip.
-func (d *Detector) greet(now timekeeper.Instant) {
-	const most = 32
+func (d *Detector) sendInitialPings(now timekeeper.Instant) {
+	const maxPings = 32
 	for i, name := range d.names {
-		if i == most {
+		if i == maxPings {
 			return
 		}
 		d.ping(name, now)
@@ -166,15 +166,15 @@
 		return
 	}
 	d.phase = phase
-	d.spread(d.self)
-	d.nextRound = 0
+	d.queueUpdate(d.self)
+	d.nextPingRound = 0
 	if phase == messenger.PhaseReady {
 		// Votes count only from hosts that know this host to be ready.
-		d.forgetVotes()
+		d.discardLeases()
 	}
 }
 
-func (d *Detector) forgetVotes() {
+func (d *Detector) discardLeases() {
 	clear(d.pings)
 	for _, m := range d.members {
 		m.leaseDeadline = 0
@@ -188,8 +188,8 @@
 	return rejoined
 }
 
-// Take returns the messages to send and forgets them.
-func (d *Detector) Take() []Outgoing {
+// TakeOutgoing returns the messages to send and forgets them.
+func (d *Detector) TakeOutgoing() []Outgoing {
 	out := d.outgoing
 	d.outgoing = nil
 	return out
@@ -202,17 +202,17 @@
 // Tick lets time pass. It must be called several times an interval.
 func (d *Detector) Tick(now timekeeper.Instant) {
 	d.now = now
-	d.reclaim(now)
-	d.expireFences(now)
-	d.acted = d.acted || d.HasQuorum(now)
+	d.reclaimOwnVote(now)
+	d.expirePriorMemberships(now)
+	d.heldQuorum = d.heldQuorum || d.HasQuorum(now)
 	for _, name := range d.names {
-		d.age(d.members[name], now)
+		d.checkTimeouts(d.members[name], now)
 	}
-	if !d.nextRound.Passed(now) {
+	if !d.nextPingRound.Passed(now) {
 		return
 	}
-	d.nextRound = now.Add(d.timing.PingEvery)
-	d.round(now)
+	d.nextPingRound = now.Add(d.timing.PingInterval)
+	d.sendPingRound(now)
 }
 
 // NoteRevision takes in that a host has a settings revision in force, as a
@@ -226,44 +226,44 @@
 // LastAnswer returns when the latest ping was sent that a host has answered.
 func (d *Detector) LastAnswer() timekeeper.Instant { return d.lastAnswer }
 
-// Slept tells the detector that the host was paused.
+// NotePause tells the detector that the host was paused.
 //
 // What goes wrong: a host that was paused for longer than DeadAfter finds, at
 // its first tick, that nobody has answered for that long, and gives up every
 // host in the cell although they live. One notices by a burst of "host dead"
 // lines from one host. So a host that slept first gives the others the time to
 // answer; its own leases have ended by themselves.
-func (d *Detector) Slept(now timekeeper.Instant) {
+func (d *Detector) NotePause(now timekeeper.Instant) {
 	d.now = now
 	clear(d.pings)
 	d.lastAnswer = 0
 	for _, m := range d.members {
-		m.silentSince = now
+		m.lastHeardAt = now
 		m.pingDeadline = 0
 		if m.liveness == messenger.LivenessSuspect {
 			m.suspectDeadline = now.Add(d.timing.DeadAfter)
 		}
 	}
-	d.nextRound = now
+	d.nextPingRound = now
 }
 
-func (d *Detector) age(m *member, now timekeeper.Instant) {
+func (d *Detector) checkTimeouts(m *member, now timekeeper.Instant) {
 	if m.inCell {
-		d.ageInCell(m, now)
+		d.checkCellTimeouts(m, now)
 		return
 	}
 	if m.pingDeadline != 0 && m.pingDeadline.Passed(now) {
 		m.pingDeadline = 0
-		d.askOthers(m.host.Name, now)
-		d.suspect(m, now)
+		d.requestIndirectPings(m.host.Name, now)
+		d.markSuspect(m, now)
 	}
 	if m.liveness == messenger.LivenessSuspect && m.suspectDeadline.Passed(now) {
 		d.declareDead(m, now)
 	}
 }
 
-func (d *Detector) ageInCell(m *member, now timekeeper.Instant) {
-	silence := now - m.silentSince
+func (d *Detector) checkCellTimeouts(m *member, now timekeeper.Instant) {
+	silence := now - m.lastHeardAt
 	if m.liveness == messenger.LivenessAlive && silence >= timekeeper.Instant(d.timing.SuspectAfter) {
 		m.liveness = messenger.LivenessSuspect
 	}
@@ -275,36 +275,36 @@
 	}
 }
 
-func (d *Detector) suspect(m *member, now timekeeper.Instant) {
+func (d *Detector) markSuspect(m *member, now timekeeper.Instant) {
 	if m.liveness != messenger.LivenessAlive {
 		return
 	}
 	m.liveness = messenger.LivenessSuspect
 	m.suspectDeadline = now.Add(d.timing.DeadAfter)
-	d.spread(m.host.Name)
+	d.queueUpdate(m.host.Name)
 }
 
 func (d *Detector) declareDead(m *member, now timekeeper.Instant) {
 	m.liveness = messenger.LivenessDead
 	m.leaseDeadline = 0
 	if m.incarnation != 0 && !m.left {
-		m.lostAt = now
+		m.stateLostAt = now
 	}
-	d.spread(m.host.Name)
+	d.queueUpdate(m.host.Name)
 }
 
-// round pings the whole cell and one host outside of it.
-func (d *Detector) round(now timekeeper.Instant) {
+// sendPingRound pings the whole cell and one host outside of it.
+func (d *Detector) sendPingRound(now timekeeper.Instant) {
 	for _, name := range d.names {
 		if d.members[name].inCell {
 			d.ping(name, now)
 		}
 	}
-	if name, ok := d.nextOutside(); ok {
+	if name, ok := d.nextRemotePeer(); ok {
 		d.ping(name, now)
 		m := d.members[name]
 		if m.pingDeadline == 0 {
-			m.pingDeadline = now.Add(d.timing.PingEvery)
+			m.pingDeadline = now.Add(d.timing.PingInterval)
 		}
 	}
 	for sequence, p := range d.pings {
@@ -314,33 +314,33 @@
 	}
 }
 
-// nextOutside walks the hosts outside the cell in random order, each once
+// nextRemotePeer walks the hosts outside the cell in random order, each once
 // before any comes again, which bounds the time until a failure is noticed.
-func (d *Detector) nextOutside() (string, bool) {
-	if len(d.rotation) == 0 {
+func (d *Detector) nextRemotePeer() (string, bool) {
+	if len(d.pingOrder) == 0 {
 		for _, name := range d.names {
 			if !d.members[name].inCell {
-				d.rotation = append(d.rotation, name)
+				d.pingOrder = append(d.pingOrder, name)
 			}
 		}
-		d.random.Shuffle(len(d.rotation), func(i, j int) {
-			d.rotation[i], d.rotation[j] = d.rotation[j], d.rotation[i]
+		d.random.Shuffle(len(d.pingOrder), func(i, j int) {
+			d.pingOrder[i], d.pingOrder[j] = d.pingOrder[j], d.pingOrder[i]
 		})
 	}
-	if len(d.rotation) == 0 {
+	if len(d.pingOrder) == 0 {
 		return "", false
 	}
-	name := d.rotation[0]
-	d.rotation = d.rotation[1:]
+	name := d.pingOrder[0]
+	d.pingOrder = d.pingOrder[1:]
 	return name, true
 }
 
 func (d *Detector) ping(name string, now timekeeper.Instant) {
 	d.sequence++
-	news := d.news(name)
+	news := d.buildHeartbeat(name)
 	sent := sentPing{to: name, sentAt: now}
 	if len(news.CellMembers) > 0 {
-		sent.view = d.viewVersion()
+		sent.viewVersion = d.viewVersion()
 	}
 	d.pings[d.sequence] = sent
 	d.send(name, &messenger.Ping{Sequence: d.sequence, Heartbeat: news})
@@ -355,68 +355,68 @@
 	}
 	switch body := body.(type) {
 	case *messenger.Ping:
-		d.hear(m, body.Heartbeat, now)
-		d.vote(m, body.Sequence, now)
+		d.applyHeartbeat(m, body.Heartbeat, now)
+		d.ackPing(m, body.Sequence, now)
 	case *messenger.Ack:
-		d.hear(m, body.Heartbeat, now)
-		d.answered(m, body, now)
+		d.applyHeartbeat(m, body.Heartbeat, now)
+		d.handleAck(m, body, now)
 	case *messenger.PingRequest:
-		d.hear(m, body.Heartbeat, now)
+		d.applyHeartbeat(m, body.Heartbeat, now)
 		if _, ok := d.members[body.Subject]; ok {
-			d.relays = append(d.relays, relay{asker: from, subject: body.Subject, deadline: now.Add(d.timing.DeadAfter)})
+			d.indirectPings = append(d.indirectPings, indirectPing{requester: from, subject: body.Subject, deadline: now.Add(d.timing.DeadAfter)})
 			d.ping(body.Subject, now)
 		}
 	case *messenger.IndirectAck:
-		d.hear(m, body.Heartbeat, now)
-		d.believe(body.Subject, now)
-		d.acceptVouch(body.Subject)
+		d.applyHeartbeat(m, body.Heartbeat, now)
+		d.applyMemberState(body.Subject, now)
+		d.applyIndirectAck(body.Subject)
 	}
 }
 
-// vote answers a ping and notes the promise that goes with the answer. A host
+// ackPing answers a ping and notes the promise that goes with the answer. A host
 // that was given up gets an answer, which tells it so, but no promise.
-func (d *Detector) vote(m *member, sequence uint64, now timekeeper.Instant) {
+func (d *Detector) ackPing(m *member, sequence uint64, now timekeeper.Instant) {
 	if m.liveness != messenger.LivenessDead {
 		m.grantDeadline = now.Add(d.timing.Grant)
 	}
-	news := d.news(m.host.Name)
+	news := d.buildHeartbeat(m.host.Name)
 	if m.inCell {
 		news.Votes, news.WithheldVotes, news.ProvisionalVotes = d.votesFor(m)
 	}
 	d.send(m.host.Name, &messenger.Ack{Sequence: sequence, Heartbeat: news})
 }
 
-func (d *Detector) answered(m *member, ack *messenger.Ack, now timekeeper.Instant) {
+func (d *Detector) handleAck(m *member, ack *messenger.Ack, now timekeeper.Instant) {
 	sent, ok := d.pings[ack.Sequence]
 	if !ok || sent.to != m.host.Name || ack.Heartbeat.Incarnation < m.incarnation {
 		return
 	}
 	delete(d.pings, ack.Sequence)
-	if sent.view != 0 {
-		m.toldView = sent.view
+	if sent.viewVersion != 0 {
+		m.ackedViewVersion = sent.viewVersion
 	}
 	if m.inCell {
-		m.holds = append(slices.Clone(ack.Heartbeat.Votes), ack.Heartbeat.WithheldVotes...)
-		m.unsettled = ack.Heartbeat.ProvisionalVotes
+		m.heldVotes = append(slices.Clone(ack.Heartbeat.Votes), ack.Heartbeat.WithheldVotes...)
+		m.unsettledVotes = ack.Heartbeat.ProvisionalVotes
 	}
 	d.lastAnswer = max(d.lastAnswer, sent.sentAt)
-	d.vouch(m, now)
+	d.sendIndirectAcks(m, now)
 	if m.liveness == messenger.LivenessDead {
 		return
 	}
-	m.silentSince = now
+	m.lastHeardAt = now
 	m.pingDeadline = 0
 	if m.liveness != messenger.LivenessAlive {
 		m.liveness = messenger.LivenessAlive
-		d.spread(m.host.Name)
+		d.queueUpdate(m.host.Name)
 	}
-	if votes(ack.Heartbeat.Phase) && !deniesMe(ack.Heartbeat.CellMembers, d.self, d.incarnation) {
+	if canVote(ack.Heartbeat.Phase) && !declaresSelfDead(ack.Heartbeat.CellMembers, d.self, d.incarnation) {
 		m.leaseVotes = ack.Heartbeat.Votes
 		m.leaseDeadline = max(m.leaseDeadline, sent.sentAt.Add(d.timing.Lease))
 	}
 }
 
-func deniesMe(cell []messenger.MemberState, self string, incarnation uint64) bool {
+func declaresSelfDead(cell []messenger.MemberState, self string, incarnation uint64) bool {
 	for _, r := range cell {
 		if r.Host == self && r.Incarnation == incarnation && r.Liveness == messenger.LivenessDead {
 			return true
@@ -425,51 +425,51 @@
 	return false
 }
 
-// hear takes in what a peer says of itself and of others.
-func (d *Detector) hear(m *member, news messenger.Heartbeat, now timekeeper.Instant) {
+// applyHeartbeat takes in what a peer says of itself and of others.
+func (d *Detector) applyHeartbeat(m *member, news messenger.Heartbeat, now timekeeper.Instant) {
 	if news.Incarnation < m.incarnation {
 		return
 	}
 	if news.Incarnation > m.incarnation {
-		m.renew(news.Incarnation, now)
-		m.enter(news.Phase, now)
+		m.startIncarnation(news.Incarnation, now)
+		m.setPhase(news.Phase, now)
 		m.liveness = messenger.LivenessAlive
-		m.silentSince = now
-		d.spread(m.host.Name)
+		m.lastHeardAt = now
+		d.queueUpdate(m.host.Name)
 	}
 	// Within one incarnation a host only moves forward; an older message that
 	// comes late must not bring an earlier phase back.
 	if news.Phase > m.phase {
-		m.enter(news.Phase, now)
-		d.spread(m.host.Name)
+		m.setPhase(news.Phase, now)
+		d.queueUpdate(m.host.Name)
 	}
 	m.revision = max(m.revision, news.SettingsRevision)
-	m.acted = m.acted || news.HeldQuorum
+	m.heldQuorum = m.heldQuorum || news.HeldQuorum
 	refuted := news.Refutations > m.refutations
 	m.refutations = max(m.refutations, news.Refutations)
 	if !m.inCell && (refuted || m.liveness != messenger.LivenessDead) {
-		m.silentSince = now
+		m.lastHeardAt = now
 		m.pingDeadline = 0
 		if m.liveness != messenger.LivenessAlive {
 			m.liveness = messenger.LivenessAlive
-			d.spread(m.host.Name)
+			d.queueUpdate(m.host.Name)
 		}
 	}
 	for _, r := range news.CellMembers {
-		d.hearInCell(m, r, now)
+		d.applyCellUpdate(m, r, now)
 	}
 	for _, r := range news.MemberUpdates {
-		d.believe(r, now)
+		d.applyMemberState(r, now)
 	}
 }
 
-// hearInCell takes in a cell peer's view of another cell member.
-func (d *Detector) hearInCell(from *member, r messenger.MemberState, now timekeeper.Instant) {
+// applyCellUpdate takes in a cell peer's view of another cell member.
+func (d *Detector) applyCellUpdate(from *member, r messenger.MemberState, now timekeeper.Instant) {
 	if !from.inCell {
 		return
 	}
 	if r.Host == d.self {
-		d.hearOwnDeath(r, now)
+		d.handleOwnDeath(r, now)
 		return
 	}
 	m, ok := d.members[r.Host]
@@ -477,49 +477,49 @@
 		return
 	}
 	if r.Incarnation > m.incarnation {
-		m.renew(r.Incarnation, now)
-		m.enter(r.Phase, now)
+		m.startIncarnation(r.Incarnation, now)
+		m.setPhase(r.Phase, now)
 		m.liveness = messenger.LivenessSuspect
-		m.silentSince = now
+		m.lastHeardAt = now
 	}
 	if r.Liveness == messenger.LivenessDead {
-		m.deniedBy[from.host.Name] = true
-		d.adoptDeath(m, now)
+		m.declaredDeadBy[from.host.Name] = true
+		d.adoptDeadState(m, now)
 	}
 	if r.Phase > m.phase {
-		m.enter(r.Phase, now)
+		m.setPhase(r.Phase, now)
 	}
 }
 
-// adoptDeath makes a host that has not joined yet believe what its cell knows:
+// adoptDeadState makes a host that has not joined yet believe what its cell knows:
 // it has no memory of an earlier incarnation's promise that it could break.
-func (d *Detector) adoptDeath(m *member, now timekeeper.Instant) {
-	if votes(d.phase) || m.liveness == messenger.LivenessDead {
+func (d *Detector) adoptDeadState(m *member, now timekeeper.Instant) {
+	if canVote(d.phase) || m.liveness == messenger.LivenessDead {
 		return
 	}
 	d.declareDead(m, now)
 }
 
-// hearOwnDeath takes in that a cell peer gave this host up. The host answers
+// handleOwnDeath takes in that a cell peer gave this host up. The host answers
 // with a new incarnation. If the hosts that still vote for it are no quorum,
 // another host may have taken over its flows, so it joins anew.
 //
 // A host must not take a new incarnation for any other reason: peers would
 // forget that they gave it up, and it would go on with records that are old.
-func (d *Detector) hearOwnDeath(r messenger.MemberState, now timekeeper.Instant) {
+func (d *Detector) handleOwnDeath(r messenger.MemberState, now timekeeper.Instant) {
 	if r.Liveness != messenger.LivenessDead || r.Incarnation < d.incarnation {
 		return
 	}
-	held := d.HasQuorum(now)
+	hadQuorum := d.HasQuorum(now)
 	d.incarnation = r.Incarnation + 1
 	d.refutations = 0
-	d.spread(d.self)
-	if votes(d.phase) && !held {
+	d.queueUpdate(d.self)
+	if canVote(d.phase) && !hadQuorum {
 		d.phase = messenger.PhaseJoining
-		d.acted = false
+		d.heldQuorum = false
 		d.rejoined = true
 	}
 }
 
-// LeaseSpan returns the timing's lease, for callers that wait one out.
-func (d *Detector) LeaseSpan() time.Duration { return d.timing.Lease }
+// LeaseDuration returns the timing's lease, for callers that wait one out.
+func (d *Detector) LeaseDuration() time.Duration { return d.timing.Lease }
--- a/core/detector/detector_test.go
+++ b/core/detector/detector_test.go
@@ -15,17 +15,17 @@
 
 // network is detectors with links of one tick.
 type network struct {
-	now   timekeeper.Instant
-	nodes map[string]*detector.Detector
-	names []string
-	cut   map[[2]string]bool
-	sent  int
+	now       timekeeper.Instant
+	detectors map[string]*detector.Detector
+	names     []string
+	cutLinks  map[[2]string]bool
+	sent      int
 }
 
 const tick = 20 * time.Millisecond
 
 func newNetwork(cells map[string]int) *network {
-	n := &network{now: timekeeper.Instant(time.Second), nodes: map[string]*detector.Detector{}, cut: map[[2]string]bool{}}
+	n := &network{now: timekeeper.Instant(time.Second), detectors: map[string]*detector.Detector{}, cutLinks: map[[2]string]bool{}}
 	var hosts []resolver.Host
 	for cell, size := range cells {
 		for i := range size {
@@ -40,7 +40,7 @@
 		d := detector.New(name, 10, uint64(i), detector.DefaultTiming(), n.now, nil)
 		d.SetHosts(hosts, 1, n.now)
 		d.SetPhase(messenger.PhaseReady)
-		n.nodes[name] = d
+		n.detectors[name] = d
 	}
 	return n
 }
@@ -49,25 +49,25 @@
 	for end := n.now.Add(span); n.now < end; n.now = n.now.Add(tick) {
 		for _, name := range n.names {
 			if !slices.Contains(paused, name) {
-				n.nodes[name].Tick(n.now)
+				n.detectors[name].Tick(n.now)
 			}
 		}
 		for _, name := range n.names {
-			for _, out := range n.nodes[name].Take() {
+			for _, out := range n.detectors[name].TakeOutgoing() {
 				n.sent++
-				if !n.cut[[2]string{name, out.To}] && !slices.Contains(paused, out.To) {
-					n.nodes[out.To].Receive(name, out.Body, n.now)
+				if !n.cutLinks[[2]string{name, out.To}] && !slices.Contains(paused, out.To) {
+					n.detectors[out.To].Receive(name, out.Body, n.now)
 				}
 			}
 		}
 	}
 }
 
-func (n *network) separate(group ...string) {
+func (n *network) partition(group ...string) {
 	for _, a := range n.names {
 		for _, b := range n.names {
 			if slices.Contains(group, a) != slices.Contains(group, b) {
-				n.cut[[2]string{a, b}] = true
+				n.cutLinks[[2]string{a, b}] = true
 			}
 		}
 	}
@@ -75,7 +75,7 @@
 
 // Symptom: two sides of a cut both act. Sequence: a cell is split in every way.
 // Cause: quorums that do not meet.
-func TestAtMostOneSideHoldsAQuorum(t *testing.T) {
+func TestPartitionLeavesAtMostOneQuorum(t *testing.T) {
 	for _, size := range []int{2, 3, 4, 5, 8} {
 		for split := 0; split < 1<<size; split++ {
 			n := newNetwork(map[string]int{"a": size})
@@ -86,11 +86,11 @@
 					group = append(group, name)
 				}
 			}
-			n.separate(group...)
+			n.partition(group...)
 			n.step(4 * time.Second)
 			sides := map[bool]bool{}
 			for _, name := range n.names {
-				if n.nodes[name].HasQuorum(n.now) {
+				if n.detectors[name].HasQuorum(n.now) {
 					sides[slices.Contains(group, name)] = true
 				}
 			}
@@ -104,33 +104,33 @@
 
 // Symptom: a paused host gives everyone up when it wakes.
 // Sequence: a host sleeps for 30 s. Cause: silence that was its own.
-func TestSleeperGivesNobodyUp(t *testing.T) {
+func TestPausedHostDeclaresNoPeerDead(t *testing.T) {
 	n := newNetwork(map[string]int{"a": 3, "b": 3})
 	n.step(5 * time.Second)
 	n.step(30*time.Second, "a2")
-	n.nodes["a2"].Slept(n.now)
-	require.False(t, n.nodes["a2"].HasQuorum(n.now), "its votes ended while it slept")
-	require.True(t, n.nodes["a1"].Denied("a2"))
+	n.detectors["a2"].NotePause(n.now)
+	require.False(t, n.detectors["a2"].HasQuorum(n.now), "its votes ended while it slept")
+	require.True(t, n.detectors["a1"].ConfirmedDead("a2"))
 	n.step(time.Second)
 	for _, name := range n.names {
 		if name != "a2" {
-			require.Equal(t, messenger.LivenessAlive, n.nodes["a2"].State(name).Liveness, name)
+			require.Equal(t, messenger.LivenessAlive, n.detectors["a2"].State(name).Liveness, name)
 		}
 	}
-	require.True(t, n.nodes["a2"].Rejoined(), "it has to join anew")
-	require.False(t, n.nodes["a1"].Denied("a2"), "its new incarnation is welcome")
+	require.True(t, n.detectors["a2"].Rejoined(), "it has to join anew")
+	require.False(t, n.detectors["a1"].ConfirmedDead("a2"), "its new incarnation is welcome")
 }
 
 // Symptom: a host that was given up goes on with a vote of who gave it up.
 // Sequence: a host sleeps, is given up, and its ping from before comes late.
 // Cause: an answer that is a vote whatever the voter believes.
-func TestHostThatWasGivenUpGetsNoVote(t *testing.T) {
+func TestDeadHostGetsNoVote(t *testing.T) {
 	n := newNetwork(map[string]int{"a": 3})
 	n.step(3 * time.Second)
 	n.step(5*time.Second, "a2")
-	require.True(t, n.nodes["a1"].Denied("a2"))
-	n.nodes["a1"].Receive("a2", &messenger.Ping{Sequence: 7, Heartbeat: messenger.Heartbeat{Incarnation: 10, Phase: messenger.PhaseReady}}, n.now)
-	out := n.nodes["a1"].Take()
+	require.True(t, n.detectors["a1"].ConfirmedDead("a2"))
+	n.detectors["a1"].Receive("a2", &messenger.Ping{Sequence: 7, Heartbeat: messenger.Heartbeat{Incarnation: 10, Phase: messenger.PhaseReady}}, n.now)
+	out := n.detectors["a1"].TakeOutgoing()
 	require.Len(t, out, 1)
 	require.Empty(t, out[0].Body.(*messenger.Ack).Heartbeat.Votes)
 	require.NotEmpty(t, out[0].Body.(*messenger.Ack).Heartbeat.WithheldVotes)
@@ -138,19 +138,19 @@
 
 // Symptom: hosts of another zone are believed dead for ever after a cut heals.
 // Sequence: a zone is cut off and comes back. Cause: nobody refutes the rumor.
-func TestZoneComesBackAfterACut(t *testing.T) {
+func TestZoneRecoversAfterPartition(t *testing.T) {
 	n := newNetwork(map[string]int{"a": 2, "b": 3, "c": 3})
 	n.step(10 * time.Second)
-	n.separate("a1", "a2")
+	n.partition("a1", "a2")
 	n.step(20 * time.Second)
-	require.Equal(t, messenger.LivenessDead, n.nodes["b1"].State("a1").Liveness)
-	require.True(t, n.nodes["a1"].HasQuorum(n.now), "its own cell is whole")
-	clear(n.cut)
+	require.Equal(t, messenger.LivenessDead, n.detectors["b1"].State("a1").Liveness)
+	require.True(t, n.detectors["a1"].HasQuorum(n.now), "its own cell is whole")
+	clear(n.cutLinks)
 	n.step(15 * time.Second)
 	for _, from := range n.names {
 		for _, to := range n.names {
 			if from != to {
-				require.Equal(t, messenger.LivenessAlive, n.nodes[from].State(to).Liveness, "%s about %s", from, to)
+				require.Equal(t, messenger.LivenessAlive, n.detectors[from].State(to).Liveness, "%s about %s", from, to)
 			}
 		}
 	}
@@ -159,19 +159,19 @@
 // Symptom: a host looks dead to one other since a single link broke.
 // Sequence: the link between two hosts of different zones breaks.
 // Cause: no second opinion.
-func TestOneBrokenLinkKillsNobody(t *testing.T) {
+func TestSingleLinkFailureDeclaresNoHostDead(t *testing.T) {
 	n := newNetwork(map[string]int{"a": 3, "b": 3})
 	n.step(5 * time.Second)
-	n.cut[[2]string{"a1", "b1"}], n.cut[[2]string{"b1", "a1"}] = true, true
+	n.cutLinks[[2]string{"a1", "b1"}], n.cutLinks[[2]string{"b1", "a1"}] = true, true
 	for range 30 {
 		n.step(time.Second)
-		require.NotEqual(t, messenger.LivenessDead, n.nodes["a1"].State("b1").Liveness)
+		require.NotEqual(t, messenger.LivenessDead, n.detectors["a1"].State("b1").Liveness)
 	}
 }
 
 // The work of a host must not grow with the fleet: heartbeats go to the own cell
 // and to one other host.
-func TestHeartbeatsDoNotGrowWithTheFleet(t *testing.T) {
+func TestHeartbeatRateIndependentOfFleetSize(t *testing.T) {
 	perHost := func(cells int) float64 {
 		sizes := map[string]int{}
 		for i := range cells {
@@ -187,10 +187,10 @@
 	require.Less(t, large/small, 1.1, "%.1f messages a second with 12 hosts, %.1f with 120", small, large)
 }
 
-func TestTimingIsChecked(t *testing.T) {
+func TestTimingCheck(t *testing.T) {
 	require.NoError(t, detector.DefaultTiming().Check())
 	for name, change := range map[string]func(*detector.Timing){
-		"short lease": func(t *detector.Timing) { t.Lease = t.PingEvery },
+		"short lease": func(t *detector.Timing) { t.Lease = t.PingInterval },
 		"no drift":    func(t *detector.Timing) { t.Grant = t.Lease },
 		"dead early":  func(t *detector.Timing) { t.DeadAfter = t.Lease },
 	} {
--- a/core/detector/member.go
+++ b/core/detector/member.go
@@ -15,30 +15,30 @@
 	liveness    messenger.Liveness
 	phase       messenger.Phase
 	revision    uint64
-	// silentSince is when the host last answered a ping of ours.
-	silentSince timekeeper.Instant
+	// lastHeardAt is when the host last answered a ping of ours.
+	lastHeardAt timekeeper.Instant
 	// suspectDeadline is when a suspect outside the cell is given up.
 	suspectDeadline timekeeper.Instant
 	// leaseDeadline is when the host's vote for us ends.
 	leaseDeadline timekeeper.Instant
 	// leaseVotes names the votes that came with the lease.
 	leaseVotes []string
-	// toldView is the version of this host's view of the cell that the host has
+	// ackedViewVersion is the version of this host's view of the cell that the host has
 	// acknowledged.
-	toldView uint64
-	// holds names every vote that the host held at its last word; unsettled
+	ackedViewVersion uint64
+	// heldVotes names every vote that the host held at its last word; unsettled
 	// those of them that can't give anybody up yet.
-	holds     []string
-	unsettled []string
+	heldVotes      []string
+	unsettledVotes []string
 	// grantDeadline is when our vote for the host ends.
 	grantDeadline timekeeper.Instant
-	// lostAt is when the host last lost its memory, as far as is known: when it
+	// stateLostAt is when the host last lost its memory, as far as is known: when it
 	// was given up, or came back without having left. Zero is never.
-	lostAt timekeeper.Instant
-	// acted says that the host has held a quorum under this incarnation.
-	acted bool
-	// deniedBy names the cell members that gave up this incarnation.
-	deniedBy map[string]bool
+	stateLostAt timekeeper.Instant
+	// heldQuorum says that the host has held a quorum under this incarnation.
+	heldQuorum bool
+	// declaredDeadBy names the cell members that gave up this incarnation.
+	declaredDeadBy map[string]bool
 	// left says that the host left by plan and has not come back.
 	left bool
 	// leftAt is when this host heard of that.
@@ -47,32 +47,32 @@
 	pingDeadline timekeeper.Instant
 }
 
-// renew starts a new incarnation of the host: nothing that was said about an
+// startIncarnation starts a new incarnation of the host: nothing that was said about an
 // earlier one counts any more.
-func (m *member) renew(incarnation uint64, now timekeeper.Instant) {
+func (m *member) startIncarnation(incarnation uint64, now timekeeper.Instant) {
 	if m.incarnation != 0 && !m.left {
-		m.lostAt = now
+		m.stateLostAt = now
 	}
 	m.incarnation = incarnation
 	m.refutations = 0
-	m.deniedBy = map[string]bool{}
+	m.declaredDeadBy = map[string]bool{}
 	m.leaseDeadline = 0
 	m.leaseVotes = nil
-	m.holds = nil
-	m.toldView = 0
+	m.heldVotes = nil
+	m.ackedViewVersion = 0
 	m.grantDeadline = 0
-	m.acted = false
+	m.heldQuorum = false
 	m.pingDeadline = 0
 }
 
-// newer reports whether a rumor is about a later state of the host than what is
+// isNewer reports whether a rumor is about a later state of the host than what is
 // known; a refutation revives a host without a new incarnation.
-func (m *member) newer(r messenger.MemberState) bool {
+func (m *member) isNewer(r messenger.MemberState) bool {
 	return r.Incarnation > m.incarnation || (r.Incarnation == m.incarnation && r.Refutations > m.refutations)
 }
 
-// enter moves the host to a phase of its present incarnation.
-func (m *member) enter(phase messenger.Phase, now timekeeper.Instant) {
+// setPhase moves the host to a phase of its present incarnation.
+func (m *member) setPhase(phase messenger.Phase, now timekeeper.Instant) {
 	m.phase = phase
 	switch phase {
 	case messenger.PhaseLeft:
@@ -90,7 +90,7 @@
 	return messenger.MemberState{Host: m.host.Name, Incarnation: m.incarnation, Refutations: m.refutations, Liveness: m.liveness, Phase: m.phase}
 }
 
-// votes reports whether the host's Acks count as votes.
-func votes(phase messenger.Phase) bool {
+// canVote reports whether the host's Acks count as votes.
+func canVote(phase messenger.Phase) bool {
 	return phase == messenger.PhaseReady || phase == messenger.PhaseLeaving
 }
--- a/core/detector/quorum.go
+++ b/core/detector/quorum.go
@@ -7,13 +7,13 @@
 	"cranberryspan.dev/core/timekeeper"
 )
 
-// roster is the members of a cell under one settings revision, sorted.
-type roster struct {
+// cellMembership is the members of a cell under one settings revision, sorted.
+type cellMembership struct {
 	names    []string
 	revision uint64
 }
 
-// fencedRoster is an earlier roster whose quorum still counts.
+// priorMembership is an earlier roster whose quorum still counts.
 //
 // What goes wrong without it: cell {x, y, z} becomes {x, y}. x has the new
 // revision, y and z have not. x alone is half of the new cell and its
@@ -22,26 +22,26 @@
 // needs a quorum of both rosters until a quorum of the old one has the new
 // revision, or, where the old hosts are gone for good, until deadline. The
 // second way rests on the operator having stopped the hosts that were removed.
-type fencedRoster struct {
-	roster
-	needed   uint64
-	deadline timekeeper.Instant
+type priorMembership struct {
+	cellMembership
+	requiredRevision uint64
+	deadline         timekeeper.Instant
 }
 
-func (d *Detector) changeRoster(names []string, revision uint64, now timekeeper.Instant) {
+func (d *Detector) changeMembership(names []string, revision uint64, now timekeeper.Instant) {
 	slices.Sort(names)
-	if slices.Equal(names, d.cell.names) {
-		d.cell.revision = revision
+	if slices.Equal(names, d.membership.names) {
+		d.membership.revision = revision
 		return
 	}
-	if len(d.cell.names) > 0 {
-		d.fenced = append(d.fenced, fencedRoster{roster: d.cell, needed: revision, deadline: now.Add(d.timing.Fence)})
+	if len(d.membership.names) > 0 {
+		d.priorMemberships = append(d.priorMemberships, priorMembership{cellMembership: d.membership, requiredRevision: revision, deadline: now.Add(d.timing.MembershipOverlap)})
 	}
-	d.cell = roster{names: names, revision: revision}
+	d.membership = cellMembership{names: names, revision: revision}
 }
 
-func (d *Detector) fencing(name string) bool {
-	for _, f := range d.fenced {
+func (d *Detector) inPriorMembership(name string) bool {
+	for _, f := range d.priorMemberships {
 		if slices.Contains(f.names, name) {
 			return true
 		}
@@ -49,37 +49,37 @@
 	return false
 }
 
-func (d *Detector) expireFences(now timekeeper.Instant) {
-	d.fenced = slices.DeleteFunc(d.fenced, func(f fencedRoster) bool {
+func (d *Detector) expirePriorMemberships(now timekeeper.Instant) {
+	d.priorMemberships = slices.DeleteFunc(d.priorMemberships, func(f priorMembership) bool {
 		if f.deadline.Passed(now) {
 			return true
 		}
-		return d.quorum(f.roster, d.speaksForSelf, func(m *member) []string {
-			if m.revision < f.needed {
+		return d.isQuorum(f.cellMembership, d.countsForSelf, func(m *member) []string {
+			if m.revision < f.requiredRevision {
 				return nil
 			}
-			return m.leased(now)
+			return m.leasedVotes(now)
 		})
 	})
 }
 
-// quorum reports whether the votes in this host's hands that count as own, with
+// isQuorum reports whether the votes in this host's hands that count as own, with
 // those that the other hosts of a roster cast for a matter, are a quorum: more than half, or
 // half with the vote of the first name of the roster.
 //
 // What is counted is names, not hosts: a host that leaves by plan gives its vote
 // to one that stays (see heldVote). Each name's vote is in one hand at any time, so
 // any two quorums have a name in common, and with it the hand that holds it.
-func (d *Detector) quorum(r roster, own func(v heldVote) bool, votes func(m *member) []string) bool {
+func (d *Detector) isQuorum(r cellMembership, countsAsOwn func(v heldVote) bool, votesOf func(m *member) []string) bool {
 	cast := map[string]bool{}
-	for name, v := range d.held {
-		if own(v) {
+	for name, v := range d.heldVotes {
+		if countsAsOwn(v) {
 			cast[name] = true
 		}
 	}
 	for _, name := range r.names {
 		if m, ok := d.members[name]; ok {
-			for _, vote := range votes(m) {
+			for _, vote := range votesOf(m) {
 				cast[vote] = true
 			}
 		}
@@ -94,8 +94,8 @@
 	return count*2 > size || (count*2 == size && size > 0 && cast[r.names[0]])
 }
 
-// leased returns the votes that a host casts for this one at present.
-func (m *member) leased(now timekeeper.Instant) []string {
+// leasedVotes returns the votes that a host casts for this one at present.
+func (m *member) leasedVotes(now timekeeper.Instant) []string {
 	if m.leaseDeadline.Passed(now) {
 		return nil
 	}
@@ -104,76 +104,76 @@
 
 // HasQuorum reports whether this host holds the votes of a quorum of its cell.
 func (d *Detector) HasQuorum(now timekeeper.Instant) bool {
-	if !votes(d.phase) || len(d.cell.names) == 0 {
+	if !canVote(d.phase) || len(d.membership.names) == 0 {
 		return false
 	}
 	d.now = max(d.now, now)
-	leased := func(m *member) []string { return m.leased(now) }
-	if !d.quorum(d.cell, d.speaksForSelf, leased) {
+	leased := func(m *member) []string { return m.leasedVotes(now) }
+	if !d.isQuorum(d.membership, d.countsForSelf, leased) {
 		return false
 	}
-	for _, f := range d.fenced {
-		if !d.quorum(f.roster, d.speaksForSelf, leased) {
+	for _, f := range d.priorMemberships {
+		if !d.isQuorum(f.cellMembership, d.countsForSelf, leased) {
 			return false
 		}
 	}
 	return true
 }
 
-// Denied reports whether hosts with a quorum of the votes, this host among them,
+// ConfirmedDead reports whether hosts with a quorum of the votes, this host among them,
 // have given the present incarnation of a host up, so that it holds no lease.
-func (d *Detector) Denied(name string) bool {
+func (d *Detector) ConfirmedDead(name string) bool {
 	denied, ok := d.members[name]
-	if !ok || denied.liveness != messenger.LivenessDead || !votes(d.phase) {
+	if !ok || denied.liveness != messenger.LivenessDead || !canVote(d.phase) {
 		return false
 	}
-	settled := func(v heldVote) bool { return v.deniesFrom.Passed(d.now) }
-	return d.quorum(d.cell, settled, func(m *member) []string {
-		if !denied.deniedBy[m.host.Name] {
+	settled := func(v heldVote) bool { return v.countsAgainstFrom.Passed(d.now) }
+	return d.isQuorum(d.membership, settled, func(m *member) []string {
+		if !denied.declaredDeadBy[m.host.Name] {
 			return nil
 		}
 		return slices.DeleteFunc(slices.Clone(m.leaseVotes), func(name string) bool {
-			return slices.Contains(m.unsettled, name)
+			return slices.Contains(m.unsettledVotes, name)
 		})
 	})
 }
 
-// accounted reports whether a cell member answers, or somebody who answers holds
+// voteAccountedFor reports whether a cell member answers, or somebody who answers holds
 // its vote.
-func (d *Detector) accounted(name string, now timekeeper.Instant) bool {
-	if m, ok := d.members[name]; ok && d.answers(m, now) {
+func (d *Detector) voteAccountedFor(name string, now timekeeper.Instant) bool {
+	if m, ok := d.members[name]; ok && d.isResponsive(m, now) {
 		return true
 	}
-	return d.heldInCell(name, now)
+	return d.isVoteHeldInCell(name, now)
 }
 
-func (d *Detector) answers(m *member, now timekeeper.Instant) bool {
-	return m.liveness == messenger.LivenessAlive && !m.silentSince.Add(d.timing.Lease).Passed(now)
+func (d *Detector) isResponsive(m *member, now timekeeper.Instant) bool {
+	return m.liveness == messenger.LivenessAlive && !m.lastHeardAt.Add(d.timing.Lease).Passed(now)
 }
 
-// heldInCell reports whether a cell peer that answers holds the vote of a name.
-func (d *Detector) heldInCell(vote string, now timekeeper.Instant) bool {
-	for _, name := range d.cell.names {
+// isVoteHeldInCell reports whether a cell peer that answers holds the vote of a name.
+func (d *Detector) isVoteHeldInCell(vote string, now timekeeper.Instant) bool {
+	for _, name := range d.membership.names {
 		m, ok := d.members[name]
-		if ok && name != vote && d.answers(m, now) && slices.Contains(m.holds, vote) {
+		if ok && name != vote && d.isResponsive(m, now) && slices.Contains(m.heldVotes, vote) {
 			return true
 		}
 	}
 	return false
 }
 
-// WholeCellWaits reports whether every host of the cell answers, or left, and
+// CanBootstrapCell reports whether every host of the cell answers, or left, and
 // none is on its way in: all have waited since their start, or are ready. Such
 // a cell can start from nothing, as after a failure of the whole zone.
-func (d *Detector) WholeCellWaits(now timekeeper.Instant) bool {
-	for _, name := range d.cell.names {
+func (d *Detector) CanBootstrapCell(now timekeeper.Instant) bool {
+	for _, name := range d.membership.names {
 		if name == d.self {
 			continue
 		}
-		if !d.accounted(name, now) {
+		if !d.voteAccountedFor(name, now) {
 			return false
 		}
-		if m := d.members[name]; d.answers(m, now) && m.phase != messenger.PhaseWaited && m.phase != messenger.PhaseReady {
+		if m := d.members[name]; d.isResponsive(m, now) && m.phase != messenger.PhaseWaited && m.phase != messenger.PhaseReady {
 			return false
 		}
 	}
@@ -181,10 +181,10 @@
 }
 
 // Cell returns the names of the own cell's hosts, sorted, this host included.
-func (d *Detector) Cell() []string { return d.cell.names }
+func (d *Detector) Cell() []string { return d.membership.names }
 
 // InCell reports whether a host is of the own cell.
-func (d *Detector) InCell(name string) bool { return slices.Contains(d.cell.names, name) }
+func (d *Detector) InCell(name string) bool { return slices.Contains(d.membership.names, name) }
 
 // State is what the detector believes of a host.
 type State struct {
@@ -193,11 +193,11 @@
 	Phase       messenger.Phase
 	Incarnation uint64
 	Revision    uint64
-	// Acted says that the host has held a quorum under this incarnation.
-	Acted bool
-	// LostAt is when the host last lost its memory, as far as is known: when it
+	// HeldQuorum says that the host has held a quorum under this incarnation.
+	HeldQuorum bool
+	// StateLostAt is when the host last lost its memory, as far as is known: when it
 	// was given up, or came back without having left. Zero is never.
-	LostAt timekeeper.Instant
+	StateLostAt timekeeper.Instant
 	// LeftAt is when this host heard that the host had left.
 	LeftAt timekeeper.Instant
 }
@@ -211,7 +211,7 @@
 	if !ok {
 		return State{Host: name}
 	}
-	return State{Host: name, Liveness: m.liveness, Phase: m.phase, Incarnation: m.incarnation, Revision: m.revision, Acted: m.acted, LostAt: m.lostAt, LeftAt: m.leftAt}
+	return State{Host: name, Liveness: m.liveness, Phase: m.phase, Incarnation: m.incarnation, Revision: m.revision, HeldQuorum: m.heldQuorum, StateLostAt: m.stateLostAt, LeftAt: m.leftAt}
 }
 
 // Others returns the names of all other hosts, sorted.
--- a/core/detector/rumors.go
+++ b/core/detector/rumors.go
@@ -9,22 +9,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// spreading is a rumor and how often it is still to be told.
-type spreading struct {
-	host string
-	left int
+// pendingUpdate is a rumor and how often it is still to be told.
+type pendingUpdate struct {
+	host              string
+	transmissionsLeft int
 }
 
-// relay remembers who asked for a ping of subject.
-type relay struct {
-	asker, subject string
-	deadline       timekeeper.Instant
+// indirectPing remembers who asked for a ping of subject.
+type indirectPing struct {
+	requester, subject string
+	deadline           timekeeper.Instant
 }
 
-// askOthers has two other hosts ping a silent one, so that one broken link
+// requestIndirectPings has two other hosts ping a silent one, so that one broken link
 // does not make a host look dead.
-func (d *Detector) askOthers(subject string, _ timekeeper.Instant) {
-	const helpers = 2
+func (d *Detector) requestIndirectPings(subject string, _ timekeeper.Instant) {
+	const indirectPingers = 2
 	var alive []string
 	for _, name := range d.names {
 		if name != subject && d.members[name].liveness == messenger.LivenessAlive {
@@ -32,25 +32,25 @@
 		}
 	}
 	d.random.Shuffle(len(alive), func(i, j int) { alive[i], alive[j] = alive[j], alive[i] })
-	for i := 0; i < helpers && i < len(alive); i++ {
-		d.send(alive[i], &messenger.PingRequest{Subject: subject, Heartbeat: d.news(alive[i])})
+	for i := 0; i < indirectPingers && i < len(alive); i++ {
+		d.send(alive[i], &messenger.PingRequest{Subject: subject, Heartbeat: d.buildHeartbeat(alive[i])})
 	}
 }
 
-// vouch tells hosts that asked about m that it has answered.
-func (d *Detector) vouch(m *member, now timekeeper.Instant) {
-	kept := d.relays[:0]
-	for _, r := range d.relays {
+// sendIndirectAcks tells hosts that asked about m that it has answered.
+func (d *Detector) sendIndirectAcks(m *member, now timekeeper.Instant) {
+	kept := d.indirectPings[:0]
+	for _, r := range d.indirectPings {
 		switch {
 		case r.subject == m.host.Name:
 			rumor := m.rumor()
 			rumor.Liveness = messenger.LivenessAlive
-			d.send(r.asker, &messenger.IndirectAck{Subject: rumor, Heartbeat: d.news(r.asker)})
+			d.send(r.requester, &messenger.IndirectAck{Subject: rumor, Heartbeat: d.buildHeartbeat(r.requester)})
 		case !r.deadline.Passed(now):
 			kept = append(kept, r)
 		}
 	}
-	d.relays = kept
+	d.indirectPings = kept
 }
 
 // refute contradicts a rumor that this host is suspect or dead.
@@ -59,12 +59,12 @@
 		return
 	}
 	d.refutations = r.Refutations + 1
-	d.spread(d.self)
+	d.queueUpdate(d.self)
 }
 
-// believe takes in a rumor. Rumors decide nothing about hosts of the own cell,
+// applyMemberState takes in a rumor. Rumors decide nothing about hosts of the own cell,
 // which this host watches itself.
-func (d *Detector) believe(r messenger.MemberState, now timekeeper.Instant) {
+func (d *Detector) applyMemberState(r messenger.MemberState, now timekeeper.Instant) {
 	if r.Host == d.self {
 		if r.Liveness >= messenger.LivenessSuspect {
 			d.refute(r)
@@ -75,67 +75,67 @@
 	if !ok || m.inCell || r.Incarnation < m.incarnation || (r.Incarnation == m.incarnation && r.Refutations < m.refutations) {
 		return
 	}
-	newer := m.newer(r)
+	newer := m.isNewer(r)
 	if !newer && r.Liveness <= m.liveness && r.Phase <= m.phase {
 		return
 	}
 	if r.Incarnation > m.incarnation {
-		m.renew(r.Incarnation, now)
-		m.enter(r.Phase, now)
+		m.startIncarnation(r.Incarnation, now)
+		m.setPhase(r.Phase, now)
 	}
 	m.refutations = r.Refutations
 	if newer || r.Liveness > m.liveness {
 		m.liveness = r.Liveness
 		m.suspectDeadline = now.Add(d.timing.DeadAfter)
-		m.silentSince = now
+		m.lastHeardAt = now
 	}
 	if r.Phase > m.phase {
-		m.enter(r.Phase, now)
+		m.setPhase(r.Phase, now)
 	}
-	d.spread(r.Host)
+	d.queueUpdate(r.Host)
 }
 
-// acceptVouch takes a suspicion of this host's own back: somebody has reached the
+// applyIndirectAck takes a suspicion of this host's own back: somebody has reached the
 // host. It must not wait for the host itself to hear of the suspicion and
 // contradict it, since the link over which it would is the broken one.
-func (d *Detector) acceptVouch(r messenger.MemberState) {
+func (d *Detector) applyIndirectAck(r messenger.MemberState) {
 	m, ok := d.members[r.Host]
 	if ok && !m.inCell && m.incarnation == r.Incarnation && m.liveness == messenger.LivenessSuspect {
 		m.liveness = messenger.LivenessAlive
-		d.spread(r.Host)
+		d.queueUpdate(r.Host)
 	}
 }
 
-// spread queues a host's state for the next messages, often enough to reach
+// queueUpdate queues a host's state for the next messages, often enough to reach
 // the whole fleet with high probability.
-func (d *Detector) spread(host string) {
-	times := 3
+func (d *Detector) queueUpdate(host string) {
+	transmissions := 3
 	for n := len(d.members); n > 0; n /= 2 {
-		times++
+		transmissions++
 	}
-	for i := range d.rumors {
-		if d.rumors[i].host == host {
-			d.rumors[i].left = times
+	for i := range d.pendingUpdates {
+		if d.pendingUpdates[i].host == host {
+			d.pendingUpdates[i].transmissionsLeft = transmissions
 			return
 		}
 	}
 	// What is new is told first.
-	d.rumors = slices.Insert(d.rumors, 0, spreading{host: host, left: times})
+	d.pendingUpdates = slices.Insert(d.pendingUpdates, 0, pendingUpdate{host: host, transmissionsLeft: transmissions})
 }
 
-// news writes what rides on a heartbeat to a peer.
-func (d *Detector) news(peer string) messenger.Heartbeat {
+// buildHeartbeat writes what rides on a heartbeat to a peer.
+func (d *Detector) buildHeartbeat(peer string) messenger.Heartbeat {
 	news := messenger.Heartbeat{}
-	if d.decorate != nil {
-		news = d.decorate(peer)
+	if d.extraPayload != nil {
+		news = d.extraPayload(peer)
 	}
 	news.Incarnation = d.incarnation
 	news.Refutations = d.refutations
 	news.Phase = d.phase
 	news.SettingsRevision = d.revision
-	news.HeldQuorum = d.acted
+	news.HeldQuorum = d.heldQuorum
 	m, ok := d.members[peer]
-	if ok && m.inCell && m.toldView != d.viewVersion() {
+	if ok && m.inCell && m.ackedViewVersion != d.viewVersion() {
 		news.CellMembers = d.cellView()
 	}
 	news.MemberUpdates = d.nextRumors()
@@ -173,19 +173,19 @@
 
 // nextRumors takes the rumors whose turn it is, and counts them as told.
 func (d *Detector) nextRumors() []messenger.MemberState {
-	const most = 6
-	n := min(most, len(d.rumors))
+	const maxRumors = 6
+	n := min(maxRumors, len(d.pendingUpdates))
 	var rumors []messenger.MemberState
-	for _, told := range d.rumors[:n] {
-		told.left--
-		if r, ok := d.rumorOf(told.host); ok {
+	for _, pending := range d.pendingUpdates[:n] {
+		pending.transmissionsLeft--
+		if r, ok := d.rumorOf(pending.host); ok {
 			rumors = append(rumors, r)
 		}
-		if told.left > 0 {
-			d.rumors = append(d.rumors, told)
+		if pending.transmissionsLeft > 0 {
+			d.pendingUpdates = append(d.pendingUpdates, pending)
 		}
 	}
-	d.rumors = slices.Delete(d.rumors, 0, n)
+	d.pendingUpdates = slices.Delete(d.pendingUpdates, 0, n)
 	return rumors
 }
 
--- a/core/reducer/handover.go
+++ b/core/reducer/handover.go
@@ -198,7 +198,7 @@
 	}
 	h.doneSent = true
 	if !h.leaving || to == r.voteHolder() {
-		chunk.Votes, chunk.DeniedRecipients = r.detector.GiveVotes(to, h.leaving)
+		chunk.Votes, chunk.DeniedRecipients = r.detector.ReleaseVotes(to, h.leaving)
 	}
 	if !h.leaving {
 		r.handedTo[to] = h.incarnation
@@ -215,7 +215,7 @@
 		state := r.detector.State(name)
 		if name != r.self && r.lostLately(state, window) {
 			lost++
-			until = max(until, state.LostAt.Add(window))
+			until = max(until, state.StateLostAt.Add(window))
 		}
 	}
 	if lost < 2 {
@@ -351,7 +351,7 @@
 		// The chunk may come again if its acknowledgement was lost, when the
 		// votes may already have been passed on.
 		r.tookVotes[from] = mark
-		r.detector.TakeVotes(body.Votes, body.DeniedRecipients, r.now)
+		r.detector.AcceptVotes(body.Votes, body.DeniedRecipients, r.now)
 	}
 	if body.Leaving {
 		r.leavingFrom[from] = r.detector.State(from).Incarnation
--- a/core/reducer/isolation.go
+++ b/core/reducer/isolation.go
@@ -39,7 +39,7 @@
 	if before.Add(sleepSpan) < now {
 		r.isolation.platformDeadline = 0
 		r.isolation.since = now
-		r.detector.Slept(now)
+		r.detector.NotePause(now)
 	}
 }
 
--- a/core/reducer/joining.go
+++ b/core/reducer/joining.go
@@ -75,7 +75,7 @@
 		r.becomeReady()
 		return
 	}
-	if r.detector.Phase() == messenger.PhaseWaited && r.detector.WholeCellWaits(r.now) && !r.recordsMissing() {
+	if r.detector.Phase() == messenger.PhaseWaited && r.detector.CanBootstrapCell(r.now) && !r.recordsMissing() {
 		r.becomeReady()
 	}
 }
@@ -103,7 +103,7 @@
 // has not handed its records over.
 func (r *Reducer) recordsMissing() bool {
 	for _, name := range r.detector.Cell() {
-		if name == r.self || !r.detector.State(name).Acted {
+		if name == r.self || !r.detector.State(name).HeldQuorum {
 			continue
 		}
 		if _, done := r.joining.doneFrom[name]; !done {
@@ -116,7 +116,7 @@
 func (r *Reducer) becomeReady() {
 	r.joining.over = true
 	r.joining.readyAt = r.now
-	r.joining.actDeadline = r.now.Add(r.detector.LeaseSpan())
+	r.joining.actDeadline = r.now.Add(r.detector.LeaseDuration())
 	r.detector.SetPhase(messenger.PhaseReady)
 	r.log("hostReady")
 }
--- a/core/reducer/leaving.go
+++ b/core/reducer/leaving.go
@@ -66,7 +66,7 @@
 func (r *Reducer) handoverRefused(from string, h *handoverOut) {
 	r.refusedBy[from] = r.detector.State(from).Incarnation
 	if h.last != nil {
-		r.detector.TakeVotes(h.last.Votes, h.last.DeniedRecipients, r.now)
+		r.detector.AcceptVotes(h.last.Votes, h.last.DeniedRecipients, r.now)
 	}
 	r.startLeavingHandovers()
 }
--- a/core/reducer/permission.go
+++ b/core/reducer/permission.go
@@ -53,7 +53,7 @@
 			return permissionUncertain
 		case r.hasLeft(state):
 			continue
-		case state.Liveness == messenger.LivenessDead && r.detector.Denied(name):
+		case state.Liveness == messenger.LivenessDead && r.detector.ConfirmedDead(name):
 		case isJoining(state) && r.handedTo[name] != state.Incarnation:
 		default:
 			return permissionWait
@@ -80,7 +80,7 @@
 }
 
 func (r *Reducer) lostLately(state detector.State, window time.Duration) bool {
-	return r.leftElsewhere(state, window) || (state.LostAt != 0 && !state.LostAt.Add(window).Passed(r.now))
+	return r.leftElsewhere(state, window) || (state.StateLostAt != 0 && !state.StateLostAt.Add(window).Passed(r.now))
 }
 
 func isJoining(state detector.State) bool {
--- a/core/reducer/reducer.go
+++ b/core/reducer/reducer.go
@@ -179,7 +179,7 @@
 	case *Shutdown:
 		r.beginLeaving()
 	}
-	for _, out := range r.detector.Take() {
+	for _, out := range r.detector.TakeOutgoing() {
 		r.emit(&ToPeer{Host: out.To, Body: out.Body})
 	}
 	return r.effects
--- a/core/reducer/route.go
+++ b/core/reducer/route.go
@@ -232,7 +232,7 @@
 func (r *Reducer) relayToOwner(owner string, mustOwn bool) string {
 	state := r.detector.State(owner)
 	unreachable := state.Liveness == messenger.LivenessDead && state.Phase == messenger.PhaseReady && state.Incarnation != 0
-	if !mustOwn || !unreachable || !r.detector.InCell(owner) || r.detector.Denied(owner) {
+	if !mustOwn || !unreachable || !r.detector.InCell(owner) || r.detector.ConfirmedDead(owner) {
 		return ""
 	}
 	return r.relayTo(owner)
--- a/core/reducer/snapshot.go
+++ b/core/reducer/snapshot.go
@@ -85,7 +85,7 @@
 			Liveness: state.Liveness.String(),
 			Phase:    state.Phase.String(),
 			Revision: state.Revision,
-			Denied:   r.detector.InCell(name) && r.detector.Denied(name),
+			Denied:   r.detector.InCell(name) && r.detector.ConfirmedDead(name),
 		})
 	}
 	for _, id := range r.serviceIDs {
--- a/core/reducer/witness.go
+++ b/core/reducer/witness.go
@@ -127,7 +127,7 @@
 	names := order.Names()
 	for _, name := range names[slices.Index(names, r.self)+1:] {
 		state := r.detector.State(name)
-		dead := state.Liveness == messenger.LivenessDead && r.detector.Denied(name)
+		dead := state.Liveness == messenger.LivenessDead && r.detector.ConfirmedDead(name)
 		unready := isJoining(state) && r.handedTo[name] != state.Incarnation
 		if !r.hasLeft(state) && !dead && !unready {
 			return name
--- a/scripts/red.sh
+++ b/scripts/red.sh
@@ -71,7 +71,7 @@
 without "held identities of requests" reducer/witness.go 'if successor == "" {
 		r.count' 'if true {
 		r.count' TestRepeatAfterTheOwnerDiedRunsOnce
-without "the quorum" detector/quorum.go 'if !d.quorum(d.cell, d.speaksForSelf, leased) {' 'if false {' TestTwoSidesOfAPartitionRunOnce
+without "the quorum" detector/quorum.go 'if !d.isQuorum(d.membership, d.countsForSelf, leased) {' 'if false {' TestTwoSidesOfAPartitionRunOnce
 without "leases that end" detector/quorum.go 'if m.leaseDeadline.Passed(now) {
 		return nil' 'if false {
 		return nil' TestPausedOwnerWakesAndRunsNothingAgain
@@ -87,8 +87,8 @@
 without "the handover before the end" reducer/leaving.go 'if r.settings == nil || !r.joining.over {
 		r.end()' 'if true {
 		r.end()' TestGracefulShutdownCutsNothing
-without "votes that are left behind" reducer/handover.go 'chunk.Votes, chunk.DeniedRecipients = r.detector.GiveVotes(to, h.leaving)' 'r.detector.GiveVotes(to, h.leaving)' TestGracefulShutdownCutsNothing
-without "votes that count at once" detector/votes.go 'return !v.refuses(d.self, d.incarnation)' 'return v.deniesFrom.Passed(d.now)' TestRollingReplacementRefusesNothing
+without "votes that are left behind" reducer/handover.go 'chunk.Votes, chunk.DeniedRecipients = r.detector.ReleaseVotes(to, h.leaving)' 'r.detector.ReleaseVotes(to, h.leaving)' TestGracefulShutdownCutsNothing
+without "votes that count at once" detector/votes.go 'return !v.refuses(d.self, d.incarnation)' 'return v.countsAgainstFrom.Passed(d.now)' TestRollingReplacementRefusesNothing
 without "the way around a broken link" reducer/witness.go 'if r.detector.State(peer).Liveness == messenger.LivenessAlive {' 'if true {' TestOneBrokenLinkInACellRefusesNothing
 without "the limit of a tenant" reducer/dispatch.go 'if r.tenantLoad[tenant] >= policy.MaxTenantInFlight {' 'if r.tenantLoad[tenant] < 0 {' TestOneTenantCannotTakeAllPlaces
 without "shedding what would be late" reducer/dispatch.go 'case r.now.Add(t.expectedWait(r.now)) >= q.deadline:' 'case false:' TestWhatWouldBeLateIsRefusedAtOnce
