--- a/balancer/internal/carrier/carrier.go
+++ b/balancer/internal/carrier/carrier.go
@@ -57,14 +57,14 @@
 	fabric   netip.AddrPort
 	packets  *net.UDPConn
 	peers    *net.UDPConn
-	sealer   *atomic.Pointer[encoder.Sealer]
+	sealer   *atomic.Pointer[encoder.MessageCodec]
 	clock    func() timekeeper.Instant
 	events   chan<- reducer.Event
 	Counters Counters
 }
 
 // New opens the sockets. Packets become events; clock stamps deadlines.
-func New(fabricAddress, peerAddress, fabric netip.AddrPort, sealer *atomic.Pointer[encoder.Sealer], clock func() timekeeper.Instant, events chan<- reducer.Event) (*Carrier, error) {
+func New(fabricAddress, peerAddress, fabric netip.AddrPort, sealer *atomic.Pointer[encoder.MessageCodec], clock func() timekeeper.Instant, events chan<- reducer.Event) (*Carrier, error) {
 	packets, err := listen(fabricAddress)
 	if err != nil {
 		return nil, err
@@ -133,7 +133,7 @@
 func (c *Carrier) newPacketReader() func([]byte, timekeeper.Instant) reducer.Event {
 	reader := translator.New()
 	return func(data []byte, arrived timekeeper.Instant) reducer.Event {
-		delivery, err := encoder.DecodeDelivery(data)
+		delivery, err := encoder.DecodeEncapsulatedPacket(data)
 		if err != nil {
 			c.Counters.Malformed.Add(1)
 			return nil
@@ -151,7 +151,7 @@
 }
 
 func (c *Carrier) peerMessage(data []byte, arrived timekeeper.Instant) reducer.Event {
-	from, body, err := c.sealer.Load().Open(data)
+	from, body, err := c.sealer.Load().Decode(data)
 	if err != nil {
 		c.countOpenError(err)
 		return nil
@@ -169,7 +169,7 @@
 	switch {
 	case !errors.As(err, &failure):
 		c.Counters.Malformed.Add(1)
-	case failure.Kind == encoder.KindUnauthentic:
+	case failure.Kind == encoder.KindUnauthenticated:
 		c.Counters.Unauthentic.Add(1)
 	case failure.Kind == encoder.KindUnknown:
 		c.Counters.Unknown.Add(1)
@@ -180,7 +180,7 @@
 
 // ToCaller sends a packet to a caller from its service's address.
 func (c *Carrier) ToCaller(service, caller netip.AddrPort, payload []byte) {
-	c.deliver(encoder.Delivery{From: service, To: caller, Payload: payload})
+	c.deliver(encoder.EncapsulatedPacket{From: service, To: caller, Payload: payload})
 }
 
 // ToTarget sends a packet to a target from a return address.
@@ -190,11 +190,11 @@
 		c.Counters.Fenced.Add(1)
 		return
 	}
-	c.deliver(encoder.Delivery{From: netip.AddrPortFrom(e.Return, returnPort), To: e.Target, Payload: e.Payload})
+	c.deliver(encoder.EncapsulatedPacket{From: netip.AddrPortFrom(e.Return, returnPort), To: e.Target, Payload: e.Payload})
 }
 
-func (c *Carrier) deliver(d encoder.Delivery) {
-	data, err := encoder.EncodeDelivery(d)
+func (c *Carrier) deliver(d encoder.EncapsulatedPacket) {
+	data, err := encoder.EncodeEncapsulatedPacket(d)
 	if err == nil {
 		_, err = c.packets.WriteToUDPAddrPort(data, c.fabric)
 	}
@@ -216,7 +216,7 @@
 
 // ToPeer sends a forwarded packet to a host.
 func (c *Carrier) ToPeer(name string, address netip.AddrPort, body *messenger.Forward) {
-	data, err := c.sealer.Load().Seal(name, body)
+	data, err := c.sealer.Load().Encode(name, body)
 	if err == nil {
 		_, err = c.peers.WriteToUDPAddrPort(data, address)
 	}
--- a/balancer/internal/carrier/carrier_test.go
+++ b/balancer/internal/carrier/carrier_test.go
@@ -42,7 +42,7 @@
 	require.NoError(t, err)
 	defer func() { _ = fabric.Close() }()
 	now := timekeeper.Instant(time.Second)
-	var sealer atomic.Pointer[encoder.Sealer]
+	var sealer atomic.Pointer[encoder.MessageCodec]
 	sealer.Store(encoder.New("a", nil))
 	anywhere := netip.MustParseAddrPort("127.0.0.1:0")
 	c, err := New(anywhere, anywhere, fabric.LocalAddr().(*net.UDPAddr).AddrPort(), &sealer, func() timekeeper.Instant { return now }, make(chan reducer.Event, 1))
--- a/balancer/internal/exchanger/exchanger.go
+++ b/balancer/internal/exchanger/exchanger.go
@@ -97,7 +97,7 @@
 // Exchanger serves and asks.
 type Exchanger struct {
 	listener net.Listener
-	sealer   *encoder.Sealer
+	sealer   *encoder.MessageCodec
 	decode   Decoder
 	answer   Answerer
 	events   chan<- steerer.Event
@@ -116,7 +116,7 @@
 
 // New listens on a host's address, on a link that carries so many bytes a second; 0 if that
 // is unknown. The meter counts the bytes of questions and answers.
-func New(address netip.AddrPort, linkBytesPerSecond int, sealer *encoder.Sealer, decode Decoder, answer Answerer, meter *meterer.Meterer, events chan<- steerer.Event) (*Exchanger, error) {
+func New(address netip.AddrPort, linkBytesPerSecond int, sealer *encoder.MessageCodec, decode Decoder, answer Answerer, meter *meterer.Meterer, events chan<- steerer.Event) (*Exchanger, error) {
 	listener, err := net.Listen("tcp4", address.String())
 	if err != nil {
 		return nil, &Error{Op: "listen for questions", Kind: KindListen, Err: err}
@@ -170,7 +170,7 @@
 	if err != nil {
 		return err
 	}
-	from, body, err := x.sealer.Open(data)
+	from, body, err := x.sealer.Decode(data)
 	if err != nil {
 		return err
 	}
@@ -185,7 +185,7 @@
 	if err := x.pack(knowledge); err != nil {
 		return err
 	}
-	sealed, err := x.sealer.Seal(from, knowledge)
+	sealed, err := x.sealer.Encode(from, knowledge)
 	if err != nil {
 		return err
 	}
@@ -230,7 +230,7 @@
 	}
 	defer func() { _ = conn.CloseNow() }()
 	conn.SetReadLimit(encoder.MaxControlBytes)
-	sealed, err := x.sealer.Seal(ask.Host, ask.Request)
+	sealed, err := x.sealer.Encode(ask.Host, ask.Request)
 	if err != nil {
 		return nil, &Error{Op: op, Kind: KindMalformed, Err: err}
 	}
@@ -246,7 +246,7 @@
 	if err != nil {
 		return nil, &Error{Op: op, Kind: KindUnreachable, Err: err}
 	}
-	_, body, err := x.sealer.Open(data)
+	_, body, err := x.sealer.Decode(data)
 	if err != nil {
 		return nil, &Error{Op: op, Kind: KindMalformed, Err: err}
 	}
--- a/balancer/internal/gossiper/gossiper.go
+++ b/balancer/internal/gossiper/gossiper.go
@@ -43,13 +43,13 @@
 // Gossiper owns the socket for reports.
 type Gossiper struct {
 	conn     *net.UDPConn
-	sealer   *encoder.Sealer
+	sealer   *encoder.MessageCodec
 	events   chan<- steerer.Event
 	Counters Counters
 }
 
 // New opens the socket. Reports become events.
-func New(address netip.AddrPort, sealer *encoder.Sealer, events chan<- steerer.Event) (*Gossiper, error) {
+func New(address netip.AddrPort, sealer *encoder.MessageCodec, events chan<- steerer.Event) (*Gossiper, error) {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
 	if err != nil {
 		return nil, &Error{Op: "listen for reports", Kind: KindSocket, Err: err}
@@ -75,7 +75,7 @@
 		if err != nil {
 			return &Error{Op: "read report", Kind: KindSocket, Err: err}
 		}
-		from, body, err := g.sealer.Open(buffer[:n])
+		from, body, err := g.sealer.Decode(buffer[:n])
 		report, ok := body.(*messenger.Report)
 		if err != nil || !ok {
 			g.Counters.Unreadable.Add(1)
@@ -91,7 +91,7 @@
 
 // Send sends a report.
 func (g *Gossiper) Send(e *steerer.SendReport) {
-	data, err := g.sealer.Seal(e.Host, e.Report)
+	data, err := g.sealer.Encode(e.Host, e.Report)
 	if err == nil {
 		_, err = g.conn.WriteToUDPAddrPort(data, e.Address)
 	}
--- a/balancer/internal/linker/linker.go
+++ b/balancer/internal/linker/linker.go
@@ -70,7 +70,7 @@
 
 // Linker owns the control links of a host.
 type Linker struct {
-	sealer   *atomic.Pointer[encoder.Sealer]
+	sealer   *atomic.Pointer[encoder.MessageCodec]
 	events   chan<- reducer.Event
 	listener net.Listener
 	Counters Counters
@@ -86,7 +86,7 @@
 }
 
 // New listens on a host's address. Messages from peers become events.
-func New(address netip.AddrPort, sealer *atomic.Pointer[encoder.Sealer], events chan<- reducer.Event) (*Linker, error) {
+func New(address netip.AddrPort, sealer *atomic.Pointer[encoder.MessageCodec], events chan<- reducer.Event) (*Linker, error) {
 	listener, err := net.Listen("tcp", address.String())
 	if err != nil {
 		return nil, &Error{Op: "listen for links", Kind: KindListen, Err: err}
@@ -137,14 +137,14 @@
 // receive opens a message. A link whose messages can't be opened is closed: its
 // sender has another key, or is no host of this system.
 func (l *Linker) receive(ctx context.Context, data []byte) bool {
-	from, body, err := l.sealer.Load().Open(data)
+	from, body, err := l.sealer.Load().Decode(data)
 	var failure *encoder.Error
 	if errors.As(err, &failure) {
 		switch failure.Kind {
 		case encoder.KindUnknown:
 			l.Counters.Unknown.Add(1)
 			return true
-		case encoder.KindUnauthentic:
+		case encoder.KindUnauthenticated:
 			l.Counters.Unauthentic.Add(1)
 		case encoder.KindMalformed, encoder.KindTooLarge:
 			l.Counters.Malformed.Add(1)
@@ -162,7 +162,7 @@
 
 // Send queues a message for a peer and dials it if need be. It never blocks.
 func (l *Linker) Send(ctx context.Context, name string, address netip.AddrPort, body messenger.Body) {
-	data, err := l.sealer.Load().Seal(name, body)
+	data, err := l.sealer.Load().Encode(name, body)
 	if err != nil {
 		l.Counters.Dropped.Add(1)
 		return
--- a/balancer/internal/runner/runner.go
+++ b/balancer/internal/runner/runner.go
@@ -41,7 +41,7 @@
 	reducer   *reducer.Reducer
 	events    chan reducer.Event
 	inspector inspector.Inspector[*reducer.Reducer]
-	sealer    atomic.Pointer[encoder.Sealer]
+	sealer    atomic.Pointer[encoder.MessageCodec]
 	settings  *resolver.Settings
 
 	accepting        bool
--- a/core/driver/driver.go
+++ b/core/driver/driver.go
@@ -64,7 +64,7 @@
 	Probes   int
 	// Measure makes the fleet encode control messages to count their bytes.
 	Measure bool
-	sealers map[string]*encoder.Sealer
+	sealers map[string]*encoder.MessageCodec
 	// PlatformReads counts reads that brought a document.
 	PlatformReads int
 }
@@ -130,7 +130,7 @@
 		packets:       map[uint64]packetNote{},
 		Bytes:         map[string]int{},
 		nonIdempotent: map[RequestID]bool{},
-		sealers:       map[string]*encoder.Sealer{},
+		sealers:       map[string]*encoder.MessageCodec{},
 	}
 }
 
@@ -403,7 +403,7 @@
 		s = encoder.New(from, nil)
 		f.sealers[from] = s
 	}
-	data, err := s.Seal(e.Host, e.Body)
+	data, err := s.Encode(e.Host, e.Body)
 	if err != nil {
 		panic(fmt.Sprintf("a host made a message that can't be sealed: %v", err))
 	}
--- a/core/encoder/encoder.go
+++ b/core/encoder/encoder.go
@@ -26,18 +26,18 @@
 	// MaxControlBytes bounds any other sealed message; a settings document of
 	// resolver.MaxDocumentBytes fits.
 	MaxControlBytes = resolver.MaxDocumentBytes + 64<<10
-	tagBytes        = 16
+	macBytes        = 16
 )
 
-// Kind tells callers which sort of failure an Error is.
-type Kind uint8
+// ErrorKind tells callers which sort of failure an Error is.
+type ErrorKind uint8
 
 // The kinds of Error.
 const (
 	// KindMalformed means that the bytes are no message.
-	KindMalformed Kind = iota + 1
-	// KindUnauthentic means that no known key made the tag.
-	KindUnauthentic
+	KindMalformed ErrorKind = iota + 1
+	// KindUnauthenticated means that no known key made the tag.
+	KindUnauthenticated
 	// KindUnknown means that the message is of a kind or version that this
 	// release does not know; it is passed over.
 	KindUnknown
@@ -45,11 +45,11 @@
 	KindTooLarge
 )
 
-func (k Kind) String() string {
+func (k ErrorKind) String() string {
 	switch k {
 	case KindMalformed:
 		return "malformed"
-	case KindUnauthentic:
+	case KindUnauthenticated:
 		return "unauthentic"
 	case KindUnknown:
 		return "unknown"
@@ -62,7 +62,7 @@
 // Error is the one error type of this package.
 type Error struct {
 	Op   string
-	Kind Kind
+	Kind ErrorKind
 	Err  error
 }
 
@@ -75,95 +75,95 @@
 type bodyKind uint8
 
 const (
-	kindPing bodyKind = iota + 1
-	kindAck
-	kindPingRequest
-	kindVouch
-	kindForward
-	kindWitness
-	kindWitnessAck
-	kindHandover
-	kindHandoverAck
-	kindFlowRecords
-	kindSettingsRequest
-	kindSettingsDocument
-	kindVerdicts
-	kindReport
-	kindKnowledgeRequest
-	kindKnowledge
+	bodyPing bodyKind = iota + 1
+	bodyAck
+	bodyPingRequest
+	bodyIndirectAck
+	bodyForward
+	bodyWitnessRequest
+	bodyWitnessAck
+	bodyHandover
+	bodyHandoverAck
+	bodyFlowRecords
+	bodySettingsRequest
+	bodySettingsDocument
+	bodyProbeFailures
+	bodyReport
+	bodySyncRequest
+	bodySyncResponse
 )
 
-func kindOf(body messenger.Body) bodyKind {
+func bodyKindOf(body messenger.Body) bodyKind {
 	switch body.(type) {
 	case *messenger.Ping:
-		return kindPing
+		return bodyPing
 	case *messenger.Ack:
-		return kindAck
+		return bodyAck
 	case *messenger.PingRequest:
-		return kindPingRequest
+		return bodyPingRequest
 	case *messenger.IndirectAck:
-		return kindVouch
+		return bodyIndirectAck
 	case *messenger.Forward:
-		return kindForward
+		return bodyForward
 	case *messenger.WitnessRequest:
-		return kindWitness
+		return bodyWitnessRequest
 	case *messenger.WitnessAck:
-		return kindWitnessAck
+		return bodyWitnessAck
 	case *messenger.Handover:
-		return kindHandover
+		return bodyHandover
 	case *messenger.HandoverAck:
-		return kindHandoverAck
+		return bodyHandoverAck
 	case *messenger.FlowRecords:
-		return kindFlowRecords
+		return bodyFlowRecords
 	case *messenger.SettingsRequest:
-		return kindSettingsRequest
+		return bodySettingsRequest
 	case *messenger.SettingsDocument:
-		return kindSettingsDocument
+		return bodySettingsDocument
 	case *messenger.ProbeFailures:
-		return kindVerdicts
+		return bodyProbeFailures
 	case *messenger.Report:
-		return kindReport
+		return bodyReport
 	case *messenger.SyncRequest:
-		return kindKnowledgeRequest
+		return bodySyncRequest
 	case *messenger.SyncResponse:
-		return kindKnowledge
+		return bodySyncResponse
 	}
 	return 0
 }
 
 func newBody(kind bodyKind) messenger.Body {
 	switch kind {
-	case kindPing:
+	case bodyPing:
 		return &messenger.Ping{}
-	case kindAck:
+	case bodyAck:
 		return &messenger.Ack{}
-	case kindPingRequest:
+	case bodyPingRequest:
 		return &messenger.PingRequest{}
-	case kindVouch:
+	case bodyIndirectAck:
 		return &messenger.IndirectAck{}
-	case kindForward:
+	case bodyForward:
 		return &messenger.Forward{}
-	case kindWitness:
+	case bodyWitnessRequest:
 		return &messenger.WitnessRequest{}
-	case kindWitnessAck:
+	case bodyWitnessAck:
 		return &messenger.WitnessAck{}
-	case kindHandover:
+	case bodyHandover:
 		return &messenger.Handover{}
-	case kindHandoverAck:
+	case bodyHandoverAck:
 		return &messenger.HandoverAck{}
-	case kindFlowRecords:
+	case bodyFlowRecords:
 		return &messenger.FlowRecords{}
-	case kindSettingsRequest:
+	case bodySettingsRequest:
 		return &messenger.SettingsRequest{}
-	case kindSettingsDocument:
+	case bodySettingsDocument:
 		return &messenger.SettingsDocument{}
-	case kindVerdicts:
+	case bodyProbeFailures:
 		return &messenger.ProbeFailures{}
-	case kindReport:
+	case bodyReport:
 		return &messenger.Report{}
-	case kindKnowledgeRequest:
+	case bodySyncRequest:
 		return &messenger.SyncRequest{}
-	case kindKnowledge:
+	case bodySyncResponse:
 		return &messenger.SyncResponse{}
 	}
 	return nil
@@ -194,29 +194,29 @@
 	return mode
 }
 
-// Sealer seals the messages of one host and opens those of its peers.
-type Sealer struct {
+// MessageCodec seals the messages of one host and opens those of its peers.
+type MessageCodec struct {
 	self string
 	keys []resolver.Secret
 }
 
 // New makes a Sealer. Without keys, as in experiments without a network, messages
 // bear a tag under the empty key.
-func New(self string, keys []resolver.Secret) *Sealer {
+func New(self string, keys []resolver.Secret) *MessageCodec {
 	if len(keys) == 0 {
 		keys = []resolver.Secret{""}
 	}
-	return &Sealer{self: self, keys: keys}
+	return &MessageCodec{self: self, keys: keys}
 }
 
-// Seal writes a message to a peer.
-func (s *Sealer) Seal(to string, body messenger.Body) ([]byte, error) {
+// Encode writes a message to a peer.
+func (s *MessageCodec) Encode(to string, body messenger.Body) ([]byte, error) {
 	const op = "seal message"
 	raw, err := cbor.Marshal(body)
 	if err != nil {
 		return nil, &Error{Op: op, Kind: KindMalformed, Err: err}
 	}
-	data, err := cbor.Marshal(envelope{Version: Version, From: s.self, To: to, Kind: kindOf(body), Body: raw})
+	data, err := cbor.Marshal(envelope{Version: Version, From: s.self, To: to, Kind: bodyKindOf(body), Body: raw})
 	if err != nil {
 		return nil, &Error{Op: op, Kind: KindMalformed, Err: err}
 	}
@@ -224,29 +224,29 @@
 	if _, ok := body.(*messenger.Forward); ok {
 		limit = MaxDatagramBytes
 	}
-	if len(data)+tagBytes > limit {
-		return nil, &Error{Op: op, Kind: KindTooLarge, Err: fmt.Errorf("%d bytes, at most %d", len(data)+tagBytes, limit)}
+	if len(data)+macBytes > limit {
+		return nil, &Error{Op: op, Kind: KindTooLarge, Err: fmt.Errorf("%d bytes, at most %d", len(data)+macBytes, limit)}
 	}
-	return append(data, tag(s.keys[0], data)...), nil
+	return append(data, computeMAC(s.keys[0], data)...), nil
 }
 
-// Open reads a message and names its sender.
-func (s *Sealer) Open(sealed []byte) (from string, body messenger.Body, err error) {
+// Decode reads a message and names its sender.
+func (s *MessageCodec) Decode(message []byte) (from string, body messenger.Body, err error) {
 	const op = "open message"
-	if len(sealed) <= tagBytes || len(sealed) > MaxControlBytes {
-		return "", nil, &Error{Op: op, Kind: KindMalformed, Err: fmt.Errorf("%d bytes", len(sealed))}
+	if len(message) <= macBytes || len(message) > MaxControlBytes {
+		return "", nil, &Error{Op: op, Kind: KindMalformed, Err: fmt.Errorf("%d bytes", len(message))}
 	}
-	data, given := sealed[:len(sealed)-tagBytes], sealed[len(sealed)-tagBytes:]
-	if !s.authentic(data, given) {
-		return "", nil, &Error{Op: op, Kind: KindUnauthentic, Err: fmt.Errorf("no peer key matches")}
+	data, receivedMAC := message[:len(message)-macBytes], message[len(message)-macBytes:]
+	if !s.verifyMAC(data, receivedMAC) {
+		return "", nil, &Error{Op: op, Kind: KindUnauthenticated, Err: fmt.Errorf("no peer key matches")}
 	}
 	var e envelope
 	if err := decodeMode.Unmarshal(data, &e); err != nil {
 		return "", nil, &Error{Op: op, Kind: KindMalformed, Err: err}
 	}
 	// A report may go to a seed address whose host is not known by name.
-	anyone := e.To == "" && e.Kind == kindReport
-	if e.To != s.self && !anyone {
+	reportToUnknownHost := e.To == "" && e.Kind == bodyReport
+	if e.To != s.self && !reportToUnknownHost {
 		return "", nil, &Error{Op: op, Kind: KindMalformed, Err: fmt.Errorf("message for %q", e.To)}
 	}
 	body = newBody(e.Kind)
@@ -259,33 +259,33 @@
 	return e.From, body, nil
 }
 
-func (s *Sealer) authentic(data, given []byte) bool {
+func (s *MessageCodec) verifyMAC(data, receivedMAC []byte) bool {
 	for _, key := range s.keys {
-		if hmac.Equal(tag(key, data), given) {
+		if hmac.Equal(computeMAC(key, data), receivedMAC) {
 			return true
 		}
 	}
 	return false
 }
 
-func tag(key resolver.Secret, data []byte) []byte {
+func computeMAC(key resolver.Secret, data []byte) []byte {
 	mac := hmac.New(sha256.New, []byte(key))
 	mac.Write(data)
-	return mac.Sum(nil)[:tagBytes]
+	return mac.Sum(nil)[:macBytes]
 }
 
-// Delivery is a packet between the fabric and a host: the packet with the
+// EncapsulatedPacket is a packet between the fabric and a host: the packet with the
 // addresses that it bears outside. A host sends only from service addresses and
 // return addresses, which are its own.
-type Delivery struct {
+type EncapsulatedPacket struct {
 	_       struct{} `cbor:",toarray"`
 	From    netip.AddrPort
 	To      netip.AddrPort
 	Payload []byte
 }
 
-// EncodeDelivery writes a Delivery.
-func EncodeDelivery(d Delivery) ([]byte, error) {
+// EncodeEncapsulatedPacket writes a Delivery.
+func EncodeEncapsulatedPacket(d EncapsulatedPacket) ([]byte, error) {
 	data, err := cbor.Marshal(d)
 	if err != nil {
 		return nil, &Error{Op: "encode delivery", Kind: KindMalformed, Err: err}
@@ -293,14 +293,14 @@
 	return data, nil
 }
 
-// DecodeDelivery reads a Delivery.
-func DecodeDelivery(data []byte) (Delivery, error) {
-	var d Delivery
+// DecodeEncapsulatedPacket reads a Delivery.
+func DecodeEncapsulatedPacket(data []byte) (EncapsulatedPacket, error) {
+	var d EncapsulatedPacket
 	if err := decodeMode.Unmarshal(data, &d); err != nil {
-		return Delivery{}, &Error{Op: "decode delivery", Kind: KindMalformed, Err: err}
+		return EncapsulatedPacket{}, &Error{Op: "decode delivery", Kind: KindMalformed, Err: err}
 	}
 	if !d.From.IsValid() || !d.To.IsValid() {
-		return Delivery{}, &Error{Op: "decode delivery", Kind: KindMalformed, Err: fmt.Errorf("an address is missing")}
+		return EncapsulatedPacket{}, &Error{Op: "decode delivery", Kind: KindMalformed, Err: fmt.Errorf("an address is missing")}
 	}
 	return d, nil
 }
--- a/core/encoder/encoder_test.go
+++ b/core/encoder/encoder_test.go
@@ -36,16 +36,16 @@
 	}
 }
 
-func TestEveryBodySurvives(t *testing.T) {
+func TestBodiesRoundTrip(t *testing.T) {
 	a := encoder.New("a", []resolver.Secret{"key"})
 	b := encoder.New("b", []resolver.Secret{"key"})
 	for _, body := range bodies() {
-		sealed, err := a.Seal("b", body)
+		message, err := a.Encode("b", body)
 		require.NoError(t, err)
-		from, opened, err := b.Open(sealed)
+		from, decoded, err := b.Decode(message)
 		require.NoError(t, err)
 		require.Equal(t, "a", from)
-		require.Equal(t, body, opened)
+		require.Equal(t, body, decoded)
 	}
 }
 
@@ -53,30 +53,30 @@
 // Sequence: the tree gets a second key, the second becomes the first, the old
 // one goes; hosts adopt each revision at different times.
 // Cause: one key at a time.
-func TestKeysRotateWithoutABreak(t *testing.T) {
+func TestKeyRotationKeepsHostsConnected(t *testing.T) {
 	steps := [][]resolver.Secret{{"old"}, {"old", "new"}, {"new", "old"}, {"new"}}
 	for i := 1; i < len(steps); i++ {
 		for _, pair := range [][2][]resolver.Secret{{steps[i-1], steps[i]}, {steps[i], steps[i-1]}} {
-			sealed, err := encoder.New("a", pair[0]).Seal("b", &messenger.WitnessAck{Sequence: 1})
+			message, err := encoder.New("a", pair[0]).Encode("b", &messenger.WitnessAck{Sequence: 1})
 			require.NoError(t, err)
-			_, _, err = encoder.New("b", pair[1]).Open(sealed)
+			_, _, err = encoder.New("b", pair[1]).Decode(message)
 			require.NoError(t, err, "step %d", i)
 		}
 	}
-	sealed, err := encoder.New("a", steps[0]).Seal("b", &messenger.WitnessAck{Sequence: 1})
+	message, err := encoder.New("a", steps[0]).Encode("b", &messenger.WitnessAck{Sequence: 1})
 	require.NoError(t, err)
-	_, _, err = encoder.New("b", steps[3]).Open(sealed)
-	require.Equal(t, encoder.KindUnauthentic, kindOf(t, err))
+	_, _, err = encoder.New("b", steps[3]).Decode(message)
+	require.Equal(t, encoder.KindUnauthenticated, errorKind(t, err))
 }
 
-func kindOf(t *testing.T, err error) encoder.Kind {
+func errorKind(t *testing.T, err error) encoder.ErrorKind {
 	t.Helper()
 	var failure *encoder.Error
 	require.ErrorAs(t, err, &failure)
 	return failure.Kind
 }
 
-func seal(t *testing.T, key string, message any) []byte {
+func encodeWithMAC(t *testing.T, key string, message any) []byte {
 	t.Helper()
 	data, err := cbor.Marshal(message)
 	require.NoError(t, err)
@@ -88,60 +88,60 @@
 // Symptom: a release that is being rolled out takes the old one down.
 // Sequence: a newer host sends a message with a field, or of a kind, that this
 // release does not know. Cause: a decoder that insists on knowing all.
-func TestMessagesOfANewerReleaseArePassedOver(t *testing.T) {
+func TestNewerReleaseMessagesAreTolerated(t *testing.T) {
 	b := encoder.New("b", []resolver.Secret{"key"})
 	ack, err := cbor.Marshal(map[string]any{"seq": 5, "novelty": []int{1, 2}})
 	require.NoError(t, err)
 	known := map[string]any{"v": 1, "from": "a", "to": "b", "kind": 7, "body": cbor.RawMessage(ack), "also": true}
-	_, body, err := b.Open(seal(t, "key", known))
+	_, body, err := b.Decode(encodeWithMAC(t, "key", known))
 	require.NoError(t, err)
 	require.Equal(t, &messenger.WitnessAck{Sequence: 5}, body)
 
 	known["kind"] = 200
-	_, _, err = b.Open(seal(t, "key", known))
-	require.Equal(t, encoder.KindUnknown, kindOf(t, err))
+	_, _, err = b.Decode(encodeWithMAC(t, "key", known))
+	require.Equal(t, encoder.KindUnknown, errorKind(t, err))
 	known["kind"], known["v"] = 7, 2
-	_, _, err = b.Open(seal(t, "key", known))
-	require.Equal(t, encoder.KindUnknown, kindOf(t, err))
+	_, _, err = b.Decode(encodeWithMAC(t, "key", known))
+	require.Equal(t, encoder.KindUnknown, errorKind(t, err))
 }
 
-func TestGarbageIsRefused(t *testing.T) {
+func TestInvalidMessagesAreRejected(t *testing.T) {
 	b := encoder.New("b", []resolver.Secret{"key"})
-	sealed, err := encoder.New("a", []resolver.Secret{"key"}).Seal("b", &messenger.WitnessAck{Sequence: 1})
+	message, err := encoder.New("a", []resolver.Secret{"key"}).Encode("b", &messenger.WitnessAck{Sequence: 1})
 	require.NoError(t, err)
 	tests := map[string]struct {
 		data []byte
-		kind encoder.Kind
+		kind encoder.ErrorKind
 	}{
 		"empty":      {nil, encoder.KindMalformed},
-		"short":      {sealed[:10], encoder.KindMalformed},
-		"truncated":  {sealed[:len(sealed)-1], encoder.KindUnauthentic},
-		"not CBOR":   {seal(t, "key", "text"), encoder.KindMalformed},
-		"not for us": {seal(t, "key", map[string]any{"v": 1, "from": "a", "to": "c", "kind": 7}), encoder.KindMalformed},
+		"short":      {message[:10], encoder.KindMalformed},
+		"truncated":  {message[:len(message)-1], encoder.KindUnauthenticated},
+		"not CBOR":   {encodeWithMAC(t, "key", "text"), encoder.KindMalformed},
+		"not for us": {encodeWithMAC(t, "key", map[string]any{"v": 1, "from": "a", "to": "c", "kind": 7}), encoder.KindMalformed},
 		"too large":  {make([]byte, encoder.MaxControlBytes+1), encoder.KindMalformed},
-		"wrong key":  {seal(t, "other", map[string]any{"v": 1}), encoder.KindUnauthentic},
+		"wrong key":  {encodeWithMAC(t, "other", map[string]any{"v": 1}), encoder.KindUnauthenticated},
 	}
 	for name, test := range tests {
-		_, _, err := b.Open(test.data)
-		require.Equal(t, test.kind, kindOf(t, err), name)
+		_, _, err := b.Decode(test.data)
+		require.Equal(t, test.kind, errorKind(t, err), name)
 	}
-	_, err = encoder.New("a", nil).Seal("b", &messenger.Forward{Payload: make([]byte, encoder.MaxDatagramBytes)})
-	require.Equal(t, encoder.KindTooLarge, kindOf(t, err))
+	_, err = encoder.New("a", nil).Encode("b", &messenger.Forward{Payload: make([]byte, encoder.MaxDatagramBytes)})
+	require.Equal(t, encoder.KindTooLarge, errorKind(t, err))
 }
 
 func FuzzOpen(f *testing.F) {
 	a, b := encoder.New("a", nil), encoder.New("b", nil)
 	for _, body := range bodies() {
-		sealed, err := a.Seal("b", body)
+		message, err := a.Encode("b", body)
 		if err != nil {
 			f.Fatal(err)
 		}
-		f.Add(sealed[:len(sealed)-16])
+		f.Add(message[:len(message)-16])
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		mac := hmac.New(sha256.New, nil)
 		mac.Write(data)
-		_, body, err := b.Open(append(data, mac.Sum(nil)[:16]...))
+		_, body, err := b.Decode(append(data, mac.Sum(nil)[:16]...))
 		var failure *encoder.Error
 		if err != nil && !errors.As(err, &failure) {
 			t.Fatalf("an error of another type: %T", err)
@@ -153,21 +153,21 @@
 }
 
 func FuzzDecodeDelivery(f *testing.F) {
-	data, err := encoder.EncodeDelivery(encoder.Delivery{From: netip.MustParseAddrPort("10.0.0.1:1"), To: netip.MustParseAddrPort("[fd00::1]:5683"), Payload: []byte("x")})
+	data, err := encoder.EncodeEncapsulatedPacket(encoder.EncapsulatedPacket{From: netip.MustParseAddrPort("10.0.0.1:1"), To: netip.MustParseAddrPort("[fd00::1]:5683"), Payload: []byte("x")})
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(data)
 	f.Fuzz(func(t *testing.T, data []byte) {
-		if d, err := encoder.DecodeDelivery(data); err == nil && (!d.From.IsValid() || !d.To.IsValid()) {
+		if d, err := encoder.DecodeEncapsulatedPacket(data); err == nil && (!d.From.IsValid() || !d.To.IsValid()) {
 			t.Fatal("a delivery without addresses")
 		}
 		_, _ = encoder.DecodeAnnouncement(data)
 	})
 }
 
-// earlierTarget is a target as hosts told it before there were eras.
-type earlierTarget struct {
+// previousReleaseTarget is a target as hosts told it before there were eras.
+type previousReleaseTarget struct {
 	_                struct{} `cbor:",toarray"`
 	ID               string
 	Seen             uint64
@@ -185,9 +185,9 @@
 // Symptom: while a release is rolled out, its hosts and those of the one before tell each
 // other neither lists nor changes of targets. Sequence: one of them reports a change, or
 // answers a question. Cause: a target is an array, and of another length.
-func TestTargetsAreReadByTheReleaseBefore(t *testing.T) {
+func TestTargetsAreCompatibleWithPreviousRelease(t *testing.T) {
 	address := netip.MustParseAddrPort("10.2.0.1:80")
-	earlier := []earlierTarget{{ID: "i-0a", Seen: 9, Service: "ledger", Address: address, Slots: 4, Draining: true, Born: 7, Unreadable: true}}
+	earlier := []previousReleaseTarget{{ID: "i-0a", Seen: 9, Service: "ledger", Address: address, Slots: 4, Draining: true, Born: 7, Unreadable: true}}
 	current := []messenger.TargetState{{ID: "i-0a", Revision: 9, Service: "ledger", Address: address, Slots: 4, Draining: true, Incarnation: 7, Unreadable: true}}
 
 	old, err := cbor.Marshal(earlier)
@@ -202,7 +202,7 @@
 	data, err = cbor.Marshal(&messenger.Report{TargetsEra: 4, TargetChanges: current})
 	require.NoError(t, err)
 	var report struct {
-		Changes []earlierTarget `cbor:"changes,omitempty"`
+		Changes []previousReleaseTarget `cbor:"changes,omitempty"`
 	}
 	require.NoError(t, cbor.Unmarshal(data, &report))
 	require.Equal(t, earlier, report.Changes)
--- a/core/steerer/bench_test.go
+++ b/core/steerer/bench_test.go
@@ -116,7 +116,7 @@
 }
 
 func sealedBytes(t tester, e *steerer.SendReport) int {
-	data, err := encoder.New("a1", nil).Seal(e.Host, e.Report)
+	data, err := encoder.New("a1", nil).Encode(e.Host, e.Report)
 	require.NoError(t, err)
 	return len(data)
 }
--- a/core/steerer/large_bench_test.go
+++ b/core/steerer/large_bench_test.go
@@ -70,7 +70,7 @@
 	fleet   largeFleet
 	targets []steerer.Target
 	steerer *steerer.Steerer
-	sealer  *encoder.Sealer
+	sealer  *encoder.MessageCodec
 	now     timekeeper.Instant
 	// reports are one from each other host, those of the own zone first.
 	near    []*steerer.ReportReceived
@@ -299,7 +299,7 @@
 	for b.Loop() {
 		h.second(f, 20, changes)
 		for _, e := range h.sent {
-			data, err := h.sealer.Seal(e.Host, e.Report)
+			data, err := h.sealer.Encode(e.Host, e.Report)
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/core/translator/translator.go
+++ b/core/translator/translator.go
@@ -34,18 +34,18 @@
 	"github.com/plgd-dev/go-coap/v3/udp/coder"
 )
 
-// Kind tells callers which sort of failure an Error is.
-type Kind uint8
+// ErrorKind tells callers which sort of failure an Error is.
+type ErrorKind uint8
 
 // The kinds of Error.
 const (
 	// KindMalformed means that a datagram is no CoAP message.
-	KindMalformed Kind = iota + 1
+	KindMalformed ErrorKind = iota + 1
 	// KindUnsupported means that a message's code or version is not known.
 	KindUnsupported
 )
 
-func (k Kind) String() string {
+func (k ErrorKind) String() string {
 	if k == KindMalformed {
 		return "malformed"
 	}
@@ -55,7 +55,7 @@
 // Error is the one error type of this package.
 type Error struct {
 	Op   string
-	Kind Kind
+	Kind ErrorKind
 	Err  error
 }
 
@@ -64,13 +64,13 @@
 // Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.Err }
 
-// deadlineQuery is the query by which a caller may say for how many
+// deadlineQueryPrefix is the query by which a caller may say for how many
 // milliseconds it waits: GET /check?deadlineMs=800. Callers need not use it.
-const deadlineQuery = "deadlineMs="
+const deadlineQueryPrefix = "deadlineMs="
 
 const (
-	firstOptions = 16
-	maxOptions   = 256
+	initialOptionsCapacity = 16
+	maxOptionsCapacity     = 256
 )
 
 // Translator reads datagrams. It reuses its buffers, so it is not safe for
@@ -81,21 +81,21 @@
 
 // New makes a Translator.
 func New() *Translator {
-	return &Translator{message: message.Message{Options: make(message.Options, 0, firstOptions)}}
+	return &Translator{message: message.Message{Options: make(message.Options, 0, initialOptionsCapacity)}}
 }
 
 // Decode reads a datagram that came at now. The packet's payload is the
 // datagram itself, so the caller must not reuse it.
 func (t *Translator) Decode(datagram []byte, now timekeeper.Instant) (messenger.Packet, error) {
 	const op = "decode datagram"
-	if err := t.decode(datagram); err != nil {
+	if err := t.parse(datagram); err != nil {
 		return messenger.Packet{}, &Error{Op: op, Kind: KindMalformed, Err: err}
 	}
 	m := &t.message
 	packet := messenger.Packet{
 		Exchange: messenger.Exchange{
 			MessageID:   uint16(m.MessageID),
-			Token:       tokenNumber(m.Token),
+			Token:       tokenToUint64(m.Token),
 			TokenLength: uint8(len(m.Token)),
 		},
 		Payload: datagram,
@@ -108,28 +108,28 @@
 		packet.Kind = messenger.KindControl
 	case class == 0:
 		packet.Kind = messenger.KindRequest
-		return t.request(packet, now)
+		return t.decodeRequest(packet, now)
 	case class == 2 || class == 4 || class == 5:
 		packet.Kind = messenger.KindResponse
-		t.answer(&packet)
+		t.applyResponseFlags(&packet)
 	default:
 		return messenger.Packet{}, &Error{Op: op, Kind: KindUnsupported, Err: fmt.Errorf("code %v", m.Code)}
 	}
 	return packet, nil
 }
 
-// decode grows the options buffer for the rare message that needs more.
-func (t *Translator) decode(datagram []byte) error {
+// parse grows the options buffer for the rare message that needs more.
+func (t *Translator) parse(datagram []byte) error {
 	for {
 		_, err := coder.DefaultCoder.Decode(datagram, &t.message)
-		if !errors.Is(err, message.ErrOptionsTooSmall) || cap(t.message.Options) >= maxOptions {
+		if !errors.Is(err, message.ErrOptionsTooSmall) || cap(t.message.Options) >= maxOptionsCapacity {
 			return err
 		}
 		t.message.Options = make(message.Options, 0, 2*cap(t.message.Options))
 	}
 }
 
-func (t *Translator) request(packet messenger.Packet, now timekeeper.Instant) (messenger.Packet, error) {
+func (t *Translator) decodeRequest(packet messenger.Packet, now timekeeper.Instant) (messenger.Packet, error) {
 	m := &t.message
 	switch m.Code {
 	case codes.GET, codes.PUT, codes.DELETE, codes.FETCH, codes.IPATCH:
@@ -139,15 +139,15 @@
 	default:
 		return messenger.Packet{}, &Error{Op: "decode datagram", Kind: KindUnsupported, Err: fmt.Errorf("method %v", m.Code)}
 	}
-	t.observe(&packet)
-	if err := t.blocks(&packet); err != nil {
+	t.applyObserve(&packet)
+	if err := t.applyBlockOptions(&packet); err != nil {
 		return messenger.Packet{}, err
 	}
-	packet.Deadline = t.deadline(now)
+	packet.Deadline = t.requestDeadline(now)
 	return packet, nil
 }
 
-func (t *Translator) observe(packet *messenger.Packet) {
+func (t *Translator) applyObserve(packet *messenger.Packet) {
 	value, err := t.message.Options.Observe()
 	if err != nil {
 		return
@@ -158,8 +158,8 @@
 	}
 }
 
-// blocks reads the options of block-wise transfers (RFC 7959).
-func (t *Translator) blocks(packet *messenger.Packet) error {
+// applyBlockOptions reads the options of block-wise transfers (RFC 7959).
+func (t *Translator) applyBlockOptions(packet *messenger.Packet) error {
 	if value, err := t.message.Options.GetUint32(message.Block1); err == nil {
 		_, number, more, err := blockwise.DecodeBlockOption(value)
 		if err != nil {
@@ -189,12 +189,12 @@
 	return nil
 }
 
-func (t *Translator) deadline(now timekeeper.Instant) timekeeper.Instant {
+func (t *Translator) requestDeadline(now timekeeper.Instant) timekeeper.Instant {
 	for _, option := range t.message.Options {
 		if option.ID != message.URIQuery {
 			continue
 		}
-		text, ok := strings.CutPrefix(string(option.Value), deadlineQuery)
+		text, ok := strings.CutPrefix(string(option.Value), deadlineQueryPrefix)
 		if !ok {
 			continue
 		}
@@ -205,7 +205,7 @@
 	return 0
 }
 
-func (t *Translator) answer(packet *messenger.Packet) {
+func (t *Translator) applyResponseFlags(packet *messenger.Packet) {
 	m := &t.message
 	if m.Type == message.Acknowledgement {
 		packet.Flags |= messenger.FlagPiggybacked
@@ -218,13 +218,13 @@
 	}
 }
 
-func tokenNumber(token []byte) uint64 {
+func tokenToUint64(token []byte) uint64 {
 	var b [8]byte
 	copy(b[8-len(token):], token)
 	return binary.BigEndian.Uint64(b[:])
 }
 
-func tokenBytes(e messenger.Exchange) []byte {
+func tokenFromExchange(e messenger.Exchange) []byte {
 	var b [8]byte
 	binary.BigEndian.PutUint64(b[:], e.Token)
 	return b[8-min(int(e.TokenLength), 8):]
@@ -234,7 +234,7 @@
 // run, 5.04 where that is not known. Max-Age says when to come back.
 func EncodeReply(reply *reducer.Reply) ([]byte, error) {
 	m := message.Message{
-		Token:     tokenBytes(reply.Exchange),
+		Token:     tokenFromExchange(reply.Exchange),
 		Code:      codes.ServiceUnavailable,
 		Payload:   []byte(reply.Outcome.String() + ": " + reply.Reason.String()),
 		MessageID: int32(reply.Exchange.MessageID),
--- a/core/translator/translator_test.go
+++ b/core/translator/translator_test.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	opens      = messenger.FlagOpensFlow
-	idempotent = messenger.FlagIdempotent
-	stream     = messenger.FlagStream
-	block      = messenger.FlagBlockwise
-	con        = messenger.FlagConfirmable
+	opens       = messenger.FlagOpensFlow
+	idempotent  = messenger.FlagIdempotent
+	stream      = messenger.FlagStream
+	block       = messenger.FlagBlockwise
+	confirmable = messenger.FlagConfirmable
 )
 
 func encode(t testing.TB, m message.Message) []byte {
@@ -46,7 +46,7 @@
 	return value
 }
 
-func TestWhatADatagramMeans(t *testing.T) {
+func TestDecodeClassifiesDatagrams(t *testing.T) {
 	observe := func(v uint32) message.Options { return option(t, nil, message.Observe, v) }
 	block1 := func(n int64, more bool) message.Options {
 		return option(t, nil, message.Block1, blockValue(t, n, more))
@@ -60,32 +60,32 @@
 		want    messenger.Kind
 		flags   messenger.Flags
 	}{
-		{"read", codes.GET, message.Confirmable, nil, messenger.KindRequest, opens | idempotent | con},
-		{"write", codes.POST, message.Confirmable, nil, messenger.KindRequest, opens | con},
+		{"read", codes.GET, message.Confirmable, nil, messenger.KindRequest, opens | idempotent | confirmable},
+		{"write", codes.POST, message.Confirmable, nil, messenger.KindRequest, opens | confirmable},
 		{"write, not confirmable", codes.POST, message.NonConfirmable, nil, messenger.KindRequest, opens},
-		{"replace", codes.PUT, message.Confirmable, nil, messenger.KindRequest, opens | idempotent | con},
-		{"stream begins", codes.GET, message.Confirmable, observe(0), messenger.KindRequest, opens | idempotent | stream | con},
-		{"stream ends", codes.GET, message.Confirmable, observe(1), messenger.KindRequest, idempotent | stream | con},
-		{"upload begins", codes.POST, message.Confirmable, block1(0, true), messenger.KindRequest, opens | idempotent | block | con},
-		{"upload goes on", codes.POST, message.Confirmable, block1(5, true), messenger.KindRequest, idempotent | block | con},
-		{"upload ends", codes.POST, message.Confirmable, block1(6, false), messenger.KindRequest, block | con},
-		{"upload in one block", codes.POST, message.Confirmable, block1(0, false), messenger.KindRequest, opens | block | con},
-		{"later block of an answer", codes.GET, message.Confirmable, block2(3), messenger.KindRequest, idempotent | block | con},
+		{"replace", codes.PUT, message.Confirmable, nil, messenger.KindRequest, opens | idempotent | confirmable},
+		{"stream begins", codes.GET, message.Confirmable, observe(0), messenger.KindRequest, opens | idempotent | stream | confirmable},
+		{"stream ends", codes.GET, message.Confirmable, observe(1), messenger.KindRequest, idempotent | stream | confirmable},
+		{"upload begins", codes.POST, message.Confirmable, block1(0, true), messenger.KindRequest, opens | idempotent | block | confirmable},
+		{"upload goes on", codes.POST, message.Confirmable, block1(5, true), messenger.KindRequest, idempotent | block | confirmable},
+		{"upload ends", codes.POST, message.Confirmable, block1(6, false), messenger.KindRequest, block | confirmable},
+		{"upload in one block", codes.POST, message.Confirmable, block1(0, false), messenger.KindRequest, opens | block | confirmable},
+		{"later block of an answer", codes.GET, message.Confirmable, block2(3), messenger.KindRequest, idempotent | block | confirmable},
 		{"acknowledgement", codes.Empty, message.Acknowledgement, nil, messenger.KindControl, 0},
 		{"reset", codes.Empty, message.Reset, nil, messenger.KindControl, 0},
 		{"answer", codes.Content, message.Acknowledgement, nil, messenger.KindResponse, messenger.FlagPiggybacked},
-		{"separate answer", codes.Content, message.Confirmable, nil, messenger.KindResponse, con},
+		{"separate answer", codes.Content, message.Confirmable, nil, messenger.KindResponse, confirmable},
 		{"notification", codes.Content, message.NonConfirmable, observe(9), messenger.KindResponse, stream},
 		{"refusal", codes.ServiceUnavailable, message.Acknowledgement, nil, messenger.KindResponse, messenger.FlagPiggybacked | messenger.FlagRefused},
 	}
-	reader := translator.New()
+	decoder := translator.New()
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			m := message.Message{Code: test.code, Type: test.kind, Options: test.options, MessageID: 77}
 			if test.code != codes.Empty {
 				m.Token = []byte{1, 2, 3}
 			}
-			packet, err := reader.Decode(encode(t, m), 0)
+			packet, err := decoder.Decode(encode(t, m), 0)
 			require.NoError(t, err)
 			require.Equal(t, test.want, packet.Kind)
 			require.Equal(t, test.flags, packet.Flags)
@@ -94,7 +94,7 @@
 	}
 }
 
-func TestCallersMayNameADeadline(t *testing.T) {
+func TestDeadlineFromURIQuery(t *testing.T) {
 	options, _, err := message.Options{}.AddString(make([]byte, 64), message.URIQuery, "deadlineMs=800")
 	require.NoError(t, err)
 	now := timekeeper.Instant(time.Second)
@@ -103,7 +103,7 @@
 	require.Equal(t, now.Add(800*time.Millisecond), packet.Deadline)
 }
 
-func TestBadDatagramsAreRefused(t *testing.T) {
+func TestInvalidDatagramsAreRejected(t *testing.T) {
 	tests := map[string][]byte{
 		"empty":                 nil,
 		"truncated header":      {0x40, 0x01},
@@ -115,9 +115,9 @@
 		"unknown method":        {0x40, 0x1f, 0, 1},
 		"signal of CoAP on TCP": {0x40, 0xe1, 0, 1},
 	}
-	reader := translator.New()
+	decoder := translator.New()
 	for name, data := range tests {
-		_, err := reader.Decode(data, 0)
+		_, err := decoder.Decode(data, 0)
 		var failure *translator.Error
 		require.ErrorAs(t, err, &failure, name)
 	}
@@ -126,11 +126,11 @@
 	for range 40 {
 		options, _, _ = options.AddString(make([]byte, 8), message.URIQuery, "a=b")
 	}
-	_, err := reader.Decode(encode(t, message.Message{Code: codes.GET, Type: message.Confirmable, Options: options}), 0)
+	_, err := decoder.Decode(encode(t, message.Message{Code: codes.GET, Type: message.Confirmable, Options: options}), 0)
 	require.NoError(t, err)
 }
 
-func TestReplies(t *testing.T) {
+func TestEncodeReply(t *testing.T) {
 	reply := &reducer.Reply{
 		Exchange:   messenger.Exchange{MessageID: 7, Token: 0x0102, TokenLength: 2},
 		Flags:      messenger.FlagConfirmable,
@@ -165,9 +165,9 @@
 	f.Add(encode(f, message.Message{Code: codes.GET, Token: []byte{1}, Type: message.Confirmable, MessageID: 5}))
 	f.Add(encode(f, message.Message{Code: codes.POST, Options: option(f, nil, message.Block1, blockValue(f, 3, true)), Payload: []byte("x")}))
 	f.Add([]byte{0x40, 0x01, 0, 1, 0xff})
-	reader := translator.New()
+	decoder := translator.New()
 	f.Fuzz(func(t *testing.T, datagram []byte) {
-		packet, err := reader.Decode(datagram, 0)
+		packet, err := decoder.Decode(datagram, 0)
 		var failure *translator.Error
 		if err != nil && !errors.As(err, &failure) {
 			t.Fatalf("an error of another type: %T", err)
--- a/scripts/red.sh
+++ b/scripts/red.sh
@@ -237,7 +237,7 @@
 without "the end of pacing" pacer/pacer.go '(before && l.pressure > congestionOffThreshold)' 'before' TestNormalLoadIsNotQueued
 
 package=encoder
-without "targets in the shape of the release before" messenger/report.go 'Unreadable bool' 'Unreadable bool; Era uint64' TestTargetsAreReadByTheReleaseBefore
+without "targets in the shape of the release before" messenger/report.go 'Unreadable bool' 'Unreadable bool; Era uint64' TestTargetsAreCompatibleWithPreviousRelease
 
 package=sequencer
 without "eras in the order of positions" sequencer/sequencer.go 'if c := cmp.Compare(p.Era, other.Era); c != 0 {' 'if c := cmp.Compare(p.Era, other.Era); false && c != 0 {' TestPositionsOrderByEraThenRevision
--- a/standin/internal/sprayer/sprayer.go
+++ b/standin/internal/sprayer/sprayer.go
@@ -168,7 +168,7 @@
 
 // spray hands a packet to a random host.
 func (s *Sprayer) spray(from, to netip.AddrPort, payload []byte) {
-	data, err := encoder.EncodeDelivery(encoder.Delivery{From: from, To: to, Payload: payload})
+	data, err := encoder.EncodeEncapsulatedPacket(encoder.EncapsulatedPacket{From: from, To: to, Payload: payload})
 	if err != nil {
 		return
 	}
@@ -207,7 +207,7 @@
 		s.announce(a)
 		return
 	}
-	d, err := encoder.DecodeDelivery(data)
+	d, err := encoder.DecodeEncapsulatedPacket(data)
 	if err != nil || s.isCut(name) {
 		return
 	}
--- a/standin/system_e2e_test.go
+++ b/standin/system_e2e_test.go
@@ -195,11 +195,11 @@
 	}
 	// Well-formed deliveries of datagrams that are no CoAP.
 	for _, payload := range [][]byte{nil, {0x40}, {0x49, 1, 0, 1, 1, 2, 3, 4, 5, 6, 7, 8, 9}, {0x40, 1, 0, 1, 0xff}} {
-		data, err := encoder.EncodeDelivery(encoder.Delivery{From: netip.MustParseAddrPort("127.0.0.1:9"), To: s.settings.Services[0].Address, Payload: payload})
+		data, err := encoder.EncodeEncapsulatedPacket(encoder.EncapsulatedPacket{From: netip.MustParseAddrPort("127.0.0.1:9"), To: s.settings.Services[0].Address, Payload: payload})
 		require.NoError(t, err)
 		_, _ = fabric.Write(data)
 	}
-	wrong, err := encoder.New("b1", []resolver.Secret{"not-the-key"}).Seal(host.Name, &messenger.Ping{Sequence: 1})
+	wrong, err := encoder.New("b1", []resolver.Secret{"not-the-key"}).Encode(host.Name, &messenger.Ping{Sequence: 1})
 	require.NoError(t, err)
 	_, _ = peer.Write(wrong)
 
