--- a/balancer/internal/runner/runner.go
+++ b/balancer/internal/runner/runner.go
@@ -73,7 +73,7 @@
 		Incarnation: incarnation,
 		Seed:        incarnation,
 		Timing:      timing,
-		Seeds:       slices.Sorted(maps.Keys(config.Seeds)),
+		SeedHosts:   slices.Sorted(maps.Keys(config.Seeds)),
 		Start:       r.now(),
 	})
 	// Until the tree is known, only its key lets peers answer. Without it a key
@@ -148,7 +148,7 @@
 
 // loop is the only place that touches the reducer.
 func (r *Runner) loop(ctx context.Context, leave <-chan struct{}, failed <-chan error) error {
-	ticker := time.NewTicker(reducer.TickEvery)
+	ticker := time.NewTicker(reducer.TickInterval)
 	defer ticker.Stop()
 	for {
 		var event reducer.Event
--- a/core/driver/driver.go
+++ b/core/driver/driver.go
@@ -149,7 +149,7 @@
 				Incarnation: f.starts * 1000,
 				Seed:        f.starts,
 				Timing:      detector.DefaultTiming(),
-				Seeds:       f.Seeds,
+				SeedHosts:   f.Seeds,
 				Start:       f.Now,
 			}),
 			running:  true,
@@ -273,7 +273,7 @@
 func (f *Fleet) Step(d time.Duration) {
 	end := f.Now.Add(d)
 	for f.Now < end {
-		tick := f.Now.Add(reducer.TickEvery)
+		tick := f.Now.Add(reducer.TickInterval)
 		f.drain(tick)
 		f.Now = tick
 		f.readPlatform()
@@ -290,7 +290,7 @@
 		if condition() {
 			return true
 		}
-		f.Step(reducer.TickEvery)
+		f.Step(reducer.TickInterval)
 	}
 	return condition()
 }
--- a/core/reducer/adoption.go
+++ b/core/reducer/adoption.go
@@ -13,7 +13,7 @@
 	"cranberryspan.dev/core/resolver"
 )
 
-// settingsPublished takes over a revision if it is valid and higher than the
+// handleSettingsPublished takes over a revision if it is valid and higher than the
 // one in force.
 //
 // What goes wrong without the comparison: the platform comes back from a
@@ -21,13 +21,13 @@
 // One notices by a drained target that gets flows again. Since a revision only
 // ever replaces a lower one, nothing that is stale brings a host back; a host
 // that is behind hears of the higher revision with the next heartbeat.
-func (r *Reducer) settingsPublished(revision uint64, document []byte) {
-	if revision <= r.Revision() || revision == r.rejected {
+func (r *Reducer) handleSettingsPublished(revision uint64, document []byte) {
+	if revision <= r.Revision() || revision == r.rejectedRevision {
 		return
 	}
 	settings, err := resolver.Resolve("revision "+strconv.FormatUint(revision, 10), document)
 	if err != nil {
-		r.rejected = revision
+		r.rejectedRevision = revision
 		r.emit(&Rejected{Revision: revision, Err: err})
 		return
 	}
@@ -44,13 +44,13 @@
 	}
 	r.adoptCells(settings)
 	r.serviceIDs = r.serviceIDs[:0]
-	renewed := make(map[resolver.ServiceID]*service, len(settings.Services))
+	updated := make(map[resolver.ServiceID]*service, len(settings.Services))
 	for i := range settings.Services {
 		s := &settings.Services[i]
-		renewed[s.ID] = r.renewService(r.services[s.ID], s, r.now)
+		updated[s.ID] = r.updateService(r.services[s.ID], s, r.now)
 		r.serviceIDs = append(r.serviceIDs, s.ID)
 	}
-	r.services = renewed
+	r.services = updated
 	r.detector.SetHosts(settings.Hosts, settings.Revision, r.now)
 	r.emit(&Adopted{Settings: settings})
 }
@@ -74,8 +74,8 @@
 	r.cellSizes = sizes
 	cells := placer.NewCellMap(settings.Hosts)
 	if len(r.services) > 0 {
-		r.earlierCells = r.cells
-		r.movedDeadline = r.now.Add(r.exchangeLifetime())
+		r.previousCells = r.cells
+		r.homeMoveDeadline = r.now.Add(r.maxExchangeLifetime())
 	}
 	r.cells = cells
 	r.dirtyShards = flowShards
@@ -92,51 +92,51 @@
 // Settings returns the settings in force; nil before the first revision.
 func (r *Reducer) Settings() *resolver.Settings { return r.settings }
 
-// behind reports whether some host has named a higher revision.
-func (r *Reducer) behind() bool {
+// settingsOutdated reports whether some host has named a higher revision.
+func (r *Reducer) settingsOutdated() bool {
 	highest, _ := r.detector.HighestRevision()
-	return highest > r.Revision() && highest != r.rejected
+	return highest > r.Revision() && highest != r.rejectedRevision
 }
 
-// catchUp asks a peer that has a higher revision for it, at most every so often.
-func (r *Reducer) catchUp() {
-	const askEvery = 300 * time.Millisecond
-	if !r.askedDeadline.Passed(r.now) {
+// requestNewerSettings asks a peer that has a higher revision for it, at most every so often.
+func (r *Reducer) requestNewerSettings() {
+	const requestInterval = 300 * time.Millisecond
+	if !r.nextSettingsRequest.Passed(r.now) {
 		return
 	}
 	highest, host := r.detector.HighestRevision()
-	if host == "" || highest <= r.Revision() || highest == r.rejected {
+	if host == "" || highest <= r.Revision() || highest == r.rejectedRevision {
 		return
 	}
-	r.askedDeadline = r.now.Add(askEvery)
+	r.nextSettingsRequest = r.now.Add(requestInterval)
 	r.sendPeer(host, &messenger.SettingsRequest{NewerThan: r.Revision()})
 }
 
-// askSeeds asks hosts that the process was told of for settings.
+// requestSettingsFromSeeds asks hosts that the process was told of for settings.
 //
 // What goes wrong without it: a host is replaced while the platform is down. It
 // knows neither the tree nor its peers, and its place stays empty until the
 // platform is back. One notices by a host that is up and never ready.
-func (r *Reducer) askSeeds() {
-	const askEvery = time.Second
-	if len(r.seeds) == 0 || !r.askedDeadline.Passed(r.now) {
+func (r *Reducer) requestSettingsFromSeeds() {
+	const requestInterval = time.Second
+	if len(r.seedHosts) == 0 || !r.nextSettingsRequest.Passed(r.now) {
 		return
 	}
-	r.askedDeadline = r.now.Add(askEvery)
-	r.sendPeer(r.seeds[r.random.IntN(len(r.seeds))], &messenger.SettingsRequest{})
+	r.nextSettingsRequest = r.now.Add(requestInterval)
+	r.sendPeer(r.seedHosts[r.random.IntN(len(r.seedHosts))], &messenger.SettingsRequest{})
 }
 
 func (r *Reducer) sendSettings(to string, above uint64) {
 	if r.settings == nil || r.Revision() <= above {
 		return
 	}
-	r.sendPeer(to, &messenger.SettingsDocument{Revision: r.Revision(), Compressed: r.compressed()})
+	r.sendPeer(to, &messenger.SettingsDocument{Revision: r.Revision(), Compressed: r.compressedSettings()})
 }
 
-// compressed returns the document in force, compressed once for all peers: at
+// compressedSettings returns the document in force, compressed once for all peers: at
 // the two-year size it has most of a megabyte, and every change goes to every
 // host.
-func (r *Reducer) compressed() []byte {
+func (r *Reducer) compressedSettings() []byte {
 	if r.compressedRevision == r.Revision() {
 		return r.compressedDocument
 	}
@@ -149,9 +149,9 @@
 	return r.compressedDocument
 }
 
-// takeSettings takes a peer's settings. A document that unpacks to more than
+// handleSettingsDocument takes a peer's settings. A document that unpacks to more than
 // the platform holds is cut, and refused as too large.
-func (r *Reducer) takeSettings(body *messenger.SettingsDocument) {
+func (r *Reducer) handleSettingsDocument(body *messenger.SettingsDocument) {
 	if body.Revision <= r.Revision() {
 		return
 	}
@@ -165,41 +165,41 @@
 		r.emit(&Rejected{Revision: body.Revision, Err: err})
 		return
 	}
-	r.settingsPublished(body.Revision, document)
+	r.handleSettingsPublished(body.Revision, document)
 }
 
 // watchersPerZone is how many hosts of an availability zone watch the platform;
 // the others learn from peers, so that calls grow with zones, not with hosts.
 const watchersPerZone = 2
 
-func (r *Reducer) chooseWatchers() {
+func (r *Reducer) updateWatching() {
 	self, ok := r.settings.HostByName(r.self)
-	ahead := 0
+	watchersAhead := 0
 	for _, h := range r.settings.Hosts {
 		if h.Name == r.self {
 			break
 		}
 		alive := r.detector.State(h.Name).Liveness == messenger.LivenessAlive
 		if h.AvailabilityZone == self.AvailabilityZone && alive && !r.listedLeaving[h.Name] {
-			ahead++
+			watchersAhead++
 		}
 	}
-	watch := !ok || ahead < watchersPerZone
+	watch := !ok || watchersAhead < watchersPerZone
 	if watch != r.watching {
 		r.watching = watch
 		r.emit(&Watch{Enabled: watch})
 	}
 }
 
-func (r *Reducer) hostsPublished(e *HostsPublished) {
+func (r *Reducer) handleHostsPublished(e *HostsPublished) {
 	clear(r.listedLeaving)
 	for _, name := range e.Leaving {
 		r.listedLeaving[name] = true
 	}
 }
 
-// exchangeLifetime is the longest exchange lifetime of all services.
-func (r *Reducer) exchangeLifetime() time.Duration {
+// maxExchangeLifetime is the longest exchange lifetime of all services.
+func (r *Reducer) maxExchangeLifetime() time.Duration {
 	var longest time.Duration
 	for _, id := range r.serviceIDs {
 		longest = max(longest, r.services[id].settings.Policy.ExchangeLifetime)
--- a/core/reducer/answer.go
+++ b/core/reducer/answer.go
@@ -4,33 +4,33 @@
 	"cranberryspan.dev/core/messenger"
 )
 
-// answer takes in a target's answer at the host responsible for its flow. An
+// handleResponse takes in a target's answer at the host responsible for its flow. An
 // answer goes to the caller whose request it answers, or nowhere.
-func (r *Reducer) answer(in *inbound) {
+func (r *Reducer) handleResponse(in *inbound) {
 	q, ok := r.byToken[tokenOf(in.key, in.packet.Exchange)]
 	if !ok {
 		// The request was sent by another host: an owner that died, or one that
 		// stood in. The return address names the caller, who knows its token.
-		r.deliver(in)
+		r.deliverToCaller(in)
 		return
 	}
 	if in.packet.Flags.Has(messenger.FlagPiggybacked) && q.packet.Exchange.MessageID != in.packet.Exchange.MessageID {
-		r.answerToEarlier(in)
+		r.handleEarlierResponse(in)
 		return
 	}
-	at, known := in.service.byAddr[in.target]
+	index, known := in.service.byAddr[in.target]
 	switch q.state {
 	case stateSent:
-		if !known || (at != q.target && at != q.tried) {
+		if !known || (index != q.target && index != q.previousTarget) {
 			r.count(DropLateAnswer)
 			return
 		}
-		r.succeed(in, q, at)
-	case stateOrphan:
-		r.succeed(in, q, at)
+		r.completeRequest(in, q, index)
+	case stateInDoubt:
+		r.completeRequest(in, q, index)
 	case stateAnswered:
 		// The target repeats its answer until the caller acknowledges it.
-		r.deliver(in)
+		r.deliverToCaller(in)
 	case stateRefused, stateRefusing, stateQueued, stateWitnessing:
 		// The caller has had a final answer, or this answer belongs to an
 		// earlier request with the same token.
@@ -38,42 +38,42 @@
 	}
 }
 
-// answerToEarlier handles an answer that acknowledges another message than the
+// handleEarlierResponse handles an answer that acknowledges another message than the
 // token's latest request, as happens when a caller uses a token again.
-func (r *Reducer) answerToEarlier(in *inbound) {
+func (r *Reducer) handleEarlierResponse(in *inbound) {
 	q, ok := r.requests[identityOf(in.key, in.packet.Exchange)]
 	if !ok {
 		r.count(DropLateAnswer)
 		return
 	}
 	switch q.state {
-	case stateSent, stateOrphan:
-		r.succeed(in, q, in.service.byAddr[in.target])
+	case stateSent, stateInDoubt:
+		r.completeRequest(in, q, in.service.byAddr[in.target])
 	case stateAnswered:
-		r.deliver(in)
+		r.deliverToCaller(in)
 	case stateRefused, stateRefusing, stateQueued, stateWitnessing:
 		r.count(DropLateAnswer)
 	}
 }
 
-// succeed hands an answer to its caller, unless the target says that it ran
+// completeRequest hands an answer to its caller, unless the target says that it ran
 // nothing and the request can still run elsewhere.
-func (r *Reducer) succeed(in *inbound, q *request, at uint16) {
-	t := in.service.registry[at]
+func (r *Reducer) completeRequest(in *inbound, q *request, index uint16) {
+	t := in.service.registry[index]
 	t.failedRequests = 0
-	t.answerDeadline = r.now.Add(evidenceSpan)
-	if q.target == at && q.state == stateSent {
-		t.noteServiceTime(r.now.Until(q.sentAt))
+	t.answerDeadline = r.now.Add(responseEvidenceTTL)
+	if q.target == index && q.state == stateSent {
+		t.updateServiceTime(r.now.Until(q.sentAt))
 	}
-	if in.packet.Flags.Has(messenger.FlagRefused) && q.retriable() && q.target == at && r.retry(q) {
+	if in.packet.Flags.Has(messenger.FlagRefused) && q.retriable() && q.target == index && r.retry(q) {
 		return
 	}
-	r.leave(q)
+	r.releaseSlot(q)
 	q.state = stateAnswered
-	if q.nonIdempotent() && len(in.packet.Payload) <= maxKeptAnswer {
-		q.answer = append([]byte(nil), in.packet.Payload...)
+	if q.nonIdempotent() && len(in.packet.Payload) <= maxCachedResponseBytes {
+		q.cachedResponse = append([]byte(nil), in.packet.Payload...)
 	}
 	q.packet.Payload = nil
-	r.emit(&Completed{Service: q.service.settings, Latency: r.now.Until(q.since)})
-	r.deliver(in)
+	r.emit(&Completed{Service: q.service.settings, Latency: r.now.Until(q.receivedAt)})
+	r.deliverToCaller(in)
 }
--- a/core/reducer/answers_test.go
+++ b/core/reducer/answers_test.go
@@ -14,22 +14,22 @@
 // Sequence: the owner sends a check to its target and dies; the answer reaches
 // another host, while the owner is still taken for alive and after that.
 // Cause: only the owner knew whose request it was.
-func TestAnswerFindsItsCallerAfterTheOwnerDied(t *testing.T) {
-	f := newFleet(t, sicily())
+func TestResponseReachesCallerAfterOwnerFailure(t *testing.T) {
+	f := newFleet(t, threeZoneTree())
 	const flows = 100
-	for _, target := range numbers(1, 14) {
+	for _, target := range intRange(1, 14) {
 		f.Target(driver.TargetAddress(target)).Work = 3500 * time.Millisecond
 	}
-	tree := sicily()
+	tree := threeZoneTree()
 	_ = tree
 	for n := range flows {
-		f.Call("", call(n, 1, 1), request(openWrite))
+		f.Call("", requestID(n, 1, 1), requestPacket(openWrite))
 	}
 	f.Step(200 * time.Millisecond)
 	f.Kill("a1")
 	f.Step(6 * time.Second)
 	for n := range flows {
-		id := call(n, 1, 1)
+		id := requestID(n, 1, 1)
 		if f.Runs(id) == 0 {
 			continue // It was lost on its way to the dead owner; the caller repeats it.
 		}
@@ -43,14 +43,14 @@
 // Sequence: a check is given up; its caller uses the token again; the late
 // answer to the first check arrives before the second one's.
 // Cause: answers that are matched by token alone.
-func TestLateAnswerDoesNotMeetALaterRequest(t *testing.T) {
-	f := newFleet(t, sicily())
-	first := call(1, 1, 1)
+func TestLateResponseNotMatchedToLaterRequest(t *testing.T) {
+	f := newFleet(t, threeZoneTree())
+	first := requestID(1, 1, 1)
 	f.Target(driver.TargetAddress(1)).Work = 0
-	for _, target := range numbers(1, 14) {
+	for _, target := range intRange(1, 14) {
 		f.Target(driver.TargetAddress(target)).Work = 2500 * time.Millisecond
 	}
-	f.Call("", first, request(openWrite))
+	f.Call("", first, requestPacket(openWrite))
 	f.Step(2200 * time.Millisecond)
 	reply, refused := replyTo(f, first)
 	require.True(t, refused, "the deadline of 2 s is over")
@@ -58,7 +58,7 @@
 
 	second := first
 	second.Exchange.MessageID++
-	f.Call("", second, request(openWrite))
+	f.Call("", second, requestPacket(openWrite))
 	f.Step(time.Second)
 	require.False(t, answered(f, first), "the late answer reached the caller")
 	f.Step(3 * time.Second)
@@ -69,11 +69,11 @@
 // Sequence: a target's answers are doubled and reordered on the way and come in
 // through different hosts.
 // Cause: nothing that orders or matches them between hosts.
-func TestDoubledAndReorderedAnswersStayWithTheirRequest(t *testing.T) {
-	f := newFleet(t, sicily())
-	ids := []driver.RequestID{call(1, 1, 1), call(1, 1, 2), call(2, 1, 1), call(3, 1, 1)}
+func TestDuplicateAndReorderedResponsesMatchTheirRequests(t *testing.T) {
+	f := newFleet(t, threeZoneTree())
+	ids := []driver.RequestID{requestID(1, 1, 1), requestID(1, 1, 2), requestID(2, 1, 1), requestID(3, 1, 1)}
 	for _, id := range ids {
-		f.Call("", id, request(openRead))
+		f.Call("", id, requestPacket(openRead))
 	}
 	f.Step(100 * time.Millisecond)
 	for i := len(ids) - 1; i >= 0; i-- {
@@ -92,16 +92,16 @@
 // Sequence: a check is given up and its caller goes away; another caller gets
 // the same address and port and asks with another token; the late answer comes.
 // Cause: a return address names an address and port, not who uses it.
-func TestLateAnswerDoesNotReachThePortsNextUser(t *testing.T) {
-	f := newFleet(t, sicily())
-	for _, target := range numbers(1, 14) {
+func TestLateResponseNotDeliveredToNextUserOfPort(t *testing.T) {
+	f := newFleet(t, threeZoneTree())
+	for _, target := range intRange(1, 14) {
 		f.Target(driver.TargetAddress(target)).Work = 3 * time.Second
 	}
-	first := call(1, 1, 1)
-	f.Call("", first, request(openWrite))
+	first := requestID(1, 1, 1)
+	f.Call("", first, requestPacket(openWrite))
 	f.Step(2200 * time.Millisecond)
-	next := call(1, 1, 77)
-	f.Call("", next, request(openRead))
+	next := requestID(1, 1, 77)
+	f.Call("", next, requestPacket(openRead))
 	f.Step(1500 * time.Millisecond)
 	require.False(t, answered(f, first))
 }
--- a/core/reducer/bench_test.go
+++ b/core/reducer/bench_test.go
@@ -14,17 +14,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// loneHost is a ready host that owns everything, and its time.
-func loneHost(tb testing.TB) (*reducer.Reducer, timekeeper.Instant) {
+// readySingleHost is a ready host that owns everything, and its time.
+func readySingleHost(tb testing.TB) (*reducer.Reducer, timekeeper.Instant) {
 	tb.Helper()
-	tree := sicily()
+	tree := threeZoneTree()
 	tree.Zones = []int{1}
 	tree.Defaults = []string{"exchangeLifetime: 1s", "slots: 10000", "queueLength: 0"}
 	now := timekeeper.Instant(time.Second)
 	host := reducer.New(reducer.Config{Self: "a1", Incarnation: 1, Seed: 1, Timing: detector.DefaultTiming(), Start: now})
 	host.Reduce(&reducer.SettingsPublished{At: now, Revision: 1, Document: tree.Document()})
 	for !host.Ready() {
-		now = now.Add(reducer.TickEvery)
+		now = now.Add(reducer.TickInterval)
 		host.Reduce(&reducer.Tick{At: now})
 	}
 	return host, now
@@ -42,8 +42,8 @@
 
 const manyFlows = 400_000
 
-// fill makes a host know many flows.
-func fill(host *reducer.Reducer, now timekeeper.Instant) {
+// addFlows makes a host know many flows.
+func addFlows(host *reducer.Reducer, now timekeeper.Instant) {
 	for n := range manyFlows {
 		host.Reduce(flowPacket(n, now))
 	}
@@ -51,8 +51,8 @@
 
 // BenchmarkKnownFlow is a packet of a flow that the owner knows, one of 400,000.
 func BenchmarkKnownFlow(b *testing.B) {
-	host, now := loneHost(b)
-	fill(host, now)
+	host, now := readySingleHost(b)
+	addFlows(host, now)
 	events := make([]*reducer.CallerPacket, 4096)
 	for i := range events {
 		events[i] = flowPacket(i*97%manyFlows, now)
@@ -66,8 +66,8 @@
 
 // BenchmarkRequestAndAnswer is a read and its answer on a known flow.
 func BenchmarkRequestAndAnswer(b *testing.B) {
-	host, now := loneHost(b)
-	fill(host, now)
+	host, now := readySingleHost(b)
+	addFlows(host, now)
 	request := flowPacket(5, now)
 	request.Packet.Kind = messenger.KindRequest
 	request.Packet.Flags = messenger.FlagIdempotent | messenger.FlagOpensFlow
@@ -93,10 +93,10 @@
 
 // Regression bounds as counts: no allocation for a packet of a known flow, and
 // at most 128 bytes of memory for a flow.
-func TestKnownFlowsCostLittle(t *testing.T) {
-	host, now := loneHost(t)
+func TestKnownFlowCost(t *testing.T) {
+	host, now := readySingleHost(t)
 	before := heapBytes()
-	fill(host, now)
+	addFlows(host, now)
 	perFlow := float64(heapBytes()-before) / manyFlows
 	t.Logf("%.1f bytes a flow", perFlow)
 	require.Less(t, perFlow, 128.0)
--- a/core/reducer/dispatch.go
+++ b/core/reducer/dispatch.go
@@ -9,17 +9,17 @@
 	"cranberryspan.dev/core/timekeeper"
 )
 
-// enqueue starts a request, queues it while its target is full, or refuses it
+// dispatch starts a request, queues it while its target is full, or refuses it
 // where waiting is of no use: better at once than at the deadline.
-func (r *Reducer) enqueue(q *request) {
+func (r *Reducer) dispatch(q *request) {
 	policy := &q.service.settings.Policy
 	tenant := q.service.settings.Tenant
 	t := q.service.registry[q.target]
-	if r.tenantLoad[tenant] >= policy.MaxTenantInFlight {
+	if r.tenantInFlight[tenant] >= policy.MaxTenantInFlight {
 		r.refuse(q, OutcomeNotRun, RefuseTenantFull)
 		return
 	}
-	if t.inFlight < t.room(r.now) {
+	if t.inFlight < t.concurrencyLimit(r.now) {
 		r.countForTenant(q)
 		r.start(q)
 		return
@@ -42,25 +42,25 @@
 
 // countForTenant counts a request for its tenant until it leaves.
 func (r *Reducer) countForTenant(q *request) {
-	q.counted = true
-	r.tenantLoad[q.service.settings.Tenant]++
+	q.countedForTenant = true
+	r.tenantInFlight[q.service.settings.Tenant]++
 }
 
 // expectedWait estimates how long a request that queues now waits for its turn,
 // from what requests took of late.
 func (t *target) expectedWait(now timekeeper.Instant) time.Duration {
-	return t.serviceTime * time.Duration(len(t.queue)+1) / time.Duration(t.room(now))
+	return t.serviceTime * time.Duration(len(t.queue)+1) / time.Duration(t.concurrencyLimit(now))
 }
 
-// noteServiceTime takes in how long a request was at the target, as a moving
+// updateServiceTime takes in how long a request was at the target, as a moving
 // average over about eight requests.
-func (t *target) noteServiceTime(took time.Duration) {
+func (t *target) updateServiceTime(elapsed time.Duration) {
 	const weight = 8
 	if t.serviceTime == 0 {
-		t.serviceTime = took
+		t.serviceTime = elapsed
 		return
 	}
-	t.serviceTime += (took - t.serviceTime) / weight
+	t.serviceTime += (elapsed - t.serviceTime) / weight
 }
 
 // start takes a place at the target and sends the request, through the
@@ -68,7 +68,7 @@
 func (r *Reducer) start(q *request) {
 	q.inFlight = true
 	q.service.registry[q.target].inFlight++
-	if q.nonIdempotent() && r.askWitness(q) {
+	if q.nonIdempotent() && r.sendToWitness(q) {
 		q.state = stateWitnessing
 		return
 	}
@@ -85,20 +85,20 @@
 		Payload: q.packet.Payload,
 	}
 	if q.nonIdempotent() {
-		e.Deadline = r.now.Add(sendSpan)
+		e.Deadline = r.now.Add(sendValidity)
 	} else {
-		share := q.deadline.Until(q.since) / maxAttempts
+		share := q.deadline.Until(q.receivedAt) / maxAttempts
 		jitter := time.Duration(r.random.Int64N(int64(share)/4 + 1))
 		q.attemptDeadline = r.now.Add(share + jitter)
 	}
 	r.sendTarget(e)
 }
 
-// leave gives up a request's place at its target and starts the next one.
-func (r *Reducer) leave(q *request) {
-	if q.counted {
-		q.counted = false
-		r.tenantLoad[q.service.settings.Tenant]--
+// releaseSlot gives up a request's place at its target and starts the next one.
+func (r *Reducer) releaseSlot(q *request) {
+	if q.countedForTenant {
+		q.countedForTenant = false
+		r.tenantInFlight[q.service.settings.Tenant]--
 	}
 	if q.target == noTarget {
 		return
@@ -112,29 +112,29 @@
 	}
 	q.inFlight = false
 	t.inFlight--
-	r.startNext(t)
+	r.startQueued(t)
 }
 
-func (r *Reducer) startNext(t *target) {
-	for len(t.queue) > 0 && t.inFlight < t.room(r.now) {
+func (r *Reducer) startQueued(t *target) {
+	for len(t.queue) > 0 && t.inFlight < t.concurrencyLimit(r.now) {
 		next := t.queue[0]
 		t.queue = slices.Delete(t.queue, 0, 1)
 		r.start(next)
 	}
 }
 
-// requestTick handles deadlines and forgets what is over.
-func (r *Reducer) requestTick() {
+// advanceRequests handles deadlines and forgets what is over.
+func (r *Reducer) advanceRequests() {
 	kept := r.active[:0]
 	// Requests that start while the list is walked are added behind it.
-	walked := r.active
+	current := r.active
 	r.active = nil
-	for _, q := range walked {
-		r.age(q)
+	for _, q := range current {
+		r.checkDeadline(q)
 		if q.state == stateAnswered || q.state == stateRefused {
 			q.active = false
 			if !q.nonIdempotent() {
-				r.forget(q)
+				r.removeRequest(q)
 			}
 			continue
 		}
@@ -142,7 +142,7 @@
 	}
 	r.active = append(kept, r.active...)
 	for _, id := range r.serviceIDs {
-		r.forgetOld(r.services[id])
+		r.removeExpired(r.services[id])
 		r.drainQueues(r.services[id])
 	}
 }
@@ -151,12 +151,12 @@
 func (r *Reducer) drainQueues(s *service) {
 	for _, t := range s.registry {
 		if len(t.queue) > 0 {
-			r.startNext(t)
+			r.startQueued(t)
 		}
 	}
 }
 
-func (r *Reducer) age(q *request) {
+func (r *Reducer) checkDeadline(q *request) {
 	switch q.state {
 	case stateQueued:
 		if q.deadline.Passed(r.now) {
@@ -169,25 +169,25 @@
 	case stateRefusing:
 		if q.deadline.Passed(r.now) {
 			q.outcome = OutcomeUnknown
-			r.conclude(q)
+			r.sendFinalReply(q)
 		}
-	case stateOrphan:
+	case stateInDoubt:
 		if q.deadline.Passed(r.now) {
 			r.refuse(q, OutcomeUnknown, RefuseUncertain)
 		}
 	case stateSent:
-		r.ageSent(q)
+		r.checkSentDeadline(q)
 	case stateAnswered, stateRefused:
 	}
 }
 
-func (r *Reducer) ageSent(q *request) {
+func (r *Reducer) checkSentDeadline(q *request) {
 	if q.deadline.Passed(r.now) {
-		r.blame(q)
+		r.recordFailure(q)
 		if q.packet.Flags.Has(messenger.FlagStream) {
 			// The answer to a stream's registration may have gone straight to
 			// the caller, so nothing is said here.
-			r.leave(q)
+			r.releaseSlot(q)
 			q.state = stateAnswered
 			return
 		}
@@ -195,12 +195,12 @@
 		return
 	}
 	if q.retriable() && q.attemptDeadline.Passed(r.now) {
-		r.blame(q)
+		r.recordFailure(q)
 		r.retry(q)
 	}
 }
 
-func (r *Reducer) blame(q *request) {
+func (r *Reducer) recordFailure(q *request) {
 	if q.target != noTarget {
 		q.service.registry[q.target].failedRequests++
 	}
@@ -213,20 +213,20 @@
 	if q.attempts >= maxAttempts || s.retryTokens < 1 {
 		return false
 	}
-	at, ok := s.choose(q.hash, q.target, r.now)
+	index, ok := s.choose(q.hash, q.target, r.now)
 	if !ok {
 		return false
 	}
 	s.retryTokens--
-	r.count(CountRetry)
-	r.leave(q)
-	q.tried = q.target
-	q.target = at
-	r.enqueue(q)
+	r.count(CountRetries)
+	r.releaseSlot(q)
+	q.previousTarget = q.target
+	q.target = index
+	r.dispatch(q)
 	return true
 }
 
-func (r *Reducer) forget(q *request) {
+func (r *Reducer) removeRequest(q *request) {
 	if r.requests[q.id] == q {
 		delete(r.requests, q.id)
 	}
@@ -234,15 +234,15 @@
 	if r.byToken[token] == q {
 		delete(r.byToken, token)
 	}
-	r.spare = append(r.spare, q)
+	r.freeRequests = append(r.freeRequests, q)
 }
 
-// forgetOld drops requests that no caller repeats any more.
-func (r *Reducer) forgetOld(s *service) {
+// removeExpired drops requests that no caller repeats any more.
+func (r *Reducer) removeExpired(s *service) {
 	n := 0
-	for n < len(s.forget) && s.forget[n].forgetDeadline.Passed(r.now) && !s.forget[n].active {
-		r.forget(s.forget[n])
+	for n < len(s.retained) && s.retained[n].retainDeadline.Passed(r.now) && !s.retained[n].active {
+		r.removeRequest(s.retained[n])
 		n++
 	}
-	s.forget = slices.Delete(s.forget, 0, n)
+	s.retained = slices.Delete(s.retained, 0, n)
 }
--- a/core/reducer/event.go
+++ b/core/reducer/event.go
@@ -74,7 +74,7 @@
 	InFlight int
 }
 
-// Tick lets time pass. It comes every TickEvery.
+// Tick lets time pass. It comes every TickInterval.
 type Tick struct {
 	At timekeeper.Instant
 }
--- a/core/reducer/example_test.go
+++ b/core/reducer/example_test.go
@@ -37,7 +37,7 @@
 	host := reducer.New(reducer.Config{Self: "pa-1", Incarnation: 1, Seed: 1, Timing: detector.DefaultTiming(), Start: now})
 	host.Reduce(&reducer.SettingsPublished{At: now, Revision: 1, Document: []byte(tree)})
 	for !host.Ready() {
-		now = now.Add(reducer.TickEvery)
+		now = now.Add(reducer.TickInterval)
 		host.Reduce(&reducer.Tick{At: now})
 	}
 	check := &reducer.CallerPacket{
--- a/core/reducer/exceptions.go
+++ b/core/reducer/exceptions.go
@@ -11,59 +11,59 @@
 	"cranberryspan.dev/core/timekeeper"
 )
 
-// flowTick visits one shard: it drops idle flows, marks flows that the last
+// sweepFlows visits one shard: it drops idle flows, marks flows that the last
 // change made exceptions, and tells successors of exceptions.
-func (r *Reducer) flowTick() {
+func (r *Reducer) sweepFlows() {
 	marking := r.dirtyShards > 0
 	if marking {
 		r.dirtyShards--
 	}
-	var untold []untoldFlow
+	var uncopied []uncopiedFlow
 	r.flows.each(r.flows.nextShard(), func(key resolver.FlowKey, f flow) (flow, bool) {
 		s := r.services[key.Service()]
-		if s == nil || r.idle(s, f) {
+		if s == nil || r.isIdle(s, f) {
 			return f, false
 		}
 		if marking {
-			r.markExceptionQuietly(s, placer.Hash(key), &f)
+			r.markExceptionInSweep(s, placer.Hash(key), &f)
 		}
 		if f.flags&(flowException|flowCopied) == flowException {
-			untold = append(untold, untoldFlow{key: key, flow: f})
+			uncopied = append(uncopied, uncopiedFlow{key: key, flow: f})
 		}
 		return f, true
 	})
-	r.copyExceptions(untold)
+	r.copyExceptions(uncopied)
 }
 
-// untoldFlow is an exception of which no successor knows yet.
-type untoldFlow struct {
+// uncopiedFlow is an exception of which no successor knows yet.
+type uncopiedFlow struct {
 	key  resolver.FlowKey
 	flow flow
 }
 
 // copyExceptions tells successors of exceptions as far as the budget reaches,
 // streams and uploads first: losing one of those costs more than a request.
-func (r *Reducer) copyExceptions(untold []untoldFlow) {
-	r.copyTokens = min(r.copyTokens+copyBytesPerSecond*TickEvery.Seconds(), copyBytesPerSecond)
-	slices.SortFunc(untold, func(a, b untoldFlow) int {
-		if byLength := cmp.Compare(b.flow.flags&flowLong, a.flow.flags&flowLong); byLength != 0 {
+func (r *Reducer) copyExceptions(uncopied []uncopiedFlow) {
+	r.copyTokens = min(r.copyTokens+copyBytesPerSecond*TickInterval.Seconds(), copyBytesPerSecond)
+	slices.SortFunc(uncopied, func(a, b uncopiedFlow) int {
+		if byLength := cmp.Compare(b.flow.flags&flowLongLived, a.flow.flags&flowLongLived); byLength != 0 {
 			return byLength
 		}
 		return cmp.Compare(a.key, b.key)
 	})
 	copies := map[string][]messenger.FlowRecord{}
-	for _, u := range untold {
+	for _, u := range uncopied {
 		r.copyException(u, copies)
 	}
 	for _, name := range r.detector.Cell() {
 		if records := copies[name]; len(records) > 0 {
-			r.counts[CountExceptions] += uint64(len(records))
+			r.counts[CountExceptionsSent] += uint64(len(records))
 			r.sendPeer(name, &messenger.FlowRecords{Records: records})
 		}
 	}
 }
 
-func (r *Reducer) copyException(u untoldFlow, copies map[string][]messenger.FlowRecord) {
+func (r *Reducer) copyException(u uncopiedFlow, copies map[string][]messenger.FlowRecord) {
 	hash := placer.Hash(u.key)
 	bucket := placer.BucketOf(hash)
 	if r.copyTokens < flowRecordBytes || r.cells.Home(bucket) != r.ownCell {
@@ -79,16 +79,16 @@
 	copies[successor] = append(copies[successor], r.recordOf(u.key, u.flow))
 }
 
-func (r *Reducer) idle(s *service, f flow) bool {
+func (r *Reducer) isIdle(s *service, f flow) bool {
 	const longFactor = 6
-	span := s.settings.Policy.FlowIdleTimeout
-	if f.flags&flowLong != 0 {
-		span *= longFactor
+	timeout := s.settings.Policy.FlowIdleTimeout
+	if f.flags&flowLongLived != 0 {
+		timeout *= longFactor
 	}
-	return timekeeper.Instant(time.Duration(f.seen) * time.Second).Add(span).Passed(r.now)
+	return timekeeper.Instant(time.Duration(f.lastSeen) * time.Second).Add(timeout).Passed(r.now)
 }
 
-func (r *Reducer) markExceptionQuietly(s *service, hash uint64, f *flow) {
+func (r *Reducer) markExceptionInSweep(s *service, hash uint64, f *flow) {
 	dirty := r.dirtyShards
 	r.markException(s, hash, f)
 	r.dirtyShards = dirty
--- a/core/reducer/fixture_test.go
+++ b/core/reducer/fixture_test.go
@@ -16,19 +16,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// sicily is eight hosts in three zones before two services.
-func sicily() driver.Tree {
+// threeZoneTree is eight hosts in three zones before two services.
+func threeZoneTree() driver.Tree {
 	return driver.Tree{
 		Zones: []int{3, 3, 2},
 		Services: []driver.TreeService{
-			{Targets: numbers(1, 14), Address: 1},
-			{Targets: numbers(21, 24), Address: 2},
+			{Targets: intRange(1, 14), Address: 1},
+			{Targets: intRange(21, 24), Address: 2},
 		},
 		Defaults: []string{"exchangeLifetime: 10s", "flowMemory: 5m", "slots: 50"},
 	}
 }
 
-func numbers(from, to int) []int {
+func intRange(from, to int) []int {
 	var list []int
 	for n := from; n <= to; n++ {
 		list = append(list, n)
@@ -61,28 +61,28 @@
 }
 
 const (
-	opens     = messenger.FlagOpensFlow
-	repeats   = messenger.FlagIdempotent
-	isStream  = messenger.FlagStream
-	isBlock   = messenger.FlagBlockwise
-	openRead  = opens | repeats
-	openWrite = opens
+	opens      = messenger.FlagOpensFlow
+	idempotent = messenger.FlagIdempotent
+	stream     = messenger.FlagStream
+	block      = messenger.FlagBlockwise
+	openRead   = opens | idempotent
+	openWrite  = opens
 )
 
-// call is a request of caller n, with a number that makes it a new one.
-func call(n int, service, number int) driver.RequestID {
+// requestID is a request of caller n, with a number that makes it a new one.
+func requestID(n int, service, number int) driver.RequestID {
 	caller := netip.AddrPortFrom(netip.AddrFrom4([4]byte{192, 168, byte(n >> 8), byte(n)}), 40000)
 	exchange := messenger.Exchange{MessageID: uint16(number), Token: uint64(number), TokenLength: 8}
 	return driver.RequestID{Caller: caller, Service: driver.ServiceAddress(service), Exchange: exchange}
 }
 
-func request(flags messenger.Flags) messenger.Packet {
+func requestPacket(flags messenger.Flags) messenger.Packet {
 	return messenger.Packet{Kind: messenger.KindRequest, Flags: flags | messenger.FlagConfirmable}
 }
 
-func control() messenger.Packet { return messenger.Packet{Kind: messenger.KindControl} }
+func controlPacket() messenger.Packet { return messenger.Packet{Kind: messenger.KindControl} }
 
-func keyOf(id driver.RequestID, service int) resolver.FlowKey {
+func flowKeyOf(id driver.RequestID, service int) resolver.FlowKey {
 	key, _ := resolver.NewFlowKey(id.Caller, resolver.ServiceID(service))
 	return key
 }
@@ -90,7 +90,7 @@
 func ownerOf(f *driver.Fleet, id driver.RequestID, service int) string {
 	for _, name := range f.Names() {
 		if f.Running(name) {
-			return f.Reducer(name).Owner(keyOf(id, service))
+			return f.Reducer(name).Owner(flowKeyOf(id, service))
 		}
 	}
 	return ""
@@ -135,7 +135,7 @@
 	for _, target := range f.Targets() {
 		for id, n := range target.Runs {
 			if f.IsNonIdempotent(id) {
-				require.LessOrEqual(t, f.Runs(id), 1, "request %v ran %d times here: %s", id, n, journey(f, id))
+				require.LessOrEqual(t, f.Runs(id), 1, "request %v ran %d times here: %s", id, n, sendTrace(f, id))
 			}
 		}
 	}
@@ -146,8 +146,8 @@
 	}
 }
 
-// journey tells which hosts sent a request to targets, and when.
-func journey(f *driver.Fleet, id driver.RequestID) string {
+// sendTrace tells which hosts sent a request to targets, and when.
+func sendTrace(f *driver.Fleet, id driver.RequestID) string {
 	var b strings.Builder
 	for _, p := range f.Sent {
 		if p.ID == id {
@@ -158,7 +158,7 @@
 }
 
 // A foreign harness links the decisions without the rest of the daemon.
-func TestDecisionsImportNoNetwork(t *testing.T) {
+func TestReducerHasNoNetworkDependencies(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", ".").Output()
 	require.NoError(t, err)
 	for _, path := range strings.Fields(string(out)) {
--- a/core/reducer/flow.go
+++ b/core/reducer/flow.go
@@ -15,23 +15,23 @@
 type flow struct {
 	// target is the place of the flow's target in its service's registry.
 	target uint16
-	// other is the target of plain requests, where target only keeps streams
+	// otherTarget is the target of plain requests, where target only keeps streams
 	// and uploads since it drains; noTarget otherwise.
-	other uint16
-	// seen is when the flow's last packet came, in seconds of the host's clock.
-	seen  uint32
-	flags flowFlags
+	otherTarget uint16
+	// lastSeen is when the flow's last packet came, in seconds of the host's clock.
+	lastSeen uint32
+	flags    flowFlags
 }
 
 type flowFlags uint8
 
 const (
-	// flowLong marks a flow with a stream or an upload.
-	flowLong flowFlags = 1 << iota
+	// flowLongLived marks a flow with a stream or an upload.
+	flowLongLived flowFlags = 1 << iota
 	// flowException marks a flow that is not where the current table puts it.
 	flowException
-	// flowMoved marks a flow whose transfer in blocks began at its other target.
-	flowMoved
+	// flowTransferMoved marks a flow whose transfer in blocks began at its other target.
+	flowTransferMoved
 	// flowCopied marks an exception that the successor has been told of.
 	flowCopied
 )
@@ -45,9 +45,9 @@
 //
 // A shard holds the buckets with the same low byte.
 type flowTable struct {
-	shards [flowShards]map[resolver.FlowKey]flow
-	size   int
-	next   int
+	shards    [flowShards]map[resolver.FlowKey]flow
+	size      int
+	nextSweep int
 }
 
 func newFlowTable() *flowTable {
@@ -92,7 +92,7 @@
 
 // nextShard returns the shards one after another.
 func (t *flowTable) nextShard() int {
-	shard := t.next
-	t.next = (t.next + 1) % flowShards
+	shard := t.nextSweep
+	t.nextSweep = (t.nextSweep + 1) % flowShards
 	return shard
 }
--- a/core/reducer/flows_test.go
+++ b/core/reducer/flows_test.go
@@ -15,14 +15,14 @@
 // replaced; the next packet of a flow reaches any host.
 // Cause: a host that has no record of the flow computes its target from the new
 // settings, under which the flow would be placed elsewhere.
-func TestEstablishedFlowsSurvivePlannedChange(t *testing.T) {
-	drained := sicily()
+func TestEstablishedFlowsKeepTargetAcrossPlannedChanges(t *testing.T) {
+	drained := threeZoneTree()
 	drained.Services[0].Draining = []int{3, 7}
-	added := sicily()
-	added.Services[0].Targets = numbers(1, 18)
-	replaced := sicily()
-	replaced.Services[0].Targets = numbers(1, 18)
-	replaced.Services[0].Draining = numbers(1, 4)
+	added := threeZoneTree()
+	added.Services[0].Targets = intRange(1, 18)
+	replaced := threeZoneTree()
+	replaced.Services[0].Targets = intRange(1, 18)
+	replaced.Services[0].Draining = intRange(1, 4)
 
 	replaceHosts := func(t *testing.T, f *driver.Fleet, names ...string) {
 		for _, name := range names {
@@ -65,55 +65,55 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			f := newFleet(t, sicily())
-			homes := establish(t, f, 200)
+			f := newFleet(t, threeZoneTree())
+			targets := establishFlows(t, f, 200)
 			test.change(t, f)
 			f.Step(50 * time.Millisecond)
-			requireAtHome(t, f, homes, 100)
+			requireSameTargets(t, f, targets, 100)
 			f.Step(7 * time.Second)
-			requireAtHome(t, f, homes, 200)
+			requireSameTargets(t, f, targets, 200)
 		})
 	}
 }
 
-// establish opens flows: streams and uploads in turn.
-func establish(t *testing.T, f *driver.Fleet, flows int) []netip.AddrPort {
+// establishFlows opens flows: streams and uploads in turn.
+func establishFlows(t *testing.T, f *driver.Fleet, flows int) []netip.AddrPort {
 	t.Helper()
 	for n := range flows {
-		flags := openRead | isStream
+		flags := openRead | stream
 		if n%2 == 1 {
-			flags = openRead | isBlock
+			flags = openRead | block
 		}
-		require.True(t, f.Call("", call(n, 1, 1), request(flags)))
+		require.True(t, f.Call("", requestID(n, 1, 1), requestPacket(flags)))
 	}
 	f.Step(500 * time.Millisecond)
-	homes := make([]netip.AddrPort, flows)
+	targets := make([]netip.AddrPort, flows)
 	for n := range flows {
-		homes[n] = targetOf(t, f, call(n, 1, 1))
+		targets[n] = targetOf(t, f, requestID(n, 1, 1))
 	}
-	return homes
+	return targets
 }
 
-// requireAtHome sends each flow's next packet, through two hosts, and checks
+// requireSameTargets sends each flow's next packet, through two hosts, and checks
 // that it reaches the flow's target.
-func requireAtHome(t *testing.T, f *driver.Fleet, homes []netip.AddrPort, number int) {
+func requireSameTargets(t *testing.T, f *driver.Fleet, targets []netip.AddrPort, number int) {
 	t.Helper()
 	for i := range 2 {
-		for n := range homes {
+		for n := range targets {
 			if n%2 == 0 {
-				require.True(t, f.Call("", call(n, 1, number+i), control()))
+				require.True(t, f.Call("", requestID(n, 1, number+i), controlPacket()))
 			} else {
-				require.True(t, f.Call("", call(n, 1, number+i), request(repeats|isBlock)))
+				require.True(t, f.Call("", requestID(n, 1, number+i), requestPacket(idempotent|block)))
 			}
 		}
 	}
 	f.Step(500 * time.Millisecond)
 	moved := 0
 	for i := range 2 {
-		for n, home := range homes {
+		for n, target := range targets {
 			// An acknowledgement may go to the target of the flow's newer
 			// requests too.
-			if !slices.Contains(targetsOf(f, call(n, 1, number+i)), home) {
+			if !slices.Contains(targetsOf(f, requestID(n, 1, number+i)), target) {
 				moved++
 			}
 		}
@@ -125,10 +125,10 @@
 // Sequence: the host that registered a stream dies; the target's notifications
 // go to the shared return address and so to other hosts.
 // Cause: with an address of each host's own, only that host could pass them on.
-func TestNotificationsReachTheCallerThroughAnyHost(t *testing.T) {
-	f := newFleet(t, sicily())
-	id := call(1, 1, 1)
-	f.Call("", id, request(openRead|isStream))
+func TestNotificationsReachCallerThroughAnyHost(t *testing.T) {
+	f := newFleet(t, threeZoneTree())
+	id := requestID(1, 1, 1)
+	f.Call("", id, requestPacket(openRead|stream))
 	f.Step(100 * time.Millisecond)
 	require.True(t, answered(f, id))
 	target := targetOf(t, f, id)
@@ -136,7 +136,7 @@
 	f.Kill(owner)
 	back := f.ReturnAddress(id)
 	for range 50 {
-		f.AnswerFrom(target, back, id, isStream)
+		f.AnswerFrom(target, back, id, stream)
 	}
 	before := len(f.Answers)
 	f.Step(100 * time.Millisecond)
@@ -150,31 +150,31 @@
 // new owner.
 // Cause: the flow is an exception that no table tells, and only its owner knew.
 func TestSuccessorKnowsExceptions(t *testing.T) {
-	f := newFleet(t, sicily())
-	for _, n := range numbers(1, 5) {
+	f := newFleet(t, threeZoneTree())
+	for _, n := range intRange(1, 5) {
 		f.Target(driver.TargetAddress(n)).Down = true
 	}
 	f.Step(6 * time.Second)
-	homes := establish(t, f, 200)
-	for _, n := range numbers(1, 5) {
+	targets := establishFlows(t, f, 200)
+	for _, n := range intRange(1, 5) {
 		f.Target(driver.TargetAddress(n)).Down = false
 	}
 	// One round of the table, and the budget of control bytes, in full.
 	f.Step(8 * time.Second)
 	f.Kill("a1")
 	f.Step(4 * time.Second)
-	requireAtHome(t, f, homes, 100)
+	requireSameTargets(t, f, targets, 100)
 }
 
 // Symptom: an upload goes to another target in its middle.
 // Sequence: an upload is under way; a target is added, so that its slot changes
 // hands; its owner dies, and the next block reaches a host without a record.
 // Cause: a packet that can only continue a flow is placed like a new one.
-func TestUnknownFlowsGoWhereTheyWouldHaveBeenPut(t *testing.T) {
-	added := sicily()
-	added.Services[0].Targets = numbers(1, 20)
-	f := newFleet(t, sicily())
-	homes := establish(t, f, 200)
+func TestUnknownFlowUsesPreviousPlacement(t *testing.T) {
+	added := threeZoneTree()
+	added.Services[0].Targets = intRange(1, 20)
+	f := newFleet(t, threeZoneTree())
+	targets := establishFlows(t, f, 200)
 	f.Publish(added.Document())
 	f.Step(500 * time.Millisecond)
 	for _, name := range []string{"a1", "a2", "b1", "b3", "c1"} {
@@ -182,14 +182,14 @@
 	}
 	f.Step(1500 * time.Millisecond)
 	moved, reached := 0, 0
-	for n := 1; n < len(homes); n += 2 {
-		f.Call("a3", call(n, 1, 100), request(repeats|isBlock))
+	for n := 1; n < len(targets); n += 2 {
+		f.Call("a3", requestID(n, 1, 100), requestPacket(idempotent|block))
 	}
 	f.Step(500 * time.Millisecond)
-	for n := 1; n < len(homes); n += 2 {
-		for _, target := range targetsOf(f, call(n, 1, 100)) {
+	for n := 1; n < len(targets); n += 2 {
+		for _, target := range targetsOf(f, requestID(n, 1, 100)) {
 			reached++
-			if target != homes[n] {
+			if target != targets[n] {
 				moved++
 			}
 		}
@@ -202,28 +202,28 @@
 // Sequence: the stream's target drains; an upload begins on the flow, at another
 // target; its next blocks follow, also after the owner was replaced.
 // Cause: one target remembered for two kinds of work.
-func TestUploadBegunWhileTheStreamsTargetDrains(t *testing.T) {
-	drained := sicily()
-	drained.Services[0].Draining = numbers(1, 7)
-	f := newFleet(t, sicily())
+func TestUploadStartedWhileStreamTargetDrains(t *testing.T) {
+	drained := threeZoneTree()
+	drained.Services[0].Draining = intRange(1, 7)
+	f := newFleet(t, threeZoneTree())
 	const flows = 60
 	for n := range flows {
-		f.Call("", call(n, 1, 1), request(openRead|isStream))
+		f.Call("", requestID(n, 1, 1), requestPacket(openRead|stream))
 	}
 	f.Step(200 * time.Millisecond)
 	f.Publish(drained.Document())
 	f.Step(2 * time.Second)
 	for n := range flows {
-		f.Call("", call(n, 1, 2), request(openRead|isBlock))
+		f.Call("", requestID(n, 1, 2), requestPacket(openRead|block))
 	}
 	f.Step(200 * time.Millisecond)
 	blocks := func(number int) {
 		for n := range flows {
-			f.Call("", call(n, 1, number), request(repeats|isBlock))
+			f.Call("", requestID(n, 1, number), requestPacket(idempotent|block))
 		}
 		f.Step(200 * time.Millisecond)
 		for n := range flows {
-			require.Equal(t, targetOf(t, f, call(n, 1, 2)), targetOf(t, f, call(n, 1, number)), "caller %d", n)
+			require.Equal(t, targetOf(t, f, requestID(n, 1, 2)), targetOf(t, f, requestID(n, 1, number)), "caller %d", n)
 		}
 	}
 	blocks(3)
@@ -231,10 +231,10 @@
 	require.True(t, f.StepUntil(10*time.Second, func() bool { return f.Ended("a1") }))
 	blocks(4)
 	for n := range flows {
-		f.Call("", call(n, 1, 5), control())
+		f.Call("", requestID(n, 1, 5), controlPacket())
 	}
 	f.Step(200 * time.Millisecond)
 	for n := range flows {
-		require.Contains(t, targetsOf(f, call(n, 1, 5)), targetOf(t, f, call(n, 1, 1)), "the stream's acknowledgements still reach it")
+		require.Contains(t, targetsOf(f, requestID(n, 1, 5)), targetOf(t, f, requestID(n, 1, 1)), "the stream's acknowledgements still reach it")
 	}
 }
--- a/core/reducer/fuzz_test.go
+++ b/core/reducer/fuzz_test.go
@@ -36,14 +36,14 @@
 // addresses, and nothing of the system's own state.
 func TestFleetAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newMachine(t)
+		m := newFleetMachine(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"traffic":  m.traffic,
 			"traffic2": m.traffic,
 			"repeat":   m.repeat,
 			"kill":     m.kill,
 			"pause":    m.pause,
-			"wake":     m.wake,
+			"wake":     m.resume,
 			"leave":    m.leave,
 			"start":    m.start,
 			"cut":      m.cut,
@@ -57,111 +57,111 @@
 	})
 }
 
-// machine drives a fleet and keeps the oracle.
-type machine struct {
-	f       *driver.Fleet
-	tree    driver.Tree
-	down    map[string]bool
-	calls   []sentCall
-	next    int
-	cuts    [][2]string
-	highest map[string]uint64
+// fleetMachine drives a fleet and keeps the oracle.
+type fleetMachine struct {
+	f               *driver.Fleet
+	tree            driver.Tree
+	down            map[string]bool
+	requests        []sentRequest
+	lastNumber      int
+	cuts            [][2]string
+	highestRevision map[string]uint64
 }
 
-type sentCall struct {
-	id    driver.RequestID
-	flags messenger.Flags
-	until timekeeper.Instant
+type sentRequest struct {
+	id          driver.RequestID
+	flags       messenger.Flags
+	repeatUntil timekeeper.Instant
 }
 
-func newMachine(t *rapid.T) *machine {
-	tree := sicily()
+func newFleetMachine(t *rapid.T) *fleetMachine {
+	tree := threeZoneTree()
 	tree.Zones = []int{3, 2}
-	tree.Services[0].Targets = numbers(1, 6)
-	tree.Services[1].Targets = numbers(21, 22)
+	tree.Services[0].Targets = intRange(1, 6)
+	tree.Services[1].Targets = intRange(21, 22)
 	tree.Defaults = []string{"exchangeLifetime: 10s", "slots: 4", "queueLength: 8"}
 	f := driver.New(rapid.Uint64().Draw(t, "seed"), tree.Document())
 	f.Start(tree.HostNames()...)
-	for _, n := range append(numbers(1, 6), 21, 22) {
+	for _, n := range append(intRange(1, 6), 21, 22) {
 		f.Target(driver.TargetAddress(n)).Work = time.Duration(rapid.IntRange(1, 400).Draw(t, "work")) * time.Millisecond
 	}
 	f.Step(15 * time.Second)
-	return &machine{f: f, tree: tree, down: map[string]bool{}, highest: map[string]uint64{}}
+	return &fleetMachine{f: f, tree: tree, down: map[string]bool{}, highestRevision: map[string]uint64{}}
 }
 
-func (m *machine) host(t *rapid.T) string {
+func (m *fleetMachine) drawHost(t *rapid.T) string {
 	return rapid.SampledFrom(m.f.Names()).Draw(t, "host")
 }
 
-func (m *machine) traffic(t *rapid.T) {
+func (m *fleetMachine) traffic(t *rapid.T) {
 	service := rapid.IntRange(1, 2).Draw(t, "service")
 	for range rapid.IntRange(1, 20).Draw(t, "requests") {
-		m.next++
+		m.lastNumber++
 		flags := openWrite
 		if rapid.IntRange(0, 3).Draw(t, "kind") == 0 {
 			flags = openRead
 		}
-		c := sentCall{id: call(rapid.IntRange(0, 30).Draw(t, "caller"), service, m.next), flags: flags, until: m.f.Now.Add(8 * time.Second)}
-		m.calls = append(m.calls, c)
-		m.f.Call("", c.id, request(flags))
+		c := sentRequest{id: requestID(rapid.IntRange(0, 30).Draw(t, "caller"), service, m.lastNumber), flags: flags, repeatUntil: m.f.Now.Add(8 * time.Second)}
+		m.requests = append(m.requests, c)
+		m.f.Call("", c.id, requestPacket(flags))
 	}
 	m.f.Step(time.Duration(rapid.IntRange(0, 30).Draw(t, "ms")) * time.Millisecond)
 }
 
 // repeat sends datagrams again, as callers do for 8 s.
-func (m *machine) repeat(t *rapid.T) {
-	m.calls = slices.DeleteFunc(m.calls, func(c sentCall) bool { return c.until.Passed(m.f.Now) })
-	for _, c := range m.calls {
+func (m *fleetMachine) repeat(t *rapid.T) {
+	m.requests = slices.DeleteFunc(m.requests, func(c sentRequest) bool { return c.repeatUntil.Passed(m.f.Now) })
+	for _, c := range m.requests {
 		host := ""
 		if rapid.Bool().Draw(t, "any") {
-			host = m.host(t)
+			host = m.drawHost(t)
 		}
-		m.f.Call(host, c.id, request(c.flags))
+		m.f.Call(host, c.id, requestPacket(c.flags))
 	}
 	m.f.Step(time.Duration(rapid.IntRange(0, 100).Draw(t, "ms")) * time.Millisecond)
 }
 
-func (m *machine) kill(t *rapid.T) {
-	name := m.host(t)
+func (m *fleetMachine) kill(t *rapid.T) {
+	name := m.drawHost(t)
 	m.f.Kill(name)
 	m.down[name] = true
 }
 
-func (m *machine) pause(t *rapid.T) {
-	if name := m.host(t); !m.down[name] {
+func (m *fleetMachine) pause(t *rapid.T) {
+	if name := m.drawHost(t); !m.down[name] {
 		m.f.Pause(name)
 	}
 }
 
-func (m *machine) wake(t *rapid.T) {
-	if name := m.host(t); !m.down[name] {
+func (m *fleetMachine) resume(t *rapid.T) {
+	if name := m.drawHost(t); !m.down[name] {
 		m.f.Wake(name)
 	}
 }
 
-func (m *machine) leave(t *rapid.T) {
-	name := m.host(t)
+func (m *fleetMachine) leave(t *rapid.T) {
+	name := m.drawHost(t)
 	if m.f.Running(name) {
 		m.f.Shutdown(name)
 	}
 }
 
-func (m *machine) start(t *rapid.T) {
-	name := m.host(t)
+func (m *fleetMachine) start(t *rapid.T) {
+	name := m.drawHost(t)
 	if m.down[name] || m.f.Ended(name) {
 		delete(m.down, name)
-		delete(m.highest, name)
+		delete(m.highestRevision, name)
 		m.f.Start(name)
 	}
 }
 
-func (m *machine) cut(t *rapid.T) {
-	a, b := m.host(t), m.host(t)
+func (m *fleetMachine) cut(t *rapid.T) {
+	a, b := m.drawHost(t), m.drawHost(t)
 	m.f.Cut(a, b)
 	m.cuts = append(m.cuts, [2]string{a, b})
 }
 
-func (m *machine) split(t *rapid.T) {
+func (m *fleetMachine) split(t *rapid.T) {
 	group := rapid.SampledFrom([][]string{{"a1", "a2", "a3"}, {"a1", "b1"}, {"a2"}, {"b1"}}).Draw(t, "group")
 	for _, a := range group {
 		for _, b := range m.f.Names() {
@@ -173,31 +173,31 @@
 	}
 }
 
-func (m *machine) heal(*rapid.T) {
+func (m *fleetMachine) heal(*rapid.T) {
 	for _, c := range m.cuts {
 		m.f.Heal(c[0], c[1])
 	}
 	m.cuts = nil
 }
 
-func (m *machine) publish(t *rapid.T) {
+func (m *fleetMachine) publish(t *rapid.T) {
 	next := m.tree
 	next.Services = slices.Clone(m.tree.Services)
 	next.Services[0].Draining = rapid.SliceOfNDistinct(rapid.IntRange(1, 6), 0, 3, rapid.ID[int]).Draw(t, "draining")
 	m.f.Publish(next.Document())
 }
 
-func (m *machine) platform(t *rapid.T) {
+func (m *fleetMachine) platform(t *rapid.T) {
 	m.f.PlatformDown = rapid.Bool().Draw(t, "down")
 	m.f.Serving = uint64(rapid.IntRange(0, 1).Draw(t, "serving"))
 }
 
-func (m *machine) wait(t *rapid.T) {
+func (m *fleetMachine) wait(t *rapid.T) {
 	m.f.Step(time.Duration(rapid.IntRange(50, 6000).Draw(t, "ms")) * time.Millisecond)
 }
 
 // check is the oracle.
-func (m *machine) check(t *rapid.T) {
+func (m *fleetMachine) check(t *rapid.T) {
 	services := serviceOf(m.tree)
 	for _, p := range m.f.Sent {
 		want := 1
@@ -212,13 +212,13 @@
 	for _, target := range m.f.Targets() {
 		for id := range target.Runs {
 			if m.f.IsNonIdempotent(id) && m.f.Runs(id) > 1 {
-				t.Fatalf("request %v ran %d times: %s", id, m.f.Runs(id), journey(m.f, id))
+				t.Fatalf("request %v ran %d times: %s", id, m.f.Runs(id), sendTrace(m.f, id))
 			}
 		}
 	}
 	for _, r := range m.f.Replies {
 		if m.f.IsNonIdempotent(r.ID) && fmt.Sprint(r.Outcome) == "not run" && m.f.Runs(r.ID) > 0 {
-			t.Fatalf("request %v was refused as not run (%v) at %v: %s", r.ID, r.Reason, time.Duration(r.At), journey(m.f, r.ID))
+			t.Fatalf("request %v was refused as not run (%v) at %v: %s", r.ID, r.Reason, time.Duration(r.At), sendTrace(m.f, r.ID))
 		}
 	}
 	for _, a := range m.f.Answers {
@@ -228,21 +228,21 @@
 	}
 	for _, name := range m.f.Names() {
 		revision := m.f.Reducer(name).Revision()
-		if revision < m.highest[name] {
-			t.Fatalf("%s went back from revision %d to %d", name, m.highest[name], revision)
+		if revision < m.highestRevision[name] {
+			t.Fatalf("%s went back from revision %d to %d", name, m.highestRevision[name], revision)
 		}
-		m.highest[name] = revision
+		m.highestRevision[name] = revision
 	}
 }
 
 // Symptom: the same seed gives another run.
 // Cause: an order that is left to a map, or a second source of chance.
-func TestRunsRepeatExactly(t *testing.T) {
+func TestSimulationIsDeterministic(t *testing.T) {
 	run := func() string {
-		f := newFleet(t, sicily())
-		establish(t, f, 50)
+		f := newFleet(t, threeZoneTree())
+		establishFlows(t, f, 50)
 		f.Kill("a1")
-		load(f, 50)
+		sendNewFlows(f, 50)
 		f.Step(4 * time.Second)
 		f.Shutdown("b1")
 		f.Step(4 * time.Second)
@@ -252,8 +252,8 @@
 		}
 		return trace
 	}
-	callers = 1000
+	lastCaller = 1000
 	first := run()
-	callers = 1000
+	lastCaller = 1000
 	require.Equal(t, first, run())
 }
--- a/core/reducer/handover.go
+++ b/core/reducer/handover.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	handoverChunk       = 400
-	handoverResendAfter = 500 * time.Millisecond
+	handoverChunkRecords = 400
+	handoverResendAfter  = 500 * time.Millisecond
 	// copyBytesPerSecond is the budget for telling successors of exceptions.
 	copyBytesPerSecond = 2048
 	// flowRecordBytes is what a FlowRecord takes in a message.
 	flowRecordBytes = 24
-	// lingerSpan is how long a host that has left still passes packets on.
-	lingerSpan = time.Second
+	// lingerDuration is how long a host that has left still passes packets on.
+	lingerDuration = time.Second
 )
 
-// handoverOut is the records on their way to one host.
-type handoverOut struct {
+// outgoingHandover is the records on their way to one host.
+type outgoingHandover struct {
 	// incarnation is that of the host that joins, or of this one if it leaves.
 	incarnation uint64
 	leaving     bool
@@ -34,17 +34,17 @@
 	// flows and identities are still to be sent.
 	flows      []messenger.FlowRecord
 	identities []uint64
-	// last is the chunk that is not acknowledged yet.
-	last *messenger.Handover
+	// unackedChunk is the chunk that is not acknowledged yet.
+	unackedChunk *messenger.Handover
 	// doneSent says that the last part is under way, acked that it was taken in.
 	doneSent bool
 	acked    bool
-	// resend is when last is sent again.
-	resend timekeeper.Instant
+	// resendAt is when last is sent again.
+	resendAt timekeeper.Instant
 }
 
-// handoverTick starts handovers to hosts that join, and sends the next chunks.
-func (r *Reducer) handoverTick() {
+// advanceHandovers starts handovers to hosts that join, and sends the next chunks.
+func (r *Reducer) advanceHandovers() {
 	for _, name := range r.detector.Cell() {
 		if name == r.self {
 			continue
@@ -55,33 +55,33 @@
 			delete(r.handovers, name)
 			h = nil
 		}
-		if h == nil && r.mayHandOver(state) {
+		if h == nil && r.canHandOverTo(state) {
 			h = r.startHandover(name, state.Incarnation, false)
 		}
-		if h != nil && !h.acked && h.resend.Passed(r.now) {
-			r.sendChunk(name, h)
+		if h != nil && !h.acked && h.resendAt.Passed(r.now) {
+			r.sendHandoverChunk(name, h)
 		}
 	}
-	r.leaveTick()
+	r.advanceLeave()
 }
 
-// mayHandOver reports whether a joining host can be served from here. Only a
+// canHandOverTo reports whether a joining host can be served from here. Only a
 // host with a quorum knows that its records are the valid ones; a host that has
 // waited gathers the records of the others too, for a cell without a quorum.
-func (r *Reducer) mayHandOver(state detector.State) bool {
+func (r *Reducer) canHandOverTo(state detector.State) bool {
 	if !isJoining(state) || state.Liveness != messenger.LivenessAlive || !r.Ready() {
 		return false
 	}
 	return state.Phase == messenger.PhaseWaited || r.detector.HasQuorum(r.now)
 }
 
-func (r *Reducer) startHandover(to string, incarnation uint64, leaving bool) *handoverOut {
-	r.sessions++
-	h := &handoverOut{incarnation: incarnation, leaving: leaving, session: r.sessions}
+func (r *Reducer) startHandover(to string, incarnation uint64, leaving bool) *outgoingHandover {
+	r.lastHandoverSession++
+	h := &outgoingHandover{incarnation: incarnation, leaving: leaving, session: r.lastHandoverSession}
 	for shard := range flowShards {
 		r.flows.each(shard, func(key resolver.FlowKey, f flow) (flow, bool) {
 			hash := placer.Hash(key)
-			if r.nextOwnerIs(to, hash) {
+			if r.isNextOwner(to, hash) {
 				h.flows = append(h.flows, r.recordOf(key, f))
 			}
 			return f, true
@@ -94,9 +94,9 @@
 	return h
 }
 
-// nextOwnerIs reports whether a host owns a flow once it has joined, or once
+// isNextOwner reports whether a host owns a flow once it has joined, or once
 // this host has left.
-func (r *Reducer) nextOwnerIs(to string, hash uint64) bool {
+func (r *Reducer) isNextOwner(to string, hash uint64) bool {
 	bucket := placer.BucketOf(hash)
 	if r.cells.Home(bucket) != r.ownCell {
 		return false
@@ -106,11 +106,11 @@
 		switch {
 		case name == to:
 			return true
-		case name == r.self && !r.shutdown:
+		case name == r.self && !r.shuttingDown:
 			return false
-		case name != r.self && r.shutdown && r.stays(name):
+		case name != r.self && r.shuttingDown && r.isStaying(name):
 			return false
-		case name != r.self && !r.shutdown && r.takesPart(name, true):
+		case name != r.self && !r.shuttingDown && r.actsAsOwner(name, true):
 			return false
 		}
 	}
@@ -119,101 +119,101 @@
 
 func (r *Reducer) recordOf(key resolver.FlowKey, f flow) messenger.FlowRecord {
 	s := r.services[key.Service()]
-	record := messenger.FlowRecord{Key: key, LongLived: f.flags&flowLong != 0}
+	record := messenger.FlowRecord{Key: key, LongLived: f.flags&flowLongLived != 0}
 	if s == nil {
 		return record
 	}
 	record.Target = s.registry[f.target].address
-	if f.other != noTarget {
-		record.NewWorkTarget = s.registry[f.other].address
-		record.BlockTransferMoved = f.flags&flowMoved != 0
+	if f.otherTarget != noTarget {
+		record.NewWorkTarget = s.registry[f.otherTarget].address
+		record.BlockTransferMoved = f.flags&flowTransferMoved != 0
 	}
 	return record
 }
 
 // knownIdentities lists every request that callers may repeat.
 func (r *Reducer) knownIdentities() []uint64 {
-	ids := slices.Clone(r.identities.oldest)
+	ids := slices.Clone(r.identities.order)
 	for _, id := range r.serviceIDs {
-		for _, q := range r.services[id].forget {
+		for _, q := range r.services[id].retained {
 			ids = append(ids, q.id)
 		}
 	}
 	return ids
 }
 
-// journalFlow adds a flow that began or moved during a handover to the handover.
-func (r *Reducer) journalFlow(key resolver.FlowKey, hash uint64, f flow) {
+// addToHandovers adds a flow that began or moved during a handover to the handover.
+func (r *Reducer) addToHandovers(key resolver.FlowKey, hash uint64, f flow) {
 	if len(r.handovers) == 0 {
 		return
 	}
 	for _, name := range r.detector.Cell() {
-		if h := r.handovers[name]; h != nil && !h.doneSent && r.nextOwnerIs(name, hash) {
+		if h := r.handovers[name]; h != nil && !h.doneSent && r.isNextOwner(name, hash) {
 			h.flows = append(h.flows, r.recordOf(key, f))
 		}
 	}
 }
 
-// sendChunk sends the next part of a handover, or the last one again. With the
+// sendHandoverChunk sends the next part of a handover, or the last one again. With the
 // part that has Done set this host stops acting on the flows, so nothing can be
 // added behind it.
-func (r *Reducer) sendChunk(to string, h *handoverOut) {
-	h.resend = r.now.Add(handoverResendAfter)
-	if h.last != nil {
-		r.sendPeer(to, h.last)
+func (r *Reducer) sendHandoverChunk(to string, h *outgoingHandover) {
+	h.resendAt = r.now.Add(handoverResendAfter)
+	if h.unackedChunk != nil {
+		r.sendPeer(to, h.unackedChunk)
 		return
 	}
-	drained := len(h.flows)+len(h.identities) == 0
-	if drained && h.leaving && !r.steppedDown {
+	allSent := len(h.flows)+len(h.identities) == 0
+	if allSent && h.leaving && !r.steppedDown {
 		return
 	}
 	h.sequence++
 	chunk := &messenger.Handover{Sequence: h.sequence, Incarnation: h.incarnation, Session: h.session, Leaving: h.leaving}
-	n := min(handoverChunk, len(h.flows))
+	n := min(handoverChunkRecords, len(h.flows))
 	chunk.Flows = h.flows[:n:n]
 	h.flows = h.flows[n:]
-	m := min(handoverChunk, len(h.identities))
+	m := min(handoverChunkRecords, len(h.identities))
 	chunk.Identities = h.identities[:m:m]
 	h.identities = h.identities[m:]
 	if len(h.flows)+len(h.identities) == 0 && (!h.leaving || r.steppedDown) {
 		r.finishHandover(to, h, chunk)
 	}
-	chunk.WitnessedIdentities = r.witnessed.among(chunk.Identities)
-	h.last = chunk
+	chunk.WitnessedIdentities = r.witnessed.groupByOwner(chunk.Identities)
+	h.unackedChunk = chunk
 	r.sendPeer(to, chunk)
 }
 
-func (r *Reducer) finishHandover(to string, h *handoverOut, chunk *messenger.Handover) {
+func (r *Reducer) finishHandover(to string, h *outgoingHandover, chunk *messenger.Handover) {
 	chunk.Done = true
 	chunk.Quorum = r.detector.HasQuorum(r.now)
-	chunk.Unsent = r.unsentRequests(to)
+	chunk.Unsent = r.takeUnsentRequests(to)
 	// What ran or was refused since the snapshot is added here.
 	chunk.Identities = append(slices.Clone(chunk.Identities), r.knownIdentities()...)
-	chunk.Requests = r.runningRequests(to)
-	chunk.IdentitiesIncompleteFor = max(0, r.uncertainUntil().Until(r.now))
+	chunk.Requests = r.takeRunningRequests(to)
+	chunk.IdentitiesIncompleteFor = max(0, r.outcomesUncertainUntil().Until(r.now))
 	for _, name := range r.detector.Cell() {
-		if name != r.self && name != to && r.takesPart(name, true) {
+		if name != r.self && name != to && r.actsAsOwner(name, true) {
 			chunk.AlivePeers = append(chunk.AlivePeers, name)
 		}
 	}
 	h.doneSent = true
-	if !h.leaving || to == r.voteHolder() {
+	if !h.leaving || to == r.voteRecipient() {
 		chunk.Votes, chunk.DeniedRecipients = r.detector.ReleaseVotes(to, h.leaving)
 	}
 	if !h.leaving {
-		r.handedTo[to] = h.incarnation
+		r.handedOverTo[to] = h.incarnation
 	}
 }
 
-// uncertainUntil is until when the hosts of the cell together may not know every
+// outcomesUncertainUntil is until when the hosts of the cell together may not know every
 // request that callers may repeat. One host that lost its memory does no harm:
 // the next one held its identities. Of two, one may have held the other's.
-func (r *Reducer) uncertainUntil() timekeeper.Instant {
-	window := r.exchangeLifetime()
+func (r *Reducer) outcomesUncertainUntil() timekeeper.Instant {
+	window := r.maxExchangeLifetime()
 	lost, until := 0, timekeeper.Instant(0)
 	for _, name := range r.detector.Cell() {
 		state := r.detector.State(name)
-		if name != r.self && r.lostLately(state, window) {
+		if name != r.self && r.lostStateRecently(state, window) {
 			lost++
 			until = max(until, state.StateLostAt.Add(window))
 		}
@@ -221,15 +221,15 @@
 	if lost < 2 {
 		until = 0
 	}
-	return max(until, r.joining.uncertainDeadline)
+	return max(until, r.joining.uncertaintyDeadline)
 }
 
-// runningRequests lists requests that are at targets, so that the next owner
+// takeRunningRequests lists requests that are at targets, so that the next owner
 // gives them their final answer.
-func (r *Reducer) runningRequests(to string) []messenger.RequestRecord {
+func (r *Reducer) takeRunningRequests(to string) []messenger.RequestRecord {
 	var records []messenger.RequestRecord
 	for _, q := range r.active {
-		if q.state != stateSent || !r.nextOwnerIs(to, q.hash) {
+		if q.state != stateSent || !r.isNextOwner(to, q.hash) {
 			continue
 		}
 		records = append(records, messenger.RequestRecord{
@@ -239,25 +239,25 @@
 			Target:    q.service.registry[q.target].address,
 			Remaining: max(q.deadline.Until(r.now), 0),
 		})
-		r.leave(q)
+		r.releaseSlot(q)
 		q.state = stateAnswered
 	}
 	return records
 }
 
-// unsentRequests takes the requests that have not been sent out of this host's
+// takeUnsentRequests takes the requests that have not been sent out of this host's
 // tables, for the next owner to run. They travel with the records: the next
 // owner may hold their identities already and would not run a mere datagram.
-func (r *Reducer) unsentRequests(to string) []messenger.Forward {
+func (r *Reducer) takeUnsentRequests(to string) []messenger.Forward {
 	var unsent []messenger.Forward
 	for _, q := range r.active {
-		waits := q.state == stateQueued || q.state == stateWitnessing
-		if !waits || !r.nextOwnerIs(to, q.hash) {
+		notSent := q.state == stateQueued || q.state == stateWitnessing
+		if !notSent || !r.isNextOwner(to, q.hash) {
 			continue
 		}
-		r.leave(q)
+		r.releaseSlot(q)
 		q.state = stateAnswered
-		r.forgetUnsent(q)
+		r.removeUnsent(q)
 		in := inbound{key: q.key, hash: q.hash, service: q.service, direction: messenger.DirectionToTarget, packet: &q.packet}
 		in.packet.Deadline = q.deadline
 		unsent = append(unsent, r.forwardOf(&in))
@@ -265,15 +265,15 @@
 	return unsent
 }
 
-// forgetUnsent drops a request from the tables at once.
-func (r *Reducer) forgetUnsent(q *request) {
+// removeUnsent drops a request from the tables at once.
+func (r *Reducer) removeUnsent(q *request) {
 	delete(r.requests, q.id)
 	delete(r.byToken, tokenOf(q.key, q.packet.Exchange))
-	q.service.forget = slices.DeleteFunc(q.service.forget, func(other *request) bool { return other == q })
+	q.service.retained = slices.DeleteFunc(q.service.retained, func(other *request) bool { return other == q })
 }
 
-// takeHandover takes records in and acknowledges them.
-func (r *Reducer) takeHandover(from string, body *messenger.Handover) {
+// handleHandover takes records in and acknowledges them.
+func (r *Reducer) handleHandover(from string, body *messenger.Handover) {
 	if r.settings == nil {
 		return
 	}
@@ -281,41 +281,41 @@
 	if !body.Leaving && body.Incarnation != r.detector.Incarnation() {
 		return
 	}
-	if body.Leaving && r.shutdown {
+	if body.Leaving && r.shuttingDown {
 		ack.Refused = true
 		r.sendPeer(from, ack)
 		return
 	}
-	r.takeRecords(body.Flows, false)
-	deadline := r.now.Add(r.exchangeLifetime())
+	r.importFlowRecords(body.Flows, false)
+	deadline := r.now.Add(r.maxExchangeLifetime())
 	for _, id := range body.Identities {
-		if !r.unsentFor(id, body.WitnessedIdentities) {
+		if !r.isKnownUnsent(id, body.WitnessedIdentities) {
 			r.identities.add(id, deadline)
 		}
 	}
 	for i := range body.Requests {
-		r.takeRequest(&body.Requests[i])
+		r.importRequest(&body.Requests[i])
 	}
 	if body.Done {
-		r.takeDone(from, body)
+		r.finishIncomingHandover(from, body)
 		for i := range body.Unsent {
-			r.takeUnsent(from, &body.Unsent[i])
+			r.importUnsent(from, &body.Unsent[i])
 		}
 	}
 	r.sendPeer(from, ack)
 }
 
-// takeUnsent takes over a request that its owner has not sent.
-func (r *Reducer) takeUnsent(from string, f *messenger.Forward) {
+// importUnsent takes over a request that its owner has not sent.
+func (r *Reducer) importUnsent(from string, f *messenger.Forward) {
 	id := identityOf(f.Key, f.Exchange)
 	r.identities.remove(id)
-	r.forwarded(f, r.now)
-	if h := r.heldOf(id); h != nil {
-		h.unsentBy = hostStart{host: from, incarnation: r.detector.State(from).Incarnation}
+	r.handleForward(f, r.now)
+	if h := r.heldPacketByID(id); h != nil {
+		h.unsentBy = hostIncarnation{host: from, incarnation: r.detector.State(from).Incarnation}
 	}
 }
 
-// unsentFor reports whether a request is held here that its owner has not sent, and
+// isKnownUnsent reports whether a request is held here that its owner has not sent, and
 // whose identity another host holds only for that owner.
 //
 // What goes wrong otherwise: an owner has its successor hold a check's identity,
@@ -323,79 +323,79 @@
 // confirms. Then the successor's records come, with the identity. The joining host
 // takes the check for one that has run, and its caller waits for an answer that
 // nobody gives. One notices by checks that end as unknown while hosts are replaced.
-func (r *Reducer) unsentFor(id uint64, witnessed []messenger.OwnerIdentities) bool {
-	h := r.heldOf(id)
-	if h == nil || h.unsentBy == (hostStart{}) {
+func (r *Reducer) isKnownUnsent(id uint64, witnessed []messenger.OwnerIdentities) bool {
+	h := r.heldPacketByID(id)
+	if h == nil || h.unsentBy == (hostIncarnation{}) {
 		return false
 	}
 	for _, w := range witnessed {
-		if h.unsentBy == (hostStart{host: w.Owner, incarnation: w.Incarnation}) && slices.Contains(w.Identities, id) {
+		if h.unsentBy == (hostIncarnation{host: w.Owner, incarnation: w.Incarnation}) && slices.Contains(w.Identities, id) {
 			return true
 		}
 	}
 	return false
 }
 
-// handoverMark names one handover of a peer.
-type handoverMark struct {
+// handoverID names one handover of a peer.
+type handoverID struct {
 	incarnation uint64
 	session     uint64
 }
 
-func (r *Reducer) takeDone(from string, body *messenger.Handover) {
+func (r *Reducer) finishIncomingHandover(from string, body *messenger.Handover) {
 	if body.IdentitiesIncompleteFor > 0 {
-		r.joining.uncertainDeadline = max(r.joining.uncertainDeadline, r.now.Add(body.IdentitiesIncompleteFor))
+		r.joining.uncertaintyDeadline = max(r.joining.uncertaintyDeadline, r.now.Add(body.IdentitiesIncompleteFor))
 	}
-	mark := handoverMark{incarnation: r.detector.State(from).Incarnation, session: body.Session}
-	if r.tookVotes[from] != mark {
+	handover := handoverID{incarnation: r.detector.State(from).Incarnation, session: body.Session}
+	if r.votesAcceptedFrom[from] != handover {
 		// The chunk may come again if its acknowledgement was lost, when the
 		// votes may already have been passed on.
-		r.tookVotes[from] = mark
+		r.votesAcceptedFrom[from] = handover
 		r.detector.AcceptVotes(body.Votes, body.DeniedRecipients, r.now)
 	}
 	if body.Leaving {
-		r.leavingFrom[from] = r.detector.State(from).Incarnation
+		r.leaveHandoverFrom[from] = r.detector.State(from).Incarnation
 		return
 	}
-	r.joining.doneFrom[from] = r.now
-	r.joining.powerlessDone = r.joining.powerlessDone || !body.Quorum
+	r.joining.recordsFrom[from] = r.now
+	r.joining.recordsLackQuorum = r.joining.recordsLackQuorum || !body.Quorum
 	for _, name := range body.AlivePeers {
-		r.joining.expected[name] = true
+		r.joining.expectedPeers[name] = true
 	}
 }
 
-// takeRecords remembers where flows are. copied says that this host is only
+// importFlowRecords remembers where flows are. copied says that this host is only
 // the successor, so that it does not pass the records on.
-func (r *Reducer) takeRecords(records []messenger.FlowRecord, copied bool) {
+func (r *Reducer) importFlowRecords(records []messenger.FlowRecord, asCopies bool) {
 	for _, record := range records {
 		s, ok := r.services[record.Key.Service()]
 		if !ok {
 			continue
 		}
-		at, ok := s.byAddr[record.Target]
+		index, ok := s.byAddr[record.Target]
 		if !ok {
 			continue
 		}
 		hash := placer.Hash(record.Key)
-		f := flow{target: at, other: noTarget, seen: max(seconds(r.now), 1)}
+		f := flow{target: index, otherTarget: noTarget, lastSeen: max(seconds(r.now), 1)}
 		if record.LongLived {
-			f.flags |= flowLong
+			f.flags |= flowLongLived
 		}
 		if other, ok := s.byAddr[record.NewWorkTarget]; ok {
-			f.other = other
+			f.otherTarget = other
 			if record.BlockTransferMoved {
-				f.flags |= flowMoved
+				f.flags |= flowTransferMoved
 			}
 		}
 		r.markException(s, hash, &f)
-		if copied {
+		if asCopies {
 			f.flags |= flowCopied
 		}
 		r.flows.put(record.Key, hash, f)
 	}
 }
 
-func (r *Reducer) takeRequest(record *messenger.RequestRecord) {
+func (r *Reducer) importRequest(record *messenger.RequestRecord) {
 	s, ok := r.services[record.Key.Service()]
 	if !ok {
 		return
@@ -412,16 +412,16 @@
 	}
 	in := inbound{key: record.Key, hash: placer.Hash(record.Key), service: s, packet: &packet}
 	q := r.newRequest(&in, id)
-	q.state = stateOrphan
-	if at, ok := s.byAddr[record.Target]; ok && !q.nonIdempotent() {
+	q.state = stateInDoubt
+	if index, ok := s.byAddr[record.Target]; ok && !q.nonIdempotent() {
 		// A repeat of it goes to the same target again: the answer may be lost.
 		q.state = stateSent
-		q.target = at
+		q.target = index
 		q.attemptDeadline = timekeeper.Never
 	}
 }
 
-func (r *Reducer) handoverAcked(from string, body *messenger.HandoverAck) {
+func (r *Reducer) handleHandoverAck(from string, body *messenger.HandoverAck) {
 	h, ok := r.handovers[from]
 	if !ok || body.Sequence != h.sequence || body.Incarnation != h.incarnation || body.Session != h.session {
 		return
@@ -430,10 +430,10 @@
 		r.handoverRefused(from, h)
 		return
 	}
-	h.last = nil
+	h.unackedChunk = nil
 	if h.doneSent {
 		h.acked = true
 		return
 	}
-	r.sendChunk(from, h)
+	r.sendHandoverChunk(from, h)
 }
--- a/core/reducer/health.go
+++ b/core/reducer/health.go
@@ -17,56 +17,56 @@
 // prober that lies or sits behind a cut can exclude no more than the service's
 // MaxEjectedShare, and nothing that answers requests.
 const (
-	probersPerZone     = 2
-	maxProbesPerSecond = 20
-	verdictsEvery      = 5 * time.Second
-	// verdictSpan is how long a verdict holds without being repeated.
-	verdictSpan = 12 * time.Second
+	probersPerZone             = 2
+	maxProbesPerSecond         = 20
+	probeFailureReportInterval = 5 * time.Second
+	// probeFailureTTL is how long a verdict holds without being repeated.
+	probeFailureTTL = 12 * time.Second
 )
 
 // prober is this host's share of the probing.
 type prober struct {
-	// due lists the targets still to be probed in this round.
-	due           []*target
-	roundDeadline timekeeper.Instant
-	tokens        float64
-	told          []uint32
-	tellDeadline  timekeeper.Instant
+	// pending lists the targets still to be probed in this round.
+	pending      []*target
+	nextRound    timekeeper.Instant
+	tokens       float64
+	lastReported []uint32
+	nextReport   timekeeper.Instant
 }
 
-// probeTick sends the next probes. A round takes a second, or longer if there
+// sendProbes sends the next probes. A round takes a second, or longer if there
 // are more targets than probes to send.
-func (r *Reducer) probeTick() {
-	const roundSpan = time.Second
+func (r *Reducer) sendProbes() {
+	const probeInterval = time.Second
 	p := &r.prober
-	p.tokens = min(p.tokens+maxProbesPerSecond*TickEvery.Seconds(), maxProbesPerSecond)
-	if len(p.due) == 0 && p.roundDeadline.Passed(r.now) {
-		p.roundDeadline = r.now.Add(roundSpan)
-		p.due = r.ownTargets()
+	p.tokens = min(p.tokens+maxProbesPerSecond*TickInterval.Seconds(), maxProbesPerSecond)
+	if len(p.pending) == 0 && p.nextRound.Passed(r.now) {
+		p.nextRound = r.now.Add(probeInterval)
+		p.pending = r.targetsToProbe()
 	}
-	for len(p.due) > 0 && p.tokens >= 1 {
-		t := p.due[0]
-		p.due = p.due[1:]
+	for len(p.pending) > 0 && p.tokens >= 1 {
+		t := p.pending[0]
+		p.pending = p.pending[1:]
 		p.tokens--
-		if t.present {
+		if t.listed {
 			r.emit(&Probe{Target: t.address})
 		}
 	}
-	r.verdictTick()
+	r.sendProbeFailures()
 }
 
-// ownTargets lists the targets that this host has to probe.
-func (r *Reducer) ownTargets() []*target {
+// targetsToProbe lists the targets that this host has to probe.
+func (r *Reducer) targetsToProbe() []*target {
 	ranker := placer.NewRanker(r.aliveInZone())
-	var own []*target
+	var targets []*target
 	for _, id := range r.serviceIDs {
 		for _, t := range r.services[id].registry {
-			if t.present && r.probes(ranker, t) {
-				own = append(own, t)
+			if t.listed && r.isProberFor(ranker, t) {
+				targets = append(targets, t)
 			}
 		}
 	}
-	return own
+	return targets
 }
 
 // aliveInZone lists the live hosts of this host's zone, this host included.
@@ -82,48 +82,48 @@
 	return names
 }
 
-func (r *Reducer) probes(ranker placer.Ranker, t *target) bool {
+func (r *Reducer) isProberFor(ranker placer.Ranker, t *target) bool {
 	ip := t.address.Addr().As4()
 	key := resolver.FlowKey(uint64(ip[0])<<24|uint64(ip[1])<<16|uint64(ip[2])<<8|uint64(ip[3])) ^ resolver.FlowKey(t.address.Port())<<32
 	return ranker.InTop(placer.BucketOf(placer.Hash(key)), r.self, probersPerZone)
 }
 
-func (r *Reducer) probeAnswered(e *ProbeAnswered) {
+func (r *Reducer) handleProbeResponse(e *ProbeAnswered) {
 	for _, id := range r.serviceIDs {
 		s := r.services[id]
-		at, ok := s.byAddr[e.Target]
-		if !ok || !s.registry[at].present {
+		index, ok := s.byAddr[e.Target]
+		if !ok || !s.registry[index].listed {
 			continue
 		}
-		t := s.registry[at]
+		t := s.registry[index]
 		if !e.Healthy {
 			t.failedProbes++
 			continue
 		}
 		t.failedProbes = 0
-		if !t.queueStuck() {
+		if !t.hasUnansweredRequests() {
 			t.failedRequests = 0
 		}
-		t.reported = e.InFlight
-		t.reportDeadline = r.now.Add(loadSpan)
+		t.reportedLoad = e.InFlight
+		t.loadReportDeadline = r.now.Add(loadReportTTL)
 	}
 }
 
-// queueStuck reports whether requests wait for the target without any answer,
+// hasUnansweredRequests reports whether requests wait for the target without any answer,
 // in which case a good probe says little.
-func (t *target) queueStuck() bool { return t.failedRequests > 0 && t.inFlight > 0 }
+func (t *target) hasUnansweredRequests() bool { return t.failedRequests > 0 && t.inFlight > 0 }
 
-// verdictTick tells the zone which targets fail, when that changes and then
+// sendProbeFailures tells the zone which targets fail, when that changes and then
 // regularly.
-func (r *Reducer) verdictTick() {
-	failing := r.failingProbes()
-	changed := !slices.Equal(failing, r.prober.told)
-	again := len(failing) > 0 && r.prober.tellDeadline.Passed(r.now)
-	if !changed && !again {
+func (r *Reducer) sendProbeFailures() {
+	failing := r.failingTargets()
+	changed := !slices.Equal(failing, r.prober.lastReported)
+	repeatDue := len(failing) > 0 && r.prober.nextReport.Passed(r.now)
+	if !changed && !repeatDue {
 		return
 	}
-	r.prober.told = failing
-	r.prober.tellDeadline = r.now.Add(verdictsEvery)
+	r.prober.lastReported = failing
+	r.prober.nextReport = r.now.Add(probeFailureReportInterval)
 	for _, name := range r.aliveInZone() {
 		if name != r.self {
 			r.sendPeer(name, &messenger.ProbeFailures{FailingTargets: failing})
@@ -131,33 +131,33 @@
 	}
 }
 
-func (r *Reducer) failingProbes() []uint32 {
+func (r *Reducer) failingTargets() []uint32 {
 	var failing []uint32
 	for _, id := range r.serviceIDs {
 		for _, t := range r.services[id].registry {
-			if t.present && t.failedProbes >= failedProbesToEject {
-				failing = append(failing, messenger.TargetKey(id, t.place))
+			if t.listed && t.failedProbes >= failedProbesToEject {
+				failing = append(failing, messenger.TargetKey(id, t.settingsIndex))
 			}
 		}
 	}
 	return failing
 }
 
-// takeVerdicts notes which targets another host finds failing.
-func (r *Reducer) takeVerdicts(from string, failing []uint32) {
+// handleProbeFailures notes which targets another host finds failing.
+func (r *Reducer) handleProbeFailures(from string, failing []uint32) {
 	for _, id := range r.serviceIDs {
 		for _, t := range r.services[id].registry {
-			delete(t.accusers, from)
-			if t.present && slices.Contains(failing, messenger.TargetKey(id, t.place)) {
-				t.accusers[from] = r.now.Add(verdictSpan)
+			delete(t.failureReports, from)
+			if t.listed && slices.Contains(failing, messenger.TargetKey(id, t.settingsIndex)) {
+				t.failureReports[from] = r.now.Add(probeFailureTTL)
 			}
 		}
 	}
 }
 
-// accused reports whether a prober of the zone finds the target failing.
-func (t *target) accused(now timekeeper.Instant) bool {
-	for deadline := range maps.Values(t.accusers) {
+// reportedFailing reports whether a prober of the zone finds the target failing.
+func (t *target) reportedFailing(now timekeeper.Instant) bool {
+	for deadline := range maps.Values(t.failureReports) {
 		if !deadline.Passed(now) {
 			return true
 		}
--- a/core/reducer/health_test.go
+++ b/core/reducer/health_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func ejectedAt(f *driver.Fleet, host string, service int) int {
+func ejectedCount(f *driver.Fleet, host string, service int) int {
 	ejected := 0
 	for _, t := range f.Reducer(host).Snapshot().Services[service-1].Targets {
 		if t.Ejected {
@@ -22,55 +22,55 @@
 // Symptom: flows open on a target that is long dead, through some hosts only.
 // Sequence: a target dies; two hosts of each zone probe it.
 // Cause: a verdict that stays with the host that found it.
-func TestVerdictReachesHostsThatDoNotProbe(t *testing.T) {
-	f := newFleet(t, sicily())
+func TestFailureReportReachesNonProbingHosts(t *testing.T) {
+	f := newFleet(t, threeZoneTree())
 	f.Target(driver.TargetAddress(3)).Down = true
 	f.Step(6 * time.Second)
 	for _, name := range f.Names() {
-		require.Equal(t, 1, ejectedAt(f, name, 1), name)
+		require.Equal(t, 1, ejectedCount(f, name, 1), name)
 	}
 	f.Target(driver.TargetAddress(3)).Down = false
 	f.Step(3 * time.Second)
 	for _, name := range f.Names() {
-		require.Zero(t, ejectedAt(f, name, 1), name)
+		require.Zero(t, ejectedCount(f, name, 1), name)
 	}
 }
 
 // Symptom: a service is refused altogether while its targets work.
 // Sequence: the health endpoints of all targets fail at once.
 // Cause: health that is believed without bound.
-func TestLyingHealthCannotEmptyAService(t *testing.T) {
-	f := newFleet(t, sicily())
-	for _, n := range numbers(1, 14) {
+func TestFalseProbeFailuresDoNotEjectAllTargets(t *testing.T) {
+	f := newFleet(t, threeZoneTree())
+	for _, n := range intRange(1, 14) {
 		f.Target(driver.TargetAddress(n)).Lies = true
 	}
 	f.Step(8 * time.Second)
-	require.LessOrEqual(t, ejectedAt(f, "a1", 1), 7)
+	require.LessOrEqual(t, ejectedCount(f, "a1", 1), 7)
 	for n := range 100 {
-		f.Call("", call(n, 1, 1), request(openWrite))
+		f.Call("", requestID(n, 1, 1), requestPacket(openWrite))
 	}
 	f.Step(2 * time.Second)
 	for n := range 100 {
-		require.True(t, answered(f, call(n, 1, 1)))
+		require.True(t, answered(f, requestID(n, 1, 1)))
 	}
 }
 
 // Symptom: retries bring down a service that is slow.
 // Sequence: every target falls silent under load.
 // Cause: a retry for every request, without a budget.
-func TestRetriesKeepToTheirBudget(t *testing.T) {
-	f := newFleet(t, sicily())
-	for _, n := range numbers(1, 14) {
+func TestRetriesStayWithinBudget(t *testing.T) {
+	f := newFleet(t, threeZoneTree())
+	for _, n := range intRange(1, 14) {
 		f.Target(driver.TargetAddress(n)).Work = time.Hour
 	}
 	const reads = 400
 	for n := range reads {
-		f.Call("", call(n, 1, 1), request(openRead))
+		f.Call("", requestID(n, 1, 1), requestPacket(openRead))
 	}
 	f.Step(3 * time.Second)
 	retries := uint64(0)
 	for _, name := range f.Names() {
-		retries += f.Reducer(name).Count(reducer.CountRetry)
+		retries += f.Reducer(name).Count(reducer.CountRetries)
 	}
 	require.Positive(t, retries)
 	require.LessOrEqual(t, retries, uint64(reads/10))
@@ -79,19 +79,19 @@
 // Symptom: a new target is overrun. Sequence: a target is added under load.
 // Cause: its full share from the first moment, before its caches are warm.
 func TestNewTargetWarmsUp(t *testing.T) {
-	added := sicily()
-	added.Services[0].Targets = numbers(1, 15)
-	f := newFleet(t, sicily())
+	added := threeZoneTree()
+	added.Services[0].Targets = intRange(1, 15)
+	f := newFleet(t, threeZoneTree())
 	f.Publish(added.Document())
 	f.Step(500 * time.Millisecond)
 	share := func(from int) int {
 		for n := range 600 {
-			f.Call("", call(from+n, 1, 1), request(openRead))
+			f.Call("", requestID(from+n, 1, 1), requestPacket(openRead))
 		}
 		f.Step(200 * time.Millisecond)
 		got := 0
 		for n := range 600 {
-			if targetOf(t, f, call(from+n, 1, 1)) == driver.TargetAddress(15) {
+			if targetOf(t, f, requestID(from+n, 1, 1)) == driver.TargetAddress(15) {
 				got++
 			}
 		}
--- a/core/reducer/hold.go
+++ b/core/reducer/hold.go
@@ -16,25 +16,25 @@
 	deadline timekeeper.Instant
 	// unsentBy is the owner that handed the request over without having sent it; zero
 	// for a packet that came otherwise.
-	unsentBy hostStart
+	unsentBy hostIncarnation
 }
 
-// hostStart is one start of a host.
-type hostStart struct {
+// hostIncarnation is one start of a host.
+type hostIncarnation struct {
 	host        string
 	incarnation uint64
 }
 
-// heldOf returns the packet that is held under an identity; nil if there is none.
-func (r *Reducer) heldOf(id uint64) *heldPacket {
+// heldPacketByID returns the packet that is held under an identity; nil if there is none.
+func (r *Reducer) heldPacketByID(id uint64) *heldPacket {
 	if !r.heldIDs[id] {
 		return nil
 	}
-	i := slices.IndexFunc(r.held, func(h heldPacket) bool { return h.id == id })
+	i := slices.IndexFunc(r.heldPackets, func(h heldPacket) bool { return h.id == id })
 	if i < 0 {
 		return nil
 	}
-	return &r.held[i]
+	return &r.heldPackets[i]
 }
 
 // hold keeps a request while it is not settled whether this host may act on it.
@@ -44,15 +44,15 @@
 		r.count(DropDuplicate)
 		return
 	}
-	if len(r.held) >= maxHeld {
+	if len(r.heldPackets) >= maxHeldPackets {
 		r.count(DropHeldOverflow)
 		return
 	}
-	deadline := r.now.Add(holdSpan)
+	deadline := r.now.Add(holdTimeout)
 	if in.packet.Deadline != 0 {
 		deadline = min(deadline, in.packet.Deadline)
 	}
-	if r.hopeless(reason) {
+	if r.waitIsFutile(reason) {
 		deadline = r.now
 	}
 	h := heldPacket{in: *in, packet: *in.packet, id: id, reason: reason, deadline: deadline}
@@ -61,20 +61,20 @@
 		return
 	}
 	r.heldIDs[id] = true
-	r.held = append(r.held, h)
+	r.heldPackets = append(r.heldPackets, h)
 }
 
-// hopeless reports whether it has been clear for a while that this host can't
+// waitIsFutile reports whether it has been clear for a while that this host can't
 // get permission.
-func (r *Reducer) hopeless(reason Reason) bool {
+func (r *Reducer) waitIsFutile(reason Reason) bool {
 	switch reason {
 	case RefuseNoOwner:
-		return r.joining.over
+		return r.joining.ready
 	case RefuseIsolated:
-		return r.isolated()
+		return r.isIsolated()
 	default:
 	}
-	return r.joining.over && r.powerless != timekeeper.Never && r.powerless.Add(hopelessSpan).Passed(r.now)
+	return r.joining.ready && r.noQuorumSince != timekeeper.Never && r.noQuorumSince.Add(futileWaitAfter).Passed(r.now)
 }
 
 func (r *Reducer) refuseHeld(h *heldPacket) {
@@ -89,9 +89,9 @@
 	r.refuse(q, outcome, h.reason)
 }
 
-func (r *Reducer) heldTick() {
-	held := r.held
-	r.held = nil
+func (r *Reducer) retryHeldPackets() {
+	held := r.heldPackets
+	r.heldPackets = nil
 	for i := range held {
 		h := &held[i]
 		delete(r.heldIDs, h.id)
@@ -99,7 +99,7 @@
 			r.refuseHeld(h)
 			continue
 		}
-		before := len(r.held)
+		before := len(r.heldPackets)
 		in := h.in
 		in.packet = &h.packet
 		in.service = r.services[in.key.Service()]
@@ -108,9 +108,9 @@
 			continue
 		}
 		r.route(&in)
-		if len(r.held) > before {
-			r.held[before].deadline = h.deadline
-			r.held[before].unsentBy = h.unsentBy
+		if len(r.heldPackets) > before {
+			r.heldPackets[before].deadline = h.deadline
+			r.heldPackets[before].unsentBy = h.unsentBy
 		}
 	}
 }
--- a/core/reducer/isolation.go
+++ b/core/reducer/isolation.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// sleepSpan is the gap between two events from which a host concludes that
+	// pauseThreshold is the gap between two events from which a host concludes that
 	// it was paused: ticks alone come far more often.
-	sleepSpan = time.Second
-	// contactSpan is how long an answer of a peer, or of the platform, shows
+	pauseThreshold = time.Second
+	// peerContactTTL is how long an answer of a peer, or of the platform, shows
 	// that this host would have heard of a new revision.
-	contactSpan = 2 * time.Second
-	// platformSpan is the same for the platform, which is read less often.
-	platformSpan = 8 * time.Second
-	// isolationSpan is how long an isolated host takes no new work. After that
+	peerContactTTL = 2 * time.Second
+	// platformContactTTL is the same for the platform, which is read less often.
+	platformContactTTL = 8 * time.Second
+	// isolationTimeout is how long an isolated host takes no new work. After that
 	// it may be the last one that callers can reach.
-	isolationSpan = time.Minute
+	isolationTimeout = time.Minute
 )
 
 // isolation tells whether a host may be working with settings that are no
@@ -30,50 +30,50 @@
 // answered it lately, and asks first when it finds that it slept.
 type isolation struct {
 	platformDeadline timekeeper.Instant
-	// since is when the last contact lapsed; Never while there is contact.
-	since timekeeper.Instant
+	// lostContactSince is when the last contact lapsed; Never while there is contact.
+	lostContactSince timekeeper.Instant
 }
 
-// noteTime is called with every event, before the event is looked at.
-func (r *Reducer) noteTime(before, now timekeeper.Instant) {
-	if before.Add(sleepSpan) < now {
+// detectPause is called with every event, before the event is looked at.
+func (r *Reducer) detectPause(before, now timekeeper.Instant) {
+	if before.Add(pauseThreshold) < now {
 		r.isolation.platformDeadline = 0
-		r.isolation.since = now
+		r.isolation.lostContactSince = now
 		r.detector.NotePause(now)
 	}
 }
 
-func (r *Reducer) notePlatform() { r.isolation.platformDeadline = r.now.Add(platformSpan) }
+func (r *Reducer) notePlatformContact() { r.isolation.platformDeadline = r.now.Add(platformContactTTL) }
 
 // inContact reports whether this host would have heard of a new revision.
 func (r *Reducer) inContact() bool {
 	if len(r.detector.Others()) == 0 {
 		return true
 	}
-	answered := !r.detector.LastAnswer().Add(contactSpan).Passed(r.now)
+	answered := !r.detector.LastAnswer().Add(peerContactTTL).Passed(r.now)
 	return answered || !r.isolation.platformDeadline.Passed(r.now)
 }
 
-func (r *Reducer) isolationTick() {
+func (r *Reducer) updateIsolation() {
 	if r.inContact() {
-		r.isolation.since = timekeeper.Never
-	} else if r.isolation.since == timekeeper.Never {
-		r.isolation.since = r.now
+		r.isolation.lostContactSince = timekeeper.Never
+	} else if r.isolation.lostContactSince == timekeeper.Never {
+		r.isolation.lostContactSince = r.now
 	}
 }
 
-// mayOpen reports whether this host may take new work.
-func (r *Reducer) mayOpen() bool {
+// acceptsNewWork reports whether this host may take new work.
+func (r *Reducer) acceptsNewWork() bool {
 	if r.inContact() {
 		return true
 	}
-	since := r.isolation.since
-	return since != timekeeper.Never && since.Add(isolationSpan).Passed(r.now)
+	since := r.isolation.lostContactSince
+	return since != timekeeper.Never && since.Add(isolationTimeout).Passed(r.now)
 }
 
-// isolated reports whether the lack of contact has lasted so long that waiting
+// isIsolated reports whether the lack of contact has lasted so long that waiting
 // for it is of no use.
-func (r *Reducer) isolated() bool {
-	since := r.isolation.since
-	return !r.mayOpen() && since != timekeeper.Never && since.Add(hopelessSpan).Passed(r.now)
+func (r *Reducer) isIsolated() bool {
+	since := r.isolation.lostContactSince
+	return !r.acceptsNewWork() && since != timekeeper.Never && since.Add(futileWaitAfter).Passed(r.now)
 }
--- a/core/reducer/joining.go
+++ b/core/reducer/joining.go
@@ -7,68 +7,68 @@
 	"cranberryspan.dev/core/timekeeper"
 )
 
-// joining is how far a host has come on its way to owning flows.
-type joining struct {
-	since timekeeper.Instant
-	// doneFrom names the hosts whose records have come, with the time.
-	doneFrom map[string]timekeeper.Instant
-	// powerlessDone says that some of these hosts held no quorum.
-	powerlessDone bool
-	// expected names hosts that others said were alive.
-	expected map[string]bool
-	// over says that the host is ready; actDeadline is when it may act.
-	over        bool
+// joinState is how far a host has come on its way to owning flows.
+type joinState struct {
+	startedAt timekeeper.Instant
+	// recordsFrom names the hosts whose records have come, with the time.
+	recordsFrom map[string]timekeeper.Instant
+	// recordsLackQuorum says that some of these hosts held no quorum.
+	recordsLackQuorum bool
+	// expectedPeers names hosts that others said were alive.
+	expectedPeers map[string]bool
+	// ready says that the host is ready; actDeadline is when it may act.
+	ready       bool
 	readyAt     timekeeper.Instant
 	actDeadline timekeeper.Instant
-	// uncertainDeadline is until when requests from before the start may be
+	// uncertaintyDeadline is until when requests from before the start may be
 	// repeated whose identities nobody could hand over.
-	uncertainDeadline timekeeper.Instant
+	uncertaintyDeadline timekeeper.Instant
 }
 
-func newJoining(now timekeeper.Instant) joining {
-	return joining{since: now, doneFrom: map[string]timekeeper.Instant{}, expected: map[string]bool{}}
+func newJoinState(now timekeeper.Instant) joinState {
+	return joinState{startedAt: now, recordsFrom: map[string]timekeeper.Instant{}, expectedPeers: map[string]bool{}}
 }
 
 // mayAct reports whether the host has waited, after it became ready, until
 // every vote that others got without knowing so has run out.
-func (j *joining) mayAct(now timekeeper.Instant) bool {
-	return j.over && j.actDeadline.Passed(now)
+func (j *joinState) mayAct(now timekeeper.Instant) bool {
+	return j.ready && j.actDeadline.Passed(now)
 }
 
 // hasRecordsOf reports whether the records of a host have come; true for no host.
-func (j *joining) hasRecordsOf(host string) bool {
+func (j *joinState) hasRecordsOf(host string) bool {
 	if host == "" {
-		return len(j.doneFrom) > 0
+		return len(j.recordsFrom) > 0
 	}
-	_, ok := j.doneFrom[host]
+	_, ok := j.recordsFrom[host]
 	return ok
 }
 
 // rejoin starts over after the host lost its place while it was paused.
 func (r *Reducer) rejoin() {
 	r.log("hostRejoins")
-	r.joining = newJoining(r.now)
-	clear(r.handedTo)
+	r.joining = newJoinState(r.now)
+	clear(r.handedOverTo)
 	clear(r.handovers)
-	for i := range r.held {
-		r.held[i].unsentBy = hostStart{} // Another host may have run it meanwhile.
+	for i := range r.heldPackets {
+		r.heldPackets[i].unsentBy = hostIncarnation{} // Another host may have run it meanwhile.
 	}
 	for _, q := range r.active {
 		if q.nonIdempotent() && (q.state == stateQueued || q.state == stateWitnessing) {
 			// Another host may have run it meanwhile.
-			r.leave(q)
-			q.state = stateOrphan
+			r.releaseSlot(q)
+			q.state = stateInDoubt
 		}
 	}
 }
 
-// joinTick moves a joining host on: to ready when every live host of its cell
+// advanceJoin moves a joining host on: to ready when every live host of its cell
 // has handed over, or when the whole cell has nothing to hand over.
-func (r *Reducer) joinTick() {
-	if r.joining.over || r.shutdown {
+func (r *Reducer) advanceJoin() {
+	if r.joining.ready || r.shuttingDown {
 		return
 	}
-	if r.joining.since.Add(r.exchangeLifetime()).Passed(r.now) && r.detector.Phase() == messenger.PhaseJoining {
+	if r.joining.startedAt.Add(r.maxExchangeLifetime()).Passed(r.now) && r.detector.Phase() == messenger.PhaseJoining {
 		r.detector.SetPhase(messenger.PhaseWaited)
 	}
 	if r.recordsComplete() {
@@ -81,18 +81,18 @@
 }
 
 func (r *Reducer) recordsComplete() bool {
-	if len(r.joining.doneFrom) == 0 || r.joining.powerlessDone {
+	if len(r.joining.recordsFrom) == 0 || r.joining.recordsLackQuorum {
 		return false
 	}
 	for _, name := range r.detector.Cell() {
 		if name == r.self {
 			continue
 		}
-		_, done := r.joining.doneFrom[name]
+		_, done := r.joining.recordsFrom[name]
 		state := r.detector.State(name)
 		alive := state.Liveness == messenger.LivenessAlive || state.Liveness == messenger.LivenessSuspect
 		owning := state.Phase == messenger.PhaseReady || state.Phase == messenger.PhaseLeaving
-		if !done && ((alive && owning) || (r.joining.expected[name] && state.Liveness != messenger.LivenessDead && !r.hasLeft(state) && !isJoining(state))) {
+		if !done && ((alive && owning) || (r.joining.expectedPeers[name] && state.Liveness != messenger.LivenessDead && !r.hasLeft(state) && !isJoining(state))) {
 			return false
 		}
 	}
@@ -106,7 +106,7 @@
 		if name == r.self || !r.detector.State(name).HeldQuorum {
 			continue
 		}
-		if _, done := r.joining.doneFrom[name]; !done {
+		if _, done := r.joining.recordsFrom[name]; !done {
 			return true
 		}
 	}
@@ -114,7 +114,7 @@
 }
 
 func (r *Reducer) becomeReady() {
-	r.joining.over = true
+	r.joining.ready = true
 	r.joining.readyAt = r.now
 	r.joining.actDeadline = r.now.Add(r.detector.LeaseDuration())
 	r.detector.SetPhase(messenger.PhaseReady)
@@ -123,22 +123,22 @@
 
 // Ready reports whether the host has joined and may act as an owner.
 func (r *Reducer) Ready() bool {
-	return r.settings != nil && r.joining.mayAct(r.now) && !r.shutdown
+	return r.settings != nil && r.joining.mayAct(r.now) && !r.shuttingDown
 }
 
 // Accepting reports whether the fabric should hand packets to this host. A host
 // that joins takes packets already: it forwards them, and serves what may run
 // twice. An isolated host withdraws, since others can do more.
 func (r *Reducer) Accepting() bool {
-	return r.settings != nil && !r.shutdown && !r.isolated() && r.knowsOthers()
+	return r.settings != nil && !r.shuttingDown && !r.isIsolated() && r.hasDiscoveredPeers()
 }
 
-// acquaintanceSpan is how long a host that starts waits to hear the others: two
+// peerDiscoveryTimeout is how long a host that starts waits to hear the others: two
 // rounds of heartbeats, and the pause after which others dial it again. Those
 // that are down stay unheard.
-const acquaintanceSpan = time.Second
+const peerDiscoveryTimeout = time.Second
 
-// knowsOthers reports whether this host knows how the others are, or has waited
+// hasDiscoveredPeers reports whether this host knows how the others are, or has waited
 // for them long enough.
 //
 // What goes wrong otherwise: a host that has heard nobody takes itself for the
@@ -146,8 +146,8 @@
 // the owners of their flows, which sent the requests, wait for them until their
 // deadline with a place at the target taken. One notices by uploads that are
 // answered "unknown" while hosts are replaced.
-func (r *Reducer) knowsOthers() bool {
-	if r.startedAt.Add(acquaintanceSpan).Passed(r.now) {
+func (r *Reducer) hasDiscoveredPeers() bool {
+	if r.startedAt.Add(peerDiscoveryTimeout).Passed(r.now) {
 		return true
 	}
 	for _, name := range r.detector.Others() {
--- a/core/reducer/leaving.go
+++ b/core/reducer/leaving.go
@@ -22,13 +22,13 @@
 
 // beginLeaving starts to hand every flow over, while still acting on them.
 func (r *Reducer) beginLeaving() {
-	if r.shutdown {
+	if r.shuttingDown {
 		return
 	}
-	r.shutdown = true
+	r.shuttingDown = true
 	r.log("hostLeaving")
-	if r.settings == nil || !r.joining.over {
-		r.end()
+	if r.settings == nil || !r.joining.ready {
+		r.finishLeaving()
 		return
 	}
 	r.detector.SetPhase(messenger.PhaseLeaving)
@@ -39,23 +39,23 @@
 func (r *Reducer) startLeavingHandovers() {
 	clear(r.handovers)
 	for _, name := range r.detector.Cell() {
-		if name != r.self && r.stays(name) {
+		if name != r.self && r.isStaying(name) {
 			r.startHandover(name, r.detector.Incarnation(), true)
 		}
 	}
 }
 
-// stays reports whether a host of the cell can take flows over for good.
-func (r *Reducer) stays(name string) bool {
+// isStaying reports whether a host of the cell can take flows over for good.
+func (r *Reducer) isStaying(name string) bool {
 	state := r.detector.State(name)
-	return r.takesPart(name, true) && state.Phase == messenger.PhaseReady && r.refusedBy[name] != state.Incarnation
+	return r.actsAsOwner(name, true) && state.Phase == messenger.PhaseReady && r.handoverRefusedBy[name] != state.Incarnation
 }
 
-// voteHolder returns the host that gets this host's votes when it leaves: the first
+// voteRecipient returns the host that gets this host's votes when it leaves: the first
 // of its cell that stays.
-func (r *Reducer) voteHolder() string {
+func (r *Reducer) voteRecipient() string {
 	for _, name := range r.detector.Cell() {
-		if name != r.self && r.stays(name) {
+		if name != r.self && r.isStaying(name) {
 			return name
 		}
 	}
@@ -63,69 +63,69 @@
 }
 
 // handoverRefused begins anew without a host that turned out to leave itself.
-func (r *Reducer) handoverRefused(from string, h *handoverOut) {
-	r.refusedBy[from] = r.detector.State(from).Incarnation
-	if h.last != nil {
-		r.detector.AcceptVotes(h.last.Votes, h.last.DeniedRecipients, r.now)
+func (r *Reducer) handoverRefused(from string, h *outgoingHandover) {
+	r.handoverRefusedBy[from] = r.detector.State(from).Incarnation
+	if h.unackedChunk != nil {
+		r.detector.AcceptVotes(h.unackedChunk.Votes, h.unackedChunk.DeniedRecipients, r.now)
 	}
 	r.startLeavingHandovers()
 }
 
-// leaveTick takes the next step of a leave when its time has come.
-func (r *Reducer) leaveTick() {
-	if !r.shutdown || r.ended || !r.joining.over {
+// advanceLeave takes the next step of a leave when its time has come.
+func (r *Reducer) advanceLeave() {
+	if !r.shuttingDown || r.ended || !r.joining.ready {
 		return
 	}
 	switch {
 	case r.detector.Phase() == messenger.PhaseLeft:
-		if r.leftDeadline.Passed(r.now) {
-			r.end()
+		if r.lingerDeadline.Passed(r.now) {
+			r.finishLeaving()
 		}
 	case !r.steppedDown:
 		r.stepDown()
-	case !r.pendingHandover(func(h *handoverOut) bool { return !h.acked }):
+	case !r.anyHandover(func(h *outgoingHandover) bool { return !h.acked }):
 		r.detector.SetPhase(messenger.PhaseLeft)
-		r.leftDeadline = r.now.Add(lingerSpan)
+		r.lingerDeadline = r.now.Add(lingerDuration)
 		r.log("hostLeft")
 	}
 }
 
 // stepDown stops acting, once everything but the last parts is handed over.
 func (r *Reducer) stepDown() {
-	if r.pendingHandover(func(h *handoverOut) bool { return h.last != nil || len(h.flows)+len(h.identities) > 0 }) {
+	if r.anyHandover(func(h *outgoingHandover) bool { return h.unackedChunk != nil || len(h.flows)+len(h.identities) > 0 }) {
 		return
 	}
-	if r.voteHolder() == "" && r.running() {
+	if r.voteRecipient() == "" && r.hasUnfinishedRequests() {
 		// The last host of a cell has nobody to hand over to, so it finishes
 		// what it has.
 		return
 	}
 	r.steppedDown = true
 	for _, name := range r.detector.Cell() {
-		if h := r.handovers[name]; h != nil && r.stays(name) {
-			r.sendChunk(name, h)
+		if h := r.handovers[name]; h != nil && r.isStaying(name) {
+			r.sendHandoverChunk(name, h)
 		}
 	}
 }
 
-// pendingHandover reports whether a handover to a host that stays meets a
+// anyHandover reports whether a handover to a host that stays meets a
 // condition.
-func (r *Reducer) pendingHandover(meets func(h *handoverOut) bool) bool {
+func (r *Reducer) anyHandover(matches func(h *outgoingHandover) bool) bool {
 	for _, name := range r.detector.Cell() {
-		if h := r.handovers[name]; h != nil && r.stays(name) && meets(h) {
+		if h := r.handovers[name]; h != nil && r.isStaying(name) && matches(h) {
 			return true
 		}
 	}
 	return false
 }
 
-func (r *Reducer) running() bool {
+func (r *Reducer) hasUnfinishedRequests() bool {
 	return slices.ContainsFunc(r.active, func(q *request) bool {
 		return q.state == stateSent || q.state == stateQueued || q.state == stateWitnessing
 	})
 }
 
-func (r *Reducer) end() {
+func (r *Reducer) finishLeaving() {
 	if !r.ended {
 		r.ended = true
 		r.emit(&Ended{})
--- a/core/reducer/leaving_test.go
+++ b/core/reducer/leaving_test.go
@@ -14,17 +14,17 @@
 // host is cut off or paused, or only one host has read the change; new work goes
 // on arriving at every host, and the paused host wakes with a full queue.
 // Cause: a host that goes on under settings that are no longer in force.
-func TestLeavingTargetGetsNoNewWork(t *testing.T) {
+func TestDrainingTargetGetsNoNewWork(t *testing.T) {
 	const after = 5 * time.Second
-	drained := sicily()
-	drained.Services[0].Draining = numbers(1, 7)
+	drained := threeZoneTree()
+	drained.Services[0].Draining = intRange(1, 7)
 	tests := []struct {
 		name   string
 		during func(f *driver.Fleet)
 		end    func(f *driver.Fleet)
 	}{
 		{"platform down after one read", func(f *driver.Fleet) {
-			f.Step(reducerTick)
+			f.Step(tickInterval)
 			f.PlatformDown = true
 		}, func(*driver.Fleet) {}},
 		{"leave seen by one host only", func(f *driver.Fleet) {
@@ -49,24 +49,24 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			f := newFleet(t, sicily())
-			establish(t, f, 60)
+			f := newFleet(t, threeZoneTree())
+			establishFlows(t, f, 60)
 			published := f.Now
 			f.Publish(drained.Document())
 			test.during(f)
 			for second := range 20 {
-				newWork(f, second)
+				sendNewWork(f, second)
 				f.Step(time.Second)
 			}
 			test.end(f)
 			for second := range 6 {
-				newWork(f, 100+second)
+				sendNewWork(f, 100+second)
 				f.Step(time.Second)
 			}
 			given := 0
 			for _, p := range f.Sent {
 				draining := false
-				for _, n := range numbers(1, 7) {
+				for _, n := range intRange(1, 7) {
 					draining = draining || p.Target == driver.TargetAddress(n)
 				}
 				if draining && p.At > published.Add(after) && p.Packet.Flags.Has(messenger.FlagOpensFlow) {
@@ -78,11 +78,11 @@
 	}
 }
 
-// newWork brings new flows, and new requests of established flows.
-func newWork(f *driver.Fleet, round int) {
-	load(f, 30)
+// sendNewWork brings new flows, and new requests of established flows.
+func sendNewWork(f *driver.Fleet, round int) {
+	sendNewFlows(f, 30)
 	for n := range 60 {
-		f.Call("", call(n, 1, 1000+round), request(openRead))
+		f.Call("", requestID(n, 1, 1000+round), requestPacket(openRead))
 	}
 }
 
@@ -91,13 +91,13 @@
 // another host of the cell dead.
 // Cause: a host that ends before its requests have, or whose answers come to
 // hosts that know nothing of them.
-func TestGracefulShutdownCutsNothing(t *testing.T) {
-	drained := sicily()
-	drained.Services[0].Draining = numbers(1, 7)
+func TestGracefulShutdownLosesNoRequests(t *testing.T) {
+	drained := threeZoneTree()
+	drained.Services[0].Draining = intRange(1, 7)
 	for _, dead := range []string{"", "a2", "b1"} {
 		t.Run("dead "+dead, func(t *testing.T) {
-			f := newFleet(t, sicily())
-			for _, n := range numbers(1, 14) {
+			f := newFleet(t, threeZoneTree())
+			for _, n := range intRange(1, 14) {
 				f.Target(driver.TargetAddress(n)).Work = 600 * time.Millisecond
 			}
 			if dead != "" {
@@ -105,7 +105,7 @@
 				f.Step(5 * time.Second)
 			}
 			const flows = 20
-			homes := establish(t, f, flows)
+			targets := establishFlows(t, f, flows)
 			number := 0
 			burst := func() {
 				number++
@@ -114,7 +114,7 @@
 					if n%2 == 0 {
 						flags = openRead
 					}
-					f.Call("", call(n, 1, 5000+number), request(flags))
+					f.Call("", requestID(n, 1, 5000+number), requestPacket(flags))
 				}
 				f.Step(50 * time.Millisecond)
 			}
@@ -130,12 +130,12 @@
 			f.Step(3 * time.Second)
 			for i := 1; i <= number; i++ {
 				for n := range flows {
-					require.True(t, answered(f, call(n, 1, 5000+i)), "request %d of caller %d", i, n)
+					require.True(t, answered(f, requestID(n, 1, 5000+i)), "request %d of caller %d", i, n)
 				}
 			}
 			requireAtMostOnce(t, f)
 			require.Empty(t, f.Replies, "no caller was refused")
-			requireAtHome(t, f, homes, 9000)
+			requireSameTargets(t, f, targets, 9000)
 		})
 	}
 }
@@ -147,7 +147,7 @@
 // Cause: votes that changed hands could not be cast until all older ones were
 // over, so that for a while no host of the cell had a quorum.
 func TestRollingReplacementRefusesNothing(t *testing.T) {
-	tree := sicily()
+	tree := threeZoneTree()
 	tree.Zones = []int{2, 3}
 	f := newFleet(t, tree)
 	const flows = 40
@@ -155,7 +155,7 @@
 	burst := func() {
 		number++
 		for n := range flows {
-			f.Call("", call(n, 1, number), request(openWrite))
+			f.Call("", requestID(n, 1, number), requestPacket(openWrite))
 		}
 		f.Step(40 * time.Millisecond)
 	}
@@ -173,7 +173,7 @@
 	require.Empty(t, f.Replies)
 	for i := 1; i <= number; i++ {
 		for n := range flows {
-			require.True(t, answered(f, call(n, 1, i)), "request %d of caller %d", i, n)
+			require.True(t, answered(f, requestID(n, 1, i)), "request %d of caller %d", i, n)
 		}
 	}
 	requireAtMostOnce(t, f)
@@ -185,8 +185,8 @@
 // passes reads and blocks on itself; their answers go to the flows' owners.
 // Cause: the host waited for these answers and kept their places at the targets
 // taken, so that later blocks queued until their deadline, or went elsewhere.
-func TestHostWithoutPeersKeepsNoPlacesTaken(t *testing.T) {
-	tree := sicily()
+func TestHostWithoutPeersReleasesTargetSlots(t *testing.T) {
+	tree := threeZoneTree()
 	tree.Defaults = []string{"exchangeLifetime: 10s", "flowMemory: 5m", "slots: 1"}
 	f := newFleet(t, tree)
 	f.Kill("a1")
@@ -195,18 +195,18 @@
 	f.Step(5 * time.Millisecond)
 	const flows = 60
 	for n := range flows {
-		f.Call("a1", call(n, 2, 1), request(openRead|isBlock))
+		f.Call("a1", requestID(n, 2, 1), requestPacket(openRead|block))
 	}
 	f.Step(500 * time.Millisecond)
 	for n := range flows {
-		f.Call("a1", call(n, 2, 2), request(repeats|isBlock))
+		f.Call("a1", requestID(n, 2, 2), requestPacket(idempotent|block))
 		f.Step(20 * time.Millisecond)
 	}
 	f.Step(time.Second)
 	for n := range flows {
-		require.True(t, answered(f, call(n, 2, 1)), "first block of flow %d", n)
-		require.True(t, answered(f, call(n, 2, 2)), "second block of flow %d", n)
-		require.Equal(t, targetOf(t, f, call(n, 2, 1)), targetOf(t, f, call(n, 2, 2)), "flow %d", n)
+		require.True(t, answered(f, requestID(n, 2, 1)), "first block of flow %d", n)
+		require.True(t, answered(f, requestID(n, 2, 2)), "second block of flow %d", n)
+		require.Equal(t, targetOf(t, f, requestID(n, 2, 1)), targetOf(t, f, requestID(n, 2, 2)), "flow %d", n)
 	}
 	f.Step(6 * time.Second)
 	require.Empty(t, f.Replies)
@@ -216,8 +216,8 @@
 // before it has heard any other; it takes itself for the only one and delivers
 // them. Cause: the flows' owners never see these answers and keep the places
 // taken until their requests' deadline.
-func TestStartingHostTakesNoPacketsBeforeItKnowsTheOthers(t *testing.T) {
-	tree := sicily()
+func TestStartingHostAcceptsNoPacketsBeforePeerDiscovery(t *testing.T) {
+	tree := threeZoneTree()
 	tree.Defaults = []string{"exchangeLifetime: 10s", "flowMemory: 5m", "slots: 2"}
 	f := newFleet(t, tree)
 	f.Kill("a1")
@@ -232,14 +232,14 @@
 		}
 		number++
 		for n := range flows {
-			f.Call("", call(n, 2, number), request(openRead|isBlock))
+			f.Call("", requestID(n, 2, number), requestPacket(openRead|block))
 		}
 		f.Step(40 * time.Millisecond)
 	}
 	f.Step(time.Second)
 	for i := 1; i <= number; i++ {
 		for n := range flows {
-			require.True(t, answered(f, call(n, 2, i)), "request %d of caller %d", i, n)
+			require.True(t, answered(f, requestID(n, 2, i)), "request %d of caller %d", i, n)
 		}
 	}
 	f.Step(6 * time.Second)
@@ -254,14 +254,14 @@
 // successor hands its records over to the same host, the check's identity among them.
 // Cause: the joining host takes the check for one that may have run, and waits for
 // an answer that nobody will give.
-func TestUnsentRequestIsRunThoughItsIdentityComesToo(t *testing.T) {
-	tree := sicily()
+func TestUnsentRequestRunsDespiteWitnessedIdentity(t *testing.T) {
+	tree := threeZoneTree()
 	tree.Zones = []int{3}
 	tree.Defaults = []string{"exchangeLifetime: 10s", "flowMemory: 5m", "slots: 500"}
 	f := newFleet(t, tree)
 	var joining []int // The callers whose flows a host owns that joins below.
 	for n := range 8000 {
-		if ownerOf(f, call(n, 1, 1), 1) == "a3" {
+		if ownerOf(f, requestID(n, 1, 1), 1) == "a3" {
 			joining = append(joining, n)
 		}
 	}
@@ -270,20 +270,20 @@
 	f.Step(time.Second)
 	var checks []int
 	for _, n := range joining {
-		if ownerOf(f, call(n, 1, 1), 1) == "a2" {
+		if ownerOf(f, requestID(n, 1, 1), 1) == "a2" {
 			checks = append(checks, n)
 			continue
 		}
 		// The other owner has more records, so it hands over later.
-		f.Call("a1", call(n, 1, 1), request(openRead))
-		f.Step(reducerTick / 10)
+		f.Call("a1", requestID(n, 1, 1), requestPacket(openRead))
+		f.Step(tickInterval / 10)
 	}
 	f.Start("a3")
 	number := 1
 	for !f.Reducer("a3").Ready() {
 		number++
 		for ms := range 20 {
-			f.CallAfter(time.Duration(ms)*time.Millisecond, "a2", call(checks[ms], 1, number), request(openWrite))
+			f.CallAfter(time.Duration(ms)*time.Millisecond, "a2", requestID(checks[ms], 1, number), requestPacket(openWrite))
 		}
 		f.Step(20 * time.Millisecond)
 	}
@@ -295,7 +295,7 @@
 	}
 	for i := 2; i <= number; i++ {
 		for ms := range 20 {
-			require.True(t, answered(f, call(checks[ms], 1, i)), "request %d of caller %d", i, ms)
+			require.True(t, answered(f, requestID(checks[ms], 1, i)), "request %d of caller %d", i, ms)
 		}
 	}
 	requireAtMostOnce(t, f)
--- a/core/reducer/once_test.go
+++ b/core/reducer/once_test.go
@@ -13,17 +13,17 @@
 // Symptom: a commitment is booked twice.
 // Sequence: copies of one datagram reach different hosts at the same moment.
 // Cause: each host takes its copy for a request of its own.
-func TestCopiesAtManyHostsRunOnce(t *testing.T) {
-	f := newFleet(t, sicily())
+func TestDuplicatesAtManyHostsRunOnce(t *testing.T) {
+	f := newFleet(t, threeZoneTree())
 	for n := range 50 {
 		for _, host := range f.Names() {
-			f.Call(host, call(n, 1, 1), request(openWrite))
+			f.Call(host, requestID(n, 1, 1), requestPacket(openWrite))
 		}
 	}
 	f.Step(time.Second)
 	for n := range 50 {
-		require.Equal(t, 1, f.Runs(call(n, 1, 1)))
-		require.True(t, answered(f, call(n, 1, 1)))
+		require.Equal(t, 1, f.Runs(requestID(n, 1, 1)))
+		require.True(t, answered(f, requestID(n, 1, 1)))
 	}
 }
 
@@ -31,14 +31,14 @@
 // Sequence: the owner sends checks and dies; callers repeat the datagrams, at
 // every moment until the owner is given up and after that.
 // Cause: the next owner has no record of what the dead one sent.
-func TestRepeatAfterTheOwnerDiedRunsOnce(t *testing.T) {
+func TestRetransmissionAfterOwnerFailureRunsOnce(t *testing.T) {
 	for _, victims := range [][]string{{"a1"}, {"a2"}, {"c1"}, {"a1", "a2"}, {"a1", "b1", "c1"}} {
 		t.Run(fmt.Sprint(victims), func(t *testing.T) {
-			f := newFleet(t, sicily())
+			f := newFleet(t, threeZoneTree())
 			const flows = 150
 			for n := range flows {
-				f.Call("", call(n, 1, 1), request(openWrite))
-				f.Step(reducerTick)
+				f.Call("", requestID(n, 1, 1), requestPacket(openWrite))
+				f.Step(tickInterval)
 				if n == flows/2 {
 					for _, name := range victims {
 						f.Kill(name)
@@ -47,7 +47,7 @@
 			}
 			for range 20 {
 				for n := range flows {
-					f.Call("", call(n, 1, 1), request(openWrite))
+					f.Call("", requestID(n, 1, 1), requestPacket(openWrite))
 				}
 				f.Step(300 * time.Millisecond)
 			}
@@ -56,16 +56,16 @@
 	}
 }
 
-const reducerTick = 20 * time.Millisecond
+const tickInterval = 20 * time.Millisecond
 
 // Symptom: a commitment is booked twice after a host hung for a while.
 // Sequence: the owner is paused with datagrams waiting; another host takes its
 // flows over and runs the callers' repeats; the owner wakes and goes on.
 // Cause: a host that does not notice that it slept.
-func TestPausedOwnerWakesAndRunsNothingAgain(t *testing.T) {
+func TestResumedOwnerRunsNothingTwice(t *testing.T) {
 	for _, pause := range []time.Duration{500 * time.Millisecond, 1500 * time.Millisecond, 2600 * time.Millisecond, 5 * time.Second, 30 * time.Second} {
 		t.Run(pause.String(), func(t *testing.T) {
-			f := newFleet(t, sicily())
+			f := newFleet(t, threeZoneTree())
 			const flows = 150
 			// Callers repeat a request for 8 s, less than the exchange lifetime.
 			began := f.Now
@@ -74,12 +74,12 @@
 			f.Pause("b2")
 			for n := range flows {
 				for range 3 {
-					f.Call("", call(n, 1, 1), request(openWrite))
+					f.Call("", requestID(n, 1, 1), requestPacket(openWrite))
 				}
 			}
 			repeat := func() {
 				for n := range flows {
-					f.Call("", call(n, 1, number()), request(openWrite))
+					f.Call("", requestID(n, 1, number()), requestPacket(openWrite))
 				}
 				f.Step(250 * time.Millisecond)
 			}
@@ -100,16 +100,16 @@
 // Sequence: a zone, a host or half of a cell is cut off; copies of a datagram
 // reach both sides; the cut heals.
 // Cause: both sides take themselves for the owner.
-func TestTwoSidesOfAPartitionRunOnce(t *testing.T) {
+func TestPartitionRunsRequestsOnce(t *testing.T) {
 	groups := [][]string{{"a1", "a2", "a3"}, {"a1"}, {"a3"}, {"a1", "b1", "c1"}, {"c1"}, {"c2"}, {"a1", "a2", "b1", "c2"}}
 	for _, group := range groups {
 		t.Run(fmt.Sprint(group), func(t *testing.T) {
-			f := newFleet(t, sicily())
+			f := newFleet(t, threeZoneTree())
 			f.Split(group...)
 			repeat := func(from, to int) {
 				for n := from; n < to; n++ {
 					for _, host := range f.Names() {
-						f.Call(host, call(n, 1, 1), request(openWrite))
+						f.Call(host, requestID(n, 1, 1), requestPacket(openWrite))
 					}
 				}
 				f.Step(300 * time.Millisecond)
@@ -124,7 +124,7 @@
 			requireAtMostOnce(t, f)
 			ran := 0
 			for n := range 100 {
-				ran += f.Runs(call(n, 1, 1))
+				ran += f.Runs(requestID(n, 1, 1))
 			}
 			require.Positive(t, ran, "something is served on one side at least")
 		})
@@ -135,7 +135,7 @@
 // Sequence: hosts leave and join, one of them while another is paused or dies,
 // and callers repeat all the while.
 // Cause: records that are on their way while both hosts act.
-func TestRepeatsDuringHandoverRunOnce(t *testing.T) {
+func TestRetransmissionsDuringHandoverRunOnce(t *testing.T) {
 	disturb := map[string]func(f *driver.Fleet){
 		"nothing else":       func(*driver.Fleet) {},
 		"a host dies":        func(f *driver.Fleet) { f.Kill("a3") },
@@ -146,15 +146,15 @@
 	}
 	for name, disturbance := range disturb {
 		t.Run(name, func(t *testing.T) {
-			f := newFleet(t, sicily())
+			f := newFleet(t, threeZoneTree())
 			const flows = 60
 			number := 0
 			repeat := func(rounds int) {
 				for range rounds {
 					number++
 					for n := range flows {
-						f.Call("", call(n, 1, 1+number/8), request(openWrite))
-						f.Call("", call(n, 1, 1+number/8), request(openWrite))
+						f.Call("", requestID(n, 1, 1+number/8), requestPacket(openWrite))
+						f.Call("", requestID(n, 1, 1+number/8), requestPacket(openWrite))
 					}
 					f.Step(60 * time.Millisecond)
 				}
@@ -181,19 +181,19 @@
 // them and the host that stays is cut for a moment; found by the fuzz.
 // Cause: each of the two handed flows to the other, and one took the other for
 // gone when it had only got its part.
-func TestTwoHostsOfACellLeaveAtOnce(t *testing.T) {
+func TestTwoHostsOfCellLeaveTogether(t *testing.T) {
 	type variant struct {
 		cut   [2]string
 		later time.Duration
 	}
 	variants := []variant{{cut: [2]string{"a1", "a2"}}, {cut: [2]string{"a2", "a3"}}, {cut: [2]string{"a1", "a3"}}}
 	for ticks := range 5 {
-		variants = append(variants, variant{later: time.Duration(ticks) * reducerTick})
+		variants = append(variants, variant{later: time.Duration(ticks) * tickInterval})
 	}
 	for _, v := range variants {
 		t.Run(fmt.Sprint(v.cut, v.later), func(t *testing.T) {
 			cut := v.cut
-			f := newFleet(t, sicily())
+			f := newFleet(t, threeZoneTree())
 			f.Cut(cut[0], cut[1])
 			f.Step(time.Second)
 			f.Shutdown("a2")
@@ -202,15 +202,15 @@
 			const flows = 40
 			for number := 1; number <= 3; number++ {
 				for n := range flows {
-					f.Call("", call(n, 1, number), request(openWrite))
+					f.Call("", requestID(n, 1, number), requestPacket(openWrite))
 				}
-				f.Step(reducerTick)
+				f.Step(tickInterval)
 			}
 			f.Heal(cut[0], cut[1])
 			for range 50 {
 				for number := 1; number <= 3; number++ {
 					for n := range flows {
-						f.Call("", call(n, 1, number), request(openWrite))
+						f.Call("", requestID(n, 1, number), requestPacket(openWrite))
 					}
 				}
 				f.Step(100 * time.Millisecond)
@@ -219,11 +219,11 @@
 			require.True(t, f.Ended("a2"))
 			requireAtMostOnce(t, f)
 			for n := range flows {
-				f.Call("", call(n, 1, 9), request(openWrite))
+				f.Call("", requestID(n, 1, 9), requestPacket(openWrite))
 			}
 			f.Step(2 * time.Second)
 			for n := range flows {
-				require.Equal(t, 1, f.Runs(call(n, 1, 9)), "the cell goes on with the host that stays")
+				require.Equal(t, 1, f.Runs(requestID(n, 1, 9)), "the cell goes on with the host that stays")
 			}
 		})
 	}
@@ -235,19 +235,19 @@
 // requests to finish, hears that the second has left, and acts on its flows;
 // found by the fuzz.
 // Cause: a host that left is not the same as a host that handed over to us.
-func TestLastHostDoesNotActOnRecordsItNeverGot(t *testing.T) {
+func TestLastHostDoesNotActOnUnreceivedRecords(t *testing.T) {
 	orders := [][]string{{"a1", "a2", "a3"}, {"a1", "a3", "a2"}, {"a2", "a1", "a3"}, {"a2", "a3", "a1"}, {"a3", "a1", "a2"}, {"a3", "a2", "a1"}}
 	for _, order := range orders {
 		for ticks := range 3 {
 			t.Run(fmt.Sprint(order, ticks), func(t *testing.T) {
-				f := newFleet(t, sicily())
-				for _, n := range numbers(1, 14) {
+				f := newFleet(t, threeZoneTree())
+				for _, n := range intRange(1, 14) {
 					f.Target(driver.TargetAddress(n)).Work = 1500 * time.Millisecond
 				}
 				ask := func(numbers int) {
 					for number := 1; number <= numbers; number++ {
 						for n := range 60 {
-							f.Call("", call(n, 1, number), request(openWrite))
+							f.Call("", requestID(n, 1, number), requestPacket(openWrite))
 						}
 					}
 				}
@@ -256,7 +256,7 @@
 				for i, name := range order {
 					f.Shutdown(name)
 					ask(i + 2)
-					f.Step(time.Duration(ticks) * reducerTick)
+					f.Step(time.Duration(ticks) * tickInterval)
 				}
 				for range 40 {
 					ask(4)
@@ -273,13 +273,13 @@
 // Sequence: one link inside a cell breaks; both ends reach the third host.
 // Cause: an owner that waits for a successor it can't reach, and a host that
 // can't hand a packet to its owner.
-func TestOneBrokenLinkInACellRefusesNothing(t *testing.T) {
-	f := newFleet(t, sicily())
+func TestSingleLinkFailureInCellRefusesNothing(t *testing.T) {
+	f := newFleet(t, threeZoneTree())
 	f.Cut("a1", "a3")
 	const flows = 200
 	ask := func(number int) {
 		for n := range flows {
-			f.Call("", call(n, 1, number), request(openWrite))
+			f.Call("", requestID(n, 1, number), requestPacket(openWrite))
 		}
 		f.Step(3 * time.Second)
 	}
@@ -288,14 +288,14 @@
 	ask(3)
 	for number := 2; number <= 3; number++ {
 		for n := range flows {
-			require.True(t, answered(f, call(n, 1, number)), "request %d of caller %d", number, n)
+			require.True(t, answered(f, requestID(n, 1, number)), "request %d of caller %d", number, n)
 		}
 	}
 	f.Heal("a1", "a3")
 	f.Step(5 * time.Second)
 	ask(4)
 	for n := range flows {
-		require.True(t, answered(f, call(n, 1, 4)))
+		require.True(t, answered(f, requestID(n, 1, 4)))
 	}
 	requireAtMostOnce(t, f)
 }
--- a/core/reducer/permission.go
+++ b/core/reducer/permission.go
@@ -8,7 +8,7 @@
 	"cranberryspan.dev/core/placer"
 )
 
-// permission says whether this host may run a request that must run only once.
+// checkPermission says whether this host may run a request that must run only once.
 type permission uint8
 
 const (
@@ -22,7 +22,7 @@
 	permissionUncertain
 )
 
-// permission checks the right to run requests of a bucket.
+// checkPermission checks the right to run requests of a bucket.
 //
 // What goes wrong without it: a caller's datagram is repeated, the copies reach
 // two hosts, and both take themselves for the owner, because one of them was
@@ -32,11 +32,11 @@
 // host that ranks higher has left, or a quorum gave it up for good. And this
 // host holds the identities of all requests that ran within the time for which
 // callers repeat them; where it does not, it says that the outcome is unknown.
-func (r *Reducer) permission(bucket placer.Bucket, s *service) permission {
+func (r *Reducer) checkPermission(bucket placer.Bucket, s *service) permission {
 	if r.cells.Home(bucket) != r.ownCell || !r.joining.mayAct(r.now) || r.steppedDown {
 		return permissionWait
 	}
-	if r.behind() || !r.detector.HasQuorum(r.now) {
+	if r.settingsOutdated() || !r.detector.HasQuorum(r.now) {
 		return permissionWait
 	}
 	order := r.rankers[r.ownCell].Rank(bucket)
@@ -49,38 +49,38 @@
 		}
 		state := r.detector.State(name)
 		switch {
-		case r.leftElsewhere(state, s.settings.Policy.ExchangeLifetime):
+		case r.leftWithoutHandover(state, s.settings.Policy.ExchangeLifetime):
 			return permissionUncertain
 		case r.hasLeft(state):
 			continue
 		case state.Liveness == messenger.LivenessDead && r.detector.ConfirmedDead(name):
-		case isJoining(state) && r.handedTo[name] != state.Incarnation:
+		case isJoining(state) && r.handedOverTo[name] != state.Incarnation:
 		default:
 			return permissionWait
 		}
-		if r.lostLately(state, s.settings.Policy.ExchangeLifetime) {
+		if r.lostStateRecently(state, s.settings.Policy.ExchangeLifetime) {
 			lost++
 		}
 	}
 	// A host that is lost alone had its identities held by the next one, which
 	// is this host. If two are lost, the one may have held the other's.
-	if lost > 1 || r.homeMoved(bucket) || !r.joining.uncertainDeadline.Passed(r.now) {
+	if lost > 1 || r.homeCellChanged(bucket) || !r.joining.uncertaintyDeadline.Passed(r.now) {
 		return permissionUncertain
 	}
 	return permissionGranted
 }
 
-// leftElsewhere reports whether a host left lately, while this host was ready,
+// leftWithoutHandover reports whether a host left lately, while this host was ready,
 // and gave its records to others only, since it believed this host to be dead.
-func (r *Reducer) leftElsewhere(state detector.State, window time.Duration) bool {
+func (r *Reducer) leftWithoutHandover(state detector.State, window time.Duration) bool {
 	return state.Phase == messenger.PhaseLeft &&
-		r.leavingFrom[state.Host] != state.Incarnation &&
+		r.leaveHandoverFrom[state.Host] != state.Incarnation &&
 		state.LeftAt > r.joining.readyAt &&
 		!state.LeftAt.Add(window).Passed(r.now)
 }
 
-func (r *Reducer) lostLately(state detector.State, window time.Duration) bool {
-	return r.leftElsewhere(state, window) || (state.StateLostAt != 0 && !state.StateLostAt.Add(window).Passed(r.now))
+func (r *Reducer) lostStateRecently(state detector.State, window time.Duration) bool {
+	return r.leftWithoutHandover(state, window) || (state.StateLostAt != 0 && !state.StateLostAt.Add(window).Passed(r.now))
 }
 
 func isJoining(state detector.State) bool {
@@ -88,14 +88,14 @@
 }
 
 func (r *Reducer) hasLeft(state detector.State) bool {
-	return state.Phase == messenger.PhaseLeft || (state.Incarnation != 0 && r.leavingFrom[state.Host] == state.Incarnation)
+	return state.Phase == messenger.PhaseLeft || (state.Incarnation != 0 && r.leaveHandoverFrom[state.Host] == state.Incarnation)
 }
 
-// homeMoved reports whether a bucket had its home in another cell so recently
+// homeCellChanged reports whether a bucket had its home in another cell so recently
 // that requests from then may be repeated.
-func (r *Reducer) homeMoved(bucket placer.Bucket) bool {
-	if r.movedDeadline.Passed(r.now) {
+func (r *Reducer) homeCellChanged(bucket placer.Bucket) bool {
+	if r.homeMoveDeadline.Passed(r.now) {
 		return false
 	}
-	return r.earlierCells.Home(bucket) != r.cells.Home(bucket)
+	return r.previousCells.Home(bucket) != r.cells.Home(bucket)
 }
--- a/core/reducer/reducer.go
+++ b/core/reducer/reducer.go
@@ -25,8 +25,8 @@
 	"cranberryspan.dev/core/timekeeper"
 )
 
-// TickEvery is how often a host sends Tick events.
-const TickEvery = 20 * time.Millisecond
+// TickInterval is how often a host sends Tick events.
+const TickInterval = 20 * time.Millisecond
 
 // Config is what a reducer needs to know of its host.
 type Config struct {
@@ -38,9 +38,9 @@
 	Seed uint64
 	// Timing of failure detection; see detector.DefaultTiming.
 	Timing detector.Timing
-	// Seeds names hosts that may be asked for settings while the platform does
+	// SeedHosts names hosts that may be asked for settings while the platform does
 	// not answer; empty if none are known.
-	Seeds []string
+	SeedHosts []string
 	// Start is the present time.
 	Start timekeeper.Instant
 }
@@ -57,96 +57,96 @@
 	// compressedDocument is the document of compressedRevision, as peers get it.
 	compressedDocument []byte
 	compressedRevision uint64
-	rejected           uint64
+	rejectedRevision   uint64
 	ownCell            string
 	cells              placer.CellMap
 	cellSizes          map[string]int
 	rankers            map[string]placer.Ranker
-	// movedDeadline is until when requests from before a change of home cells
-	// may be repeated; earlierCells tells which buckets moved.
-	movedDeadline timekeeper.Instant
-	earlierCells  placer.CellMap
+	// homeMoveDeadline is until when requests from before a change of home cells
+	// may be repeated; previousCells tells which buckets moved.
+	homeMoveDeadline timekeeper.Instant
+	previousCells    placer.CellMap
 
-	detector   *detector.Detector
-	services   map[resolver.ServiceID]*service
-	serviceIDs []resolver.ServiceID
-	lastUse    map[netip.AddrPort]addressUse
+	detector    *detector.Detector
+	services    map[resolver.ServiceID]*service
+	serviceIDs  []resolver.ServiceID
+	addressUses map[netip.AddrPort]addressUse
 	// listedLeaving names hosts that the platform's list says are leaving.
 	listedLeaving map[string]bool
 
 	flows       *flowTable
 	dirtyShards int
 
-	requests map[uint64]*request
-	byToken  map[tokenKey]*request
-	active   []*request
-	spare    []*request
-	// tenantLoad counts the requests under way by tenant.
-	tenantLoad map[string]int
-	seeds      []string
-	held       []heldPacket
-	heldIDs    map[uint64]bool
+	requests     map[uint64]*request
+	byToken      map[tokenKey]*request
+	active       []*request
+	freeRequests []*request
+	// tenantInFlight counts the requests under way by tenant.
+	tenantInFlight map[string]int
+	seedHosts      []string
+	heldPackets    []heldPacket
+	heldIDs        map[uint64]bool
 
-	identities    identitySet
-	witnessed     witnessedSet
-	witnessLinks  map[string]*witnessLink
-	joining       joining
-	handovers     map[string]*handoverOut
-	sessions      uint64
-	handedTo      map[string]uint64
-	leavingFrom   map[string]uint64
-	refusedBy     map[string]uint64
-	tookVotes     map[string]handoverMark
-	steppedDown   bool
-	shutdown      bool
-	leftDeadline  timekeeper.Instant
-	ended         bool
-	watching      bool
-	askedDeadline timekeeper.Instant
-	prober        prober
-	copyTokens    float64
-	powerless     timekeeper.Instant
-	isolation     isolation
-	loadsDeadline map[string]timekeeper.Instant
+	identities          identitySet
+	witnessed           witnessedSet
+	witnessLinks        map[string]*witnessLink
+	joining             joinState
+	handovers           map[string]*outgoingHandover
+	lastHandoverSession uint64
+	handedOverTo        map[string]uint64
+	leaveHandoverFrom   map[string]uint64
+	handoverRefusedBy   map[string]uint64
+	votesAcceptedFrom   map[string]handoverID
+	steppedDown         bool
+	shuttingDown        bool
+	lingerDeadline      timekeeper.Instant
+	ended               bool
+	watching            bool
+	nextSettingsRequest timekeeper.Instant
+	prober              prober
+	copyTokens          float64
+	noQuorumSince       timekeeper.Instant
+	isolation           isolation
+	nextLoadReport      map[string]timekeeper.Instant
 
-	counts   [numReasons]uint64
-	effects  []Effect
-	toTarget []ToTarget
-	toCaller []ToCaller
-	toPeer   []ToPeer
-	forward  []messenger.Forward
+	counts      [numReasons]uint64
+	effects     []Effect
+	targetSends []ToTarget
+	callerSends []ToCaller
+	peerSends   []ToPeer
+	forwards    []messenger.Forward
 }
 
 // New makes the reducer of a host that has just started and knows nothing.
 func New(config Config) *Reducer {
 	r := &Reducer{
-		self:          config.Self,
-		now:           config.Start,
-		startedAt:     config.Start,
-		seeds:         config.Seeds,
-		random:        rand.New(rand.NewPCG(config.Seed, config.Incarnation)),
-		rankers:       map[string]placer.Ranker{},
-		services:      map[resolver.ServiceID]*service{},
-		lastUse:       map[netip.AddrPort]addressUse{},
-		listedLeaving: map[string]bool{},
-		flows:         newFlowTable(),
-		requests:      map[uint64]*request{},
-		byToken:       map[tokenKey]*request{},
-		tenantLoad:    map[string]int{},
-		heldIDs:       map[uint64]bool{},
-		identities:    newIdentitySet(),
-		witnessLinks:  map[string]*witnessLink{},
-		handovers:     map[string]*handoverOut{},
-		handedTo:      map[string]uint64{},
-		leavingFrom:   map[string]uint64{},
-		refusedBy:     map[string]uint64{},
-		tookVotes:     map[string]handoverMark{},
-		loadsDeadline: map[string]timekeeper.Instant{},
-		powerless:     config.Start,
+		self:              config.Self,
+		now:               config.Start,
+		startedAt:         config.Start,
+		seedHosts:         config.SeedHosts,
+		random:            rand.New(rand.NewPCG(config.Seed, config.Incarnation)),
+		rankers:           map[string]placer.Ranker{},
+		services:          map[resolver.ServiceID]*service{},
+		addressUses:       map[netip.AddrPort]addressUse{},
+		listedLeaving:     map[string]bool{},
+		flows:             newFlowTable(),
+		requests:          map[uint64]*request{},
+		byToken:           map[tokenKey]*request{},
+		tenantInFlight:    map[string]int{},
+		heldIDs:           map[uint64]bool{},
+		identities:        newIdentitySet(),
+		witnessLinks:      map[string]*witnessLink{},
+		handovers:         map[string]*outgoingHandover{},
+		handedOverTo:      map[string]uint64{},
+		leaveHandoverFrom: map[string]uint64{},
+		handoverRefusedBy: map[string]uint64{},
+		votesAcceptedFrom: map[string]handoverID{},
+		nextLoadReport:    map[string]timekeeper.Instant{},
+		noQuorumSince:     config.Start,
 	}
-	r.joining = newJoining(config.Start)
-	r.isolation.since = config.Start
-	r.detector = detector.New(config.Self, config.Incarnation, config.Seed, config.Timing, config.Start, r.decorate)
+	r.joining = newJoinState(config.Start)
+	r.isolation.lostContactSince = config.Start
+	r.detector = detector.New(config.Self, config.Incarnation, config.Seed, config.Timing, config.Start, r.extraPayload)
 	return r
 }
 
@@ -154,28 +154,28 @@
 // what they point to are valid until the next call.
 func (r *Reducer) Reduce(event Event) []Effect {
 	r.effects = r.effects[:0]
-	r.toTarget = r.toTarget[:0]
-	r.toCaller = r.toCaller[:0]
-	r.toPeer = r.toPeer[:0]
-	r.forward = r.forward[:0]
-	r.advance(*event.at())
+	r.targetSends = r.targetSends[:0]
+	r.callerSends = r.callerSends[:0]
+	r.peerSends = r.peerSends[:0]
+	r.forwards = r.forwards[:0]
+	r.advanceClock(*event.at())
 	switch event := event.(type) {
 	case *CallerPacket:
-		r.callerPacket(event)
+		r.handleCallerPacket(event)
 	case *TargetPacket:
-		r.targetPacket(event)
+		r.handleTargetPacket(event)
 	case *PeerMessage:
-		r.peerMessage(event)
+		r.handlePeerMessage(event)
 	case *SettingsPublished:
-		r.notePlatform()
-		r.settingsPublished(event.Revision, event.Document)
+		r.notePlatformContact()
+		r.handleSettingsPublished(event.Revision, event.Document)
 	case *HostsPublished:
-		r.notePlatform()
-		r.hostsPublished(event)
+		r.notePlatformContact()
+		r.handleHostsPublished(event)
 	case *ProbeAnswered:
-		r.probeAnswered(event)
+		r.handleProbeResponse(event)
 	case *Tick:
-		r.tick()
+		r.handleTick()
 	case *Shutdown:
 		r.beginLeaving()
 	}
@@ -185,12 +185,12 @@
 	return r.effects
 }
 
-// advance moves time forward; a clock never goes back, even if events were
+// advanceClock moves time forward; a clock never goes back, even if events were
 // stamped out of order.
-func (r *Reducer) advance(at timekeeper.Instant) {
+func (r *Reducer) advanceClock(at timekeeper.Instant) {
 	before := r.now
 	r.now = max(r.now, at)
-	r.noteTime(before, r.now)
+	r.detectPause(before, r.now)
 }
 
 func (r *Reducer) emit(effect Effect) { r.effects = append(r.effects, effect) }
@@ -200,93 +200,93 @@
 }
 
 func (r *Reducer) sendPeer(host string, body messenger.Body) {
-	r.toPeer = append(r.toPeer, ToPeer{Host: host, Body: body})
-	r.emit(&r.toPeer[len(r.toPeer)-1])
+	r.peerSends = append(r.peerSends, ToPeer{Host: host, Body: body})
+	r.emit(&r.peerSends[len(r.peerSends)-1])
 }
 
 func (r *Reducer) sendTarget(e ToTarget) {
-	r.toTarget = append(r.toTarget, e)
-	r.emit(&r.toTarget[len(r.toTarget)-1])
+	r.targetSends = append(r.targetSends, e)
+	r.emit(&r.targetSends[len(r.targetSends)-1])
 }
 
 func (r *Reducer) sendCaller(e ToCaller) {
-	r.toCaller = append(r.toCaller, e)
-	r.emit(&r.toCaller[len(r.toCaller)-1])
+	r.callerSends = append(r.callerSends, e)
+	r.emit(&r.callerSends[len(r.callerSends)-1])
 }
 
-func (r *Reducer) peerMessage(e *PeerMessage) {
+func (r *Reducer) handlePeerMessage(e *PeerMessage) {
 	switch body := e.Body.(type) {
 	case *messenger.Ping:
 		r.detector.Receive(e.From, body, r.now)
-		r.noteLoads(e.From, body.Heartbeat.InFlight, r.now)
+		r.updatePeerLoads(e.From, body.Heartbeat.InFlight, r.now)
 	case *messenger.Ack:
 		r.detector.Receive(e.From, body, r.now)
-		r.noteLoads(e.From, body.Heartbeat.InFlight, r.now)
+		r.updatePeerLoads(e.From, body.Heartbeat.InFlight, r.now)
 	case *messenger.PingRequest, *messenger.IndirectAck:
 		r.detector.Receive(e.From, body, r.now)
 	case *messenger.Forward:
 		r.detector.NoteRevision(e.From, body.SettingsRevision)
-		r.forwarded(body, e.Arrived)
+		r.handleForward(body, e.Arrived)
 	case *messenger.WitnessRequest:
-		r.witness(e.From, body)
+		r.handleWitness(e.From, body)
 	case *messenger.WitnessAck:
-		r.witnessAcked(e.From, body)
+		r.handleWitnessAck(e.From, body)
 	case *messenger.ProbeFailures:
-		r.takeVerdicts(e.From, body.FailingTargets)
+		r.handleProbeFailures(e.From, body.FailingTargets)
 	case *messenger.FlowRecords:
-		r.takeRecords(body.Records, true)
+		r.importFlowRecords(body.Records, true)
 	case *messenger.Handover:
-		r.takeHandover(e.From, body)
+		r.handleHandover(e.From, body)
 	case *messenger.HandoverAck:
-		r.handoverAcked(e.From, body)
+		r.handleHandoverAck(e.From, body)
 	case *messenger.SettingsRequest:
 		r.sendSettings(e.From, body.NewerThan)
 	case *messenger.SettingsDocument:
-		r.takeSettings(body)
+		r.handleSettingsDocument(body)
 	}
 	if r.detector.Rejoined() {
 		r.rejoin()
 	}
 }
 
-// decorate adds to a heartbeat what the detector does not know.
-func (r *Reducer) decorate(peer string) messenger.Heartbeat {
+// extraPayload adds to a heartbeat what the detector does not know.
+func (r *Reducer) extraPayload(peer string) messenger.Heartbeat {
 	const loadsEvery = 250 * time.Millisecond
 	news := messenger.Heartbeat{}
-	if r.loadsDeadline[peer].Passed(r.now) {
-		r.loadsDeadline[peer] = r.now.Add(loadsEvery)
-		news.InFlight = r.ownLoads()
+	if r.nextLoadReport[peer].Passed(r.now) {
+		r.nextLoadReport[peer] = r.now.Add(loadsEvery)
+		news.InFlight = r.inFlightLoads()
 	}
 	return news
 }
 
-func (r *Reducer) tick() {
+func (r *Reducer) handleTick() {
 	r.detector.Tick(r.now)
 	if r.settings == nil {
-		r.askSeeds()
+		r.requestSettingsFromSeeds()
 		return
 	}
-	r.catchUp()
-	r.chooseWatchers()
-	r.requestTick()
-	r.heldTick()
-	r.witnessTick()
-	r.joinTick()
-	r.handoverTick()
-	r.flowTick()
-	r.probeTick()
+	r.requestNewerSettings()
+	r.updateWatching()
+	r.advanceRequests()
+	r.retryHeldPackets()
+	r.advanceWitnesses()
+	r.advanceJoin()
+	r.advanceHandovers()
+	r.sweepFlows()
+	r.sendProbes()
 	r.identities.expire(r.now)
 	r.witnessed.expire(r.now)
 	r.noteQuorum()
-	r.isolationTick()
+	r.updateIsolation()
 }
 
 // noteQuorum remembers since when this host lacks a quorum, so that a request
 // that only a quorum may run is refused at once when waiting is of no use.
 func (r *Reducer) noteQuorum() {
 	if r.detector.HasQuorum(r.now) {
-		r.powerless = timekeeper.Never
-	} else if r.powerless == timekeeper.Never {
-		r.powerless = r.now
+		r.noQuorumSince = timekeeper.Never
+	} else if r.noQuorumSince == timekeeper.Never {
+		r.noQuorumSince = r.now
 	}
 }
--- a/core/reducer/refusal.go
+++ b/core/reducer/refusal.go
@@ -14,32 +14,32 @@
 // commitment whose order was withdrawn. So "not run" is only said while this
 // host may still decide alone, and after its successor holds the identity.
 func (r *Reducer) refuse(q *request, outcome Outcome, reason Reason) {
-	r.leave(q)
+	r.releaseSlot(q)
 	q.outcome, q.reason = outcome, reason
 	if outcome == OutcomeUnknown || !q.nonIdempotent() {
-		r.conclude(q)
+		r.sendFinalReply(q)
 		return
 	}
-	if r.permission(placer.BucketOf(q.hash), q.service) != permissionGranted {
+	if r.checkPermission(placer.BucketOf(q.hash), q.service) != permissionGranted {
 		q.outcome = OutcomeUnknown
-		r.conclude(q)
+		r.sendFinalReply(q)
 		return
 	}
 	q.state = stateRefusing
-	q.deadline = r.now.Add(refuseSpan)
-	if !r.askWitness(q) {
-		r.conclude(q)
+	q.deadline = r.now.Add(refuseTimeout)
+	if !r.sendToWitness(q) {
+		r.sendFinalReply(q)
 	}
 }
 
-// conclude sends a request's final answer.
-func (r *Reducer) conclude(q *request) {
+// sendFinalReply sends a request's final answer.
+func (r *Reducer) sendFinalReply(q *request) {
 	q.state = stateRefused
 	r.count(q.reason)
-	r.reply(q, q.outcome, q.reason)
+	r.emitReply(q, q.outcome, q.reason)
 }
 
-func (r *Reducer) reply(q *request, outcome Outcome, reason Reason) {
+func (r *Reducer) emitReply(q *request, outcome Outcome, reason Reason) {
 	r.emit(&Reply{
 		Caller:     q.key.Caller(),
 		Service:    q.service.settings.Address,
--- a/core/reducer/refusals_test.go
+++ b/core/reducer/refusals_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// tight is one target with one slot before each service, so that requests queue.
-func tight() driver.Tree {
-	tree := sicily()
+// singleSlotTree is one target with one slot before each service, so that requests queue.
+func singleSlotTree() driver.Tree {
+	tree := threeZoneTree()
 	tree.Services[0].Targets = []int{1}
 	tree.Services[1].Targets = []int{21}
 	tree.Defaults = []string{"exchangeLifetime: 12s", "slots: 1", "queueLength: 8"}
@@ -23,23 +23,23 @@
 // is full or their deadline passed; late copies of their datagrams come, also to
 // the next owner after the first one died.
 // Cause: a copy that is taken for a new request.
-func TestRefusedAsNotRunDidNotRun(t *testing.T) {
-	f := newFleet(t, tight())
+func TestNotRunRefusalNeverRan(t *testing.T) {
+	f := newFleet(t, singleSlotTree())
 	f.Target(driver.TargetAddress(1)).Work = 700 * time.Millisecond
 	const flows = 120
 	for n := range flows {
-		f.Call("", call(n, 1, 1), request(openWrite))
+		f.Call("", requestID(n, 1, 1), requestPacket(openWrite))
 	}
 	f.Step(3 * time.Second)
 	for n := range flows {
-		f.Call("", call(n, 1, 1), request(openWrite))
+		f.Call("", requestID(n, 1, 1), requestPacket(openWrite))
 	}
 	f.Step(20 * time.Millisecond)
 	f.Kill("a1")
 	f.Kill("b1")
 	f.Step(4 * time.Second)
 	for n := range flows {
-		f.Call("", call(n, 1, 1), request(openWrite))
+		f.Call("", requestID(n, 1, 1), requestPacket(openWrite))
 	}
 	f.Step(6 * time.Second)
 	refused := map[reducer.Reason]int{}
@@ -55,12 +55,12 @@
 // Sequence: a target takes a check and falls silent, or dies with it.
 // Cause: a timeout that is taken for a refusal.
 func TestTimeoutAfterSendIsUnknown(t *testing.T) {
-	f := newFleet(t, sicily())
-	for _, n := range numbers(1, 14) {
+	f := newFleet(t, threeZoneTree())
+	for _, n := range intRange(1, 14) {
 		f.Target(driver.TargetAddress(n)).Work = time.Hour
 	}
-	id := call(1, 1, 1)
-	f.Call("", id, request(openWrite))
+	id := requestID(1, 1, 1)
+	f.Call("", id, requestPacket(openWrite))
 	began := f.Now
 	f.Step(3 * time.Second)
 	reply, ok := replyTo(f, id)
@@ -73,19 +73,19 @@
 // Symptom: a check is lost because its target shed it.
 // Sequence: a target refuses with "not run"; the request may be repeated.
 // Cause: a refusal that is passed on although another target has room.
-func TestShedRequestRunsElsewhereIfItMay(t *testing.T) {
-	f := newFleet(t, sicily())
-	read, write := call(1, 1, 1), call(1, 1, 2)
-	f.Call("", call(1, 1, 9), request(openRead))
+func TestShedIdempotentRequestRunsElsewhere(t *testing.T) {
+	f := newFleet(t, threeZoneTree())
+	read, write := requestID(1, 1, 1), requestID(1, 1, 2)
+	f.Call("", requestID(1, 1, 9), requestPacket(openRead))
 	f.Step(100 * time.Millisecond)
 	// The budget allows retries as a share of requests, so there must be some.
 	for n := range 40 {
-		f.Call("", call(1, 1, 100+n), request(openRead))
+		f.Call("", requestID(1, 1, 100+n), requestPacket(openRead))
 	}
 	f.Step(200 * time.Millisecond)
-	f.Target(targetOf(t, f, call(1, 1, 9))).Shed = true
-	f.Call("", read, request(openRead))
-	f.Call("", write, request(openWrite))
+	f.Target(targetOf(t, f, requestID(1, 1, 9))).Shed = true
+	f.Call("", read, requestPacket(openRead))
+	f.Call("", write, requestPacket(openWrite))
 	f.Step(time.Second)
 	require.True(t, answered(f, read))
 	require.Equal(t, 1, f.Runs(read), "the read ran at another target")
@@ -96,16 +96,16 @@
 // Symptom: one tenant's flood leaves another tenant's checks waiting.
 // Sequence: a tenant sends far more than its targets take.
 // Cause: queues that are bounded by target only.
-func TestOneTenantCannotTakeAllPlaces(t *testing.T) {
-	tree := sicily()
+func TestTenantCannotTakeAllSlots(t *testing.T) {
+	tree := threeZoneTree()
 	tree.Defaults = []string{"exchangeLifetime: 10s", "slots: 2", "queueLength: 1000", "tenantInFlight: 20"}
 	f := newFleet(t, tree)
-	for _, n := range numbers(1, 14) {
+	for _, n := range intRange(1, 14) {
 		f.Target(driver.TargetAddress(n)).Work = time.Second
 	}
 	const flows = 600
 	for n := range flows {
-		f.Call("", call(n, 1, 1), request(openWrite))
+		f.Call("", requestID(n, 1, 1), requestPacket(openWrite))
 	}
 	f.Step(time.Second)
 	full := 0
@@ -122,19 +122,19 @@
 // Symptom: callers wait for their whole deadline to hear that they were refused.
 // Sequence: a slow target's queue is longer than any deadline in it.
 // Cause: deadlines that are looked at only when they pass.
-func TestWhatWouldBeLateIsRefusedAtOnce(t *testing.T) {
-	tree := tight()
+func TestRequestThatWouldMissDeadlineRefusedImmediately(t *testing.T) {
+	tree := singleSlotTree()
 	tree.Defaults = []string{"exchangeLifetime: 12s", "slots: 1", "queueLength: 1000"}
 	f := newFleet(t, tree)
 	f.Target(driver.TargetAddress(1)).Work = 300 * time.Millisecond
 	for n := range 8 {
-		f.Call("", call(n, 1, 1), request(openWrite))
+		f.Call("", requestID(n, 1, 1), requestPacket(openWrite))
 		f.Step(400 * time.Millisecond)
 	}
 	began := f.Now
 	const flows = 200
 	for n := range flows {
-		f.Call("", call(n, 1, 2), request(openWrite))
+		f.Call("", requestID(n, 1, 2), requestPacket(openWrite))
 	}
 	f.Step(500 * time.Millisecond)
 	soon := 0
--- a/core/reducer/request.go
+++ b/core/reducer/request.go
@@ -15,22 +15,22 @@
 	maxAttempts = 3
 	// maxRetryTokens bounds how many retries may come in one burst.
 	maxRetryTokens = 20
-	// maxKeptAnswer bounds the answers that are kept for repeats of a request.
-	maxKeptAnswer = 1024
-	// maxHeld bounds the packets that wait for this host's permission.
-	maxHeld = 4096
-	// holdSpan is how long a packet waits for permission at most. A host that has
+	// maxCachedResponseBytes bounds the answers that are kept for repeats of a request.
+	maxCachedResponseBytes = 1024
+	// maxHeldPackets bounds the packets that wait for this host's permission.
+	maxHeldPackets = 4096
+	// holdTimeout is how long a packet waits for permission at most. A host that has
 	// just got an owner's records waits a lease before it acts, on top of what its
 	// joining takes; the packets that come meanwhile must outlast that.
-	holdSpan = 4 * time.Second
-	// hopelessSpan is how long a host may lack what it needs before it refuses at
+	holdTimeout = 4 * time.Second
+	// futileWaitAfter is how long a host may lack what it needs before it refuses at
 	// once instead of holding.
-	hopelessSpan = 2 * time.Second
-	// refuseSpan is how long a refusal waits until the successor knows of it.
-	refuseSpan = 500 * time.Millisecond
-	// sendSpan is how long a decision to send stays good: far less than a
+	futileWaitAfter = 2 * time.Second
+	// refuseTimeout is how long a refusal waits until the successor knows of it.
+	refuseTimeout = 500 * time.Millisecond
+	// sendValidity is how long a decision to send stays good: far less than a
 	// lease's grant exceeds the lease.
-	sendSpan = 100 * time.Millisecond
+	sendValidity = 100 * time.Millisecond
 )
 
 // requestState is how far a request has come.
@@ -43,8 +43,8 @@
 	stateWitnessing
 	// stateSent requests are at their target.
 	stateSent
-	// stateOrphan requests may have been sent by an earlier owner.
-	stateOrphan
+	// stateInDoubt requests may have been sent by an earlier owner.
+	stateInDoubt
 	// stateRefusing requests will not run here; their caller is told as soon as
 	// the successor holds the identity, so that no late copy runs there either.
 	stateRefusing
@@ -54,33 +54,33 @@
 	stateRefused
 )
 
-// request is one request that this host is responsible for, kept for as long
+// handleRequest is one request that this host is responsible for, kept for as long
 // as the caller may repeat it if it must not run twice.
 type request struct {
-	id       uint64
-	key      resolver.FlowKey
-	hash     uint64
-	service  *service
-	packet   messenger.Packet
-	state    requestState
-	outcome  Outcome
-	reason   Reason
-	target   uint16
-	tried    uint16
-	attempts uint8
-	inFlight bool
-	// counted says that the request counts for its tenant.
-	counted  bool
-	active   bool
-	sentAt   timekeeper.Instant
-	since    timekeeper.Instant
-	deadline timekeeper.Instant
+	id             uint64
+	key            resolver.FlowKey
+	hash           uint64
+	service        *service
+	packet         messenger.Packet
+	state          requestState
+	outcome        Outcome
+	reason         Reason
+	target         uint16
+	previousTarget uint16
+	attempts       uint8
+	inFlight       bool
+	// countedForTenant says that the request counts for its tenant.
+	countedForTenant bool
+	active           bool
+	sentAt           timekeeper.Instant
+	receivedAt       timekeeper.Instant
+	deadline         timekeeper.Instant
 	// attemptDeadline is when an idempotent request is tried elsewhere.
 	attemptDeadline timekeeper.Instant
-	forgetDeadline  timekeeper.Instant
-	answer          []byte
-	// heldBy names the successor that is asked to hold the identity.
-	heldBy string
+	retainDeadline  timekeeper.Instant
+	cachedResponse  []byte
+	// witness names the successor that is asked to hold the identity.
+	witness string
 }
 
 func (q *request) nonIdempotent() bool { return !q.packet.Flags.Has(messenger.FlagIdempotent) }
@@ -110,14 +110,14 @@
 	return xxhash.Sum64(b[:])
 }
 
-// request takes in a request at the host that is responsible for its flow.
-func (r *Reducer) request(in *inbound, role role) {
+// handleRequest takes in a request at the host that is responsible for its flow.
+func (r *Reducer) handleRequest(in *inbound, role role) {
 	id := identityOf(in.key, in.packet.Exchange)
 	if q, ok := r.requests[id]; ok {
-		r.repeated(in, q)
+		r.handleDuplicate(in, q)
 		return
 	}
-	if in.packet.Flags.Has(messenger.FlagOpensFlow) && !r.mayOpen() {
+	if in.packet.Flags.Has(messenger.FlagOpensFlow) && !r.acceptsNewWork() {
 		r.hold(in, id, RefuseIsolated)
 		return
 	}
@@ -125,72 +125,72 @@
 		return
 	}
 	if role == roleFallback {
-		r.passAsFallback(in)
+		r.serveAsFallback(in)
 		return
 	}
 	q := r.newRequest(in, id)
-	at, ok := r.targetFor(in)
+	index, ok := r.targetFor(in)
 	if !ok {
 		r.refuse(q, OutcomeNotRun, RefuseNoTarget)
 		return
 	}
-	q.target = at
+	q.target = index
 	in.service.retryTokens = min(in.service.retryTokens+in.service.settings.Policy.RetryBudget, maxRetryTokens)
-	r.enqueue(q)
+	r.dispatch(q)
 }
 
-// passAsFallback sends an idempotent request on without keeping anything of it.
+// serveAsFallback sends an idempotent request on without keeping anything of it.
 //
 // What goes wrong if this host waits for the answer: other hosts know the flow's
 // owner and hand the answer there, so it never comes here. The request keeps a
 // place at its target taken until its deadline, later ones queue behind it or go
 // to another target, and the caller is told "unknown" long after its answer. One
 // notices by uploads that are cut while hosts are replaced.
-func (r *Reducer) passAsFallback(in *inbound) {
-	at, ok := r.targetFor(in)
+func (r *Reducer) serveAsFallback(in *inbound) {
+	index, ok := r.targetFor(in)
 	if !ok {
 		q := r.newRequest(in, identityOf(in.key, in.packet.Exchange))
 		r.refuse(q, OutcomeNotRun, RefuseNoTarget)
 		return
 	}
-	r.pass(in, at)
+	r.passToTarget(in, index)
 }
 
 // admitNonIdempotent decides whether a request that may run only once may run here
 // and now. If not, it holds the packet or notes that it may have run before.
 func (r *Reducer) admitNonIdempotent(in *inbound, id uint64, role role) bool {
 	if r.identities.has(id) {
-		r.orphan(in, id)
+		r.trackInDoubt(in, id)
 		return false
 	}
 	if role != roleOwner {
 		r.hold(in, id, RefuseNoOwner)
 		return false
 	}
-	switch r.permission(placer.BucketOf(in.hash), in.service) {
+	switch r.checkPermission(placer.BucketOf(in.hash), in.service) {
 	case permissionGranted:
 		return true
 	case permissionUncertain:
 		r.count(RefuseUncertain)
-		r.orphan(in, id)
+		r.trackInDoubt(in, id)
 	case permissionWait:
 		r.hold(in, id, RefuseHeld)
 	}
 	return false
 }
 
-// orphan notes a request that an earlier owner may have sent to a target. If it
+// trackInDoubt notes a request that an earlier owner may have sent to a target. If it
 // did, the answer still finds its caller; if none comes, the outcome is unknown.
-func (r *Reducer) orphan(in *inbound, id uint64) {
+func (r *Reducer) trackInDoubt(in *inbound, id uint64) {
 	q := r.newRequest(in, id)
-	q.state = stateOrphan
+	q.state = stateInDoubt
 }
 
 func (r *Reducer) newRequest(in *inbound, id uint64) *request {
 	var q *request
-	if n := len(r.spare); n > 0 {
-		q = r.spare[n-1]
-		r.spare = r.spare[:n-1]
+	if n := len(r.freeRequests); n > 0 {
+		q = r.freeRequests[n-1]
+		r.freeRequests = r.freeRequests[:n-1]
 	} else {
 		q = &request{}
 	}
@@ -202,10 +202,10 @@
 		service:        in.service,
 		packet:         *in.packet,
 		target:         noTarget,
-		tried:          noTarget,
-		since:          r.now,
+		previousTarget: noTarget,
+		receivedAt:     r.now,
 		deadline:       r.now.Add(policy.RequestDeadline),
-		forgetDeadline: r.now.Add(policy.ExchangeLifetime),
+		retainDeadline: r.now.Add(policy.ExchangeLifetime),
 		active:         true,
 	}
 	if in.packet.Deadline != 0 {
@@ -215,40 +215,40 @@
 	r.byToken[tokenOf(q.key, q.packet.Exchange)] = q
 	r.active = append(r.active, q)
 	if q.nonIdempotent() {
-		in.service.forget = append(in.service.forget, q)
+		in.service.retained = append(in.service.retained, q)
 	}
 	return q
 }
 
-// repeated handles a datagram whose request is known.
-func (r *Reducer) repeated(in *inbound, q *request) {
+// handleDuplicate handles a datagram whose request is known.
+func (r *Reducer) handleDuplicate(in *inbound, q *request) {
 	switch q.state {
 	case stateAnswered:
-		if q.answer != nil {
-			r.sendCaller(ToCaller{Caller: q.key.Caller(), Service: q.service.settings.Address, Payload: q.answer})
+		if q.cachedResponse != nil {
+			r.sendCaller(ToCaller{Caller: q.key.Caller(), Service: q.service.settings.Address, Payload: q.cachedResponse})
 			return
 		}
 		if q.nonIdempotent() {
-			r.reply(q, OutcomeUnknown, RefuseUncertain)
+			r.emitReply(q, OutcomeUnknown, RefuseUncertain)
 			return
 		}
-		r.resend(q, in)
+		r.resendToTarget(q, in)
 	case stateRefused:
-		r.reply(q, q.outcome, q.reason)
+		r.emitReply(q, q.outcome, q.reason)
 	case stateSent:
 		if !q.nonIdempotent() {
-			r.resend(q, in)
+			r.resendToTarget(q, in)
 			return
 		}
 		r.count(DropDuplicate)
-	case stateQueued, stateWitnessing, stateRefusing, stateOrphan:
+	case stateQueued, stateWitnessing, stateRefusing, stateInDoubt:
 		r.count(DropDuplicate)
 	}
 }
 
-// resend passes a repeated idempotent request on to where it went before.
-func (r *Reducer) resend(q *request, in *inbound) {
-	if q.target != noTarget && q.service.registry[q.target].present {
-		r.pass(in, q.target)
+// resendToTarget passes a repeated idempotent request on to where it went before.
+func (r *Reducer) resendToTarget(q *request, in *inbound) {
+	if q.target != noTarget && q.service.registry[q.target].listed {
+		r.passToTarget(in, q.target)
 	}
 }
--- a/core/reducer/route.go
+++ b/core/reducer/route.go
@@ -55,7 +55,7 @@
 	return false
 }
 
-func (r *Reducer) callerPacket(e *CallerPacket) {
+func (r *Reducer) handleCallerPacket(e *CallerPacket) {
 	if r.isStale(e.Arrived) {
 		return
 	}
@@ -82,10 +82,10 @@
 	})
 }
 
-func (r *Reducer) targetPacket(e *TargetPacket) {
+func (r *Reducer) handleTargetPacket(e *TargetPacket) {
 	key := resolver.FlowKeyFromAddress(e.Return)
 	s, ok := r.services[key.Service()]
-	if !ok || !s.settings.ReturnPrefix.Contains(e.Return) || !s.knows(e.Target, r.lastUse) {
+	if !ok || !s.settings.ReturnPrefix.Contains(e.Return) || !s.acceptsResponsesFrom(e.Target, r.addressUses) {
 		// A packet from an address that is no target of the service must not
 		// reach the service's caller: the address may have changed hands.
 		r.count(DropUnknownTarget)
@@ -101,8 +101,8 @@
 	})
 }
 
-// forwarded takes in a packet that another host took for ours.
-func (r *Reducer) forwarded(f *messenger.Forward, arrived timekeeper.Instant) {
+// handleForward takes in a packet that another host took for ours.
+func (r *Reducer) handleForward(f *messenger.Forward, arrived timekeeper.Instant) {
 	if f.Direction == messenger.DirectionToTarget && r.isStale(arrived) {
 		return
 	}
@@ -111,7 +111,7 @@
 		r.count(DropUnknownService)
 		return
 	}
-	if f.Direction == messenger.DirectionToCaller && !s.knows(f.Target, r.lastUse) {
+	if f.Direction == messenger.DirectionToCaller && !s.acceptsResponsesFrom(f.Target, r.addressUses) {
 		r.count(DropUnknownTarget)
 		return
 	}
@@ -132,8 +132,8 @@
 
 // route hands a packet to the owner of its flow, or acts on it here.
 func (r *Reducer) route(in *inbound) {
-	if in.direction == messenger.DirectionToCaller && needsNoOwner(in.packet) {
-		r.deliver(in)
+	if in.direction == messenger.DirectionToCaller && bypassesOwner(in.packet) {
+		r.deliverToCaller(in)
 		return
 	}
 	owner, role := r.ownerOf(placer.BucketOf(in.hash), isNonIdempotent(in))
@@ -153,13 +153,13 @@
 	} else {
 		r.count(CountFallback)
 	}
-	r.act(in, role)
+	r.handleLocally(in, role)
 }
 
-// needsNoOwner reports whether an answer can go to its caller without its
+// bypassesOwner reports whether an answer can go to its caller without its
 // owner: notifications of a stream, and control packets. All that they need is
 // in the return address.
-func needsNoOwner(packet *messenger.Packet) bool {
+func bypassesOwner(packet *messenger.Packet) bool {
 	if packet.Kind != messenger.KindResponse {
 		return true
 	}
@@ -176,8 +176,8 @@
 
 func (r *Reducer) forwardTo(owner string, in *inbound) {
 	r.count(CountForwarded)
-	r.forward = append(r.forward, r.forwardOf(in))
-	r.sendPeer(owner, &r.forward[len(r.forward)-1])
+	r.forwards = append(r.forwards, r.forwardOf(in))
+	r.sendPeer(owner, &r.forwards[len(r.forwards)-1])
 }
 
 func (r *Reducer) forwardOf(in *inbound) messenger.Forward {
@@ -200,16 +200,16 @@
 }
 
 // ownerOf finds the host that owns a bucket: the first of the bucket's home
-// cell, in rank order, that takes part. mustOwn is set for requests that only the
+// cell, in rank order, that takes part. ownerOnly is set for requests that only the
 // owner may run; for others a silent host is passed over at once.
-func (r *Reducer) ownerOf(bucket placer.Bucket, mustOwn bool) (string, role) {
+func (r *Reducer) ownerOf(bucket placer.Bucket, ownerOnly bool) (string, role) {
 	order := r.rankers[r.cells.Home(bucket)].Rank(bucket)
 	for i, name := range order.Names() {
 		if name != r.self {
-			if r.takesPart(name, mustOwn) {
+			if r.actsAsOwner(name, ownerOnly) {
 				return name, roleForward
 			}
-			if via := r.relayToOwner(name, mustOwn); via != "" {
+			if via := r.relayToOwner(name, ownerOnly); via != "" {
 				return via, roleForward
 			}
 			continue
@@ -217,11 +217,11 @@
 		if r.steppedDown {
 			continue
 		}
-		if r.joining.over || r.joining.hasRecordsOf(r.below(order.Names()[i+1:])) {
+		if r.joining.ready || r.joining.hasRecordsOf(r.firstReady(order.Names()[i+1:])) {
 			return name, roleOwner
 		}
 	}
-	if mustOwn && r.detector.Phase() != messenger.PhaseLeft && r.cells.Home(bucket) == r.ownCell && !r.steppedDown {
+	if ownerOnly && r.detector.Phase() != messenger.PhaseLeft && r.cells.Home(bucket) == r.ownCell && !r.steppedDown {
 		return r.self, roleOwner
 	}
 	return r.self, roleFallback
@@ -229,32 +229,32 @@
 
 // relayToOwner returns the host through which a request that only the owner may
 // run goes to an owner that does not answer here although it may own the flow.
-func (r *Reducer) relayToOwner(owner string, mustOwn bool) string {
+func (r *Reducer) relayToOwner(owner string, ownerOnly bool) string {
 	state := r.detector.State(owner)
 	unreachable := state.Liveness == messenger.LivenessDead && state.Phase == messenger.PhaseReady && state.Incarnation != 0
-	if !mustOwn || !unreachable || !r.detector.InCell(owner) || r.detector.ConfirmedDead(owner) {
+	if !ownerOnly || !unreachable || !r.detector.InCell(owner) || r.detector.ConfirmedDead(owner) {
 		return ""
 	}
 	return r.relayTo(owner)
 }
 
-// below returns the first ready host of a rank order's rest.
-func (r *Reducer) below(names []string) string {
+// firstReady returns the first ready host of a rank order's rest.
+func (r *Reducer) firstReady(names []string) string {
 	for _, name := range names {
-		if r.takesPart(name, false) {
+		if r.actsAsOwner(name, false) {
 			return name
 		}
 	}
 	return ""
 }
 
-// takesPart reports whether another host acts as an owner at present.
-func (r *Reducer) takesPart(name string, mustOwn bool) bool {
+// actsAsOwner reports whether another host acts as an owner at present.
+func (r *Reducer) actsAsOwner(name string, ownerOnly bool) bool {
 	state := r.detector.State(name)
 	switch state.Liveness {
 	case messenger.LivenessAlive:
 	case messenger.LivenessSuspect:
-		if !mustOwn {
+		if !ownerOnly {
 			return false
 		}
 	case messenger.LivenessUnknown, messenger.LivenessDead:
@@ -263,60 +263,60 @@
 	switch state.Phase {
 	case messenger.PhaseReady, messenger.PhaseLeaving:
 		// Its records may have come before the news that it leaves.
-		return r.leavingFrom[name] != state.Incarnation
+		return r.leaveHandoverFrom[name] != state.Incarnation
 	case messenger.PhaseJoining, messenger.PhaseWaited:
-		return r.handedTo[name] == state.Incarnation && state.Incarnation != 0
+		return r.handedOverTo[name] == state.Incarnation && state.Incarnation != 0
 	case messenger.PhaseLeft:
 		return false
 	}
 	return false
 }
 
-// act handles a packet at the host that is responsible for it.
-func (r *Reducer) act(in *inbound, role role) {
+// handleLocally handles a packet at the host that is responsible for it.
+func (r *Reducer) handleLocally(in *inbound, role role) {
 	if in.direction == messenger.DirectionToCaller {
-		r.answer(in)
+		r.handleResponse(in)
 		return
 	}
 	switch in.packet.Kind {
 	case messenger.KindRequest:
-		r.request(in, role)
+		r.handleRequest(in, role)
 	case messenger.KindControl, messenger.KindResponse:
-		r.control(in)
+		r.handleControl(in)
 	}
 }
 
-// control passes an acknowledgement or reset on to where its flow is.
-func (r *Reducer) control(in *inbound) {
+// handleControl passes an acknowledgement or reset on to where its flow is.
+func (r *Reducer) handleControl(in *inbound) {
 	f, known := r.flows.get(in.key, in.hash)
 	if !known {
-		at, ok := in.service.earlier(in.hash, r.now)
+		index, ok := in.service.previousTarget(in.hash, r.now)
 		if !ok {
 			r.count(DropNoTarget)
 			return
 		}
-		f = flow{target: at, other: noTarget}
+		f = flow{target: index, otherTarget: noTarget}
 	}
 	r.touch(in, f)
-	if in.service.registry[f.target].present {
-		r.pass(in, f.target)
+	if in.service.registry[f.target].listed {
+		r.passToTarget(in, f.target)
 	}
 	// While plain requests go elsewhere, an acknowledgement does not say which
 	// target it is meant for; the wrong one ignores it (RFC 7252, section 4.2).
-	if f.other != noTarget && in.service.registry[f.other].present {
-		r.pass(in, f.other)
+	if f.otherTarget != noTarget && in.service.registry[f.otherTarget].listed {
+		r.passToTarget(in, f.otherTarget)
 	}
 }
 
-func (r *Reducer) pass(in *inbound, at uint16) {
+func (r *Reducer) passToTarget(in *inbound, index uint16) {
 	r.sendTarget(ToTarget{
-		Target:  in.service.registry[at].address,
+		Target:  in.service.registry[index].address,
 		Return:  resolver.ReturnAddress(in.service.settings.ReturnPrefix, in.key),
 		Payload: in.packet.Payload,
 	})
 }
 
-func (r *Reducer) deliver(in *inbound) {
+func (r *Reducer) deliverToCaller(in *inbound) {
 	r.sendCaller(ToCaller{
 		Caller:  in.key.Caller(),
 		Service: in.service.settings.Address,
@@ -327,12 +327,12 @@
 // touch notes that a flow is in use. Writing the table for each packet would be
 // a waste, so the time is only as fine as expiry needs.
 func (r *Reducer) touch(in *inbound, f flow) {
-	const grain = 8
+	const resolutionSeconds = 8
 	now := seconds(r.now)
-	if f.seen+grain > now && f.seen != 0 {
+	if f.lastSeen+resolutionSeconds > now && f.lastSeen != 0 {
 		return
 	}
-	f.seen = max(now, 1)
+	f.lastSeen = max(now, 1)
 	r.flows.put(in.key, in.hash, f)
-	r.journalFlow(in.key, in.hash, f)
+	r.addToHandovers(in.key, in.hash, f)
 }
--- a/core/reducer/services_test.go
+++ b/core/reducer/services_test.go
@@ -17,12 +17,12 @@
 // that is ahead sends ledger's packets before the others have stopped.
 func TestNoPacketCrossesServices(t *testing.T) {
 	const inForceWithin = 9 * time.Second
-	moved := sicily()
-	moved.Services[0].Targets = append(numbers(1, 14), 24)
-	moved.Services[1].Targets = numbers(21, 23)
-	swapped := sicily()
-	swapped.Services[0].Targets = numbers(21, 24)
-	swapped.Services[1].Targets = numbers(1, 14)
+	moved := threeZoneTree()
+	moved.Services[0].Targets = append(intRange(1, 14), 24)
+	moved.Services[1].Targets = intRange(21, 23)
+	swapped := threeZoneTree()
+	swapped.Services[0].Targets = intRange(21, 24)
+	swapped.Services[1].Targets = intRange(1, 14)
 	tests := []struct {
 		name string
 		tree driver.Tree
@@ -43,41 +43,41 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			f := newFleet(t, sicily())
-			load(f, 20)
+			f := newFleet(t, threeZoneTree())
+			sendNewFlows(f, 20)
 			test.skew(f)
 			published := f.Now
 			f.Publish(test.tree.Document())
 			for range 30 {
 				f.Step(time.Second)
-				load(f, 20)
+				sendNewFlows(f, 20)
 			}
 			if !f.Running("b1") {
 				f.Wake("b1")
 			}
-			load(f, 20)
+			sendNewFlows(f, 20)
 			f.Step(2 * time.Second)
-			requireOwnService(t, f, sicily(), test.tree, published, inForceWithin)
+			requireNoCrossServicePackets(t, f, threeZoneTree(), test.tree, published, inForceWithin)
 		})
 	}
 }
 
-// callers makes every packet of these tests one of a new flow.
-var callers = 1000
+// lastCaller makes every packet of these tests one of a new flow.
+var lastCaller = 1000
 
-// load sends requests of new flows to both services.
-func load(f *driver.Fleet, n int) {
+// sendNewFlows sends requests of new flows to both services.
+func sendNewFlows(f *driver.Fleet, n int) {
 	for range n {
-		callers++
-		f.Call("", call(callers, 1, 1), request(openRead))
-		f.Call("", call(callers, 2, 1), request(openWrite))
+		lastCaller++
+		f.Call("", requestID(lastCaller, 1, 1), requestPacket(openRead))
+		f.Call("", requestID(lastCaller, 2, 1), requestPacket(openWrite))
 	}
 }
 
-// requireOwnService checks every packet against the revisions that may be in
+// requireNoCrossServicePackets checks every packet against the revisions that may be in
 // force: before the change the old one, then for a while none of the two for an
 // address that moved, then the new one.
-func requireOwnService(t *testing.T, f *driver.Fleet, before, after driver.Tree, published timekeeper.Instant, span time.Duration) {
+func requireNoCrossServicePackets(t *testing.T, f *driver.Fleet, before, after driver.Tree, published timekeeper.Instant, span time.Duration) {
 	t.Helper()
 	was, is := serviceOf(before), serviceOf(after)
 	for _, p := range f.Sent {
@@ -107,14 +107,14 @@
 // Sequence: a packet comes to a return address from an address that is no
 // target of that service, as after the address was given to another service.
 // Cause: an answer that is passed on by its return address alone.
-func TestAnswersOfStrangersAreDropped(t *testing.T) {
-	f := newFleet(t, sicily())
-	id := call(1, 1, 1)
-	f.Call("", id, request(openRead|isStream))
+func TestResponsesFromUnknownTargetsDropped(t *testing.T) {
+	f := newFleet(t, threeZoneTree())
+	id := requestID(1, 1, 1)
+	f.Call("", id, requestPacket(openRead|stream))
 	f.Step(100 * time.Millisecond)
 	before := len(f.Answers)
-	f.AnswerFrom(driver.TargetAddress(21), f.ReturnAddress(id), id, isStream)
-	f.AnswerFrom(driver.TargetAddress(999), f.ReturnAddress(id), id, isStream)
+	f.AnswerFrom(driver.TargetAddress(21), f.ReturnAddress(id), id, stream)
+	f.AnswerFrom(driver.TargetAddress(999), f.ReturnAddress(id), id, stream)
 	f.Step(100 * time.Millisecond)
 	require.Len(t, f.Answers, before)
 }
@@ -122,17 +122,17 @@
 // Symptom: a packet of one service reaches another's target, at the second move.
 // Sequence: an address moves from intake to ledger and, long after, back.
 // Cause: a rest that is kept for the first move only.
-func TestAddressThatMovesTwiceRestsTwice(t *testing.T) {
-	moved := sicily()
-	moved.Services[0].Targets = append(numbers(1, 14), 24)
-	moved.Services[1].Targets = numbers(21, 23)
-	f := newFleet(t, sicily())
+func TestAddressMovedTwiceIsQuarantinedTwice(t *testing.T) {
+	moved := threeZoneTree()
+	moved.Services[0].Targets = append(intRange(1, 14), 24)
+	moved.Services[1].Targets = intRange(21, 23)
+	f := newFleet(t, threeZoneTree())
 	f.Publish(moved.Document())
 	f.Step(40 * time.Second)
-	f.Publish(sicily().Document())
+	f.Publish(threeZoneTree().Document())
 	back := f.Now
 	for range 25 {
-		load(f, 20)
+		sendNewFlows(f, 20)
 		f.Step(time.Second)
 	}
 	given := 0
--- a/core/reducer/settings_test.go
+++ b/core/reducer/settings_test.go
@@ -12,11 +12,11 @@
 // Sequence: a revision is published while the platform, or the way to it, fails
 // in one of many ways.
 // Cause: a host that waits for its own read, or believes a lower revision.
-func TestRevisionIsInForceEverywhereAndStays(t *testing.T) {
+func TestRevisionReachesAllHostsAndIsNeverReverted(t *testing.T) {
 	const within = 9 * time.Second
-	next := sicily()
+	next := threeZoneTree()
 	next.Services[0].Draining = []int{1}
-	last := sicily()
+	last := threeZoneTree()
 	last.Services[0].Draining = []int{2}
 	all := func(t *testing.T, f *driver.Fleet, revision uint64) {
 		t.Helper()
@@ -40,7 +40,7 @@
 			}
 			f.CutPlatform("c1", false)
 			f.Publish(next.Document())
-			f.Step(reducerTick)
+			f.Step(tickInterval)
 			f.PlatformDown = true
 			all(t, f, 2)
 		}},
@@ -109,7 +109,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			f := newFleet(t, sicily())
+			f := newFleet(t, threeZoneTree())
 			highest := map[string]uint64{}
 			test.run(t, f)
 			for range 100 {
@@ -127,8 +127,8 @@
 // Symptom: the platform is called more and more as the fleet grows.
 // Sequence: a revision is published to a zone of many hosts.
 // Cause: every host watches for itself.
-func TestFewHostsOfAZoneRead(t *testing.T) {
-	tree := sicily()
+func TestOnlyWatchersReadPlatform(t *testing.T) {
+	tree := threeZoneTree()
 	tree.Zones = []int{8, 8, 8}
 	f := newFleet(t, tree)
 	f.Step(5 * time.Second)
--- a/core/reducer/snapshot.go
+++ b/core/reducer/snapshot.go
@@ -30,11 +30,11 @@
 
 // PeerStatus is one host as this host sees it.
 type PeerStatus struct {
-	Host     string `json:"host"`
-	Liveness string `json:"liveness"`
-	Phase    string `json:"phase"`
-	Revision uint64 `json:"revision"`
-	Denied   bool   `json:"denied"`
+	Host          string `json:"host"`
+	Liveness      string `json:"liveness"`
+	Phase         string `json:"phase"`
+	Revision      uint64 `json:"revision"`
+	ConfirmedDead bool   `json:"denied"`
 }
 
 // ServiceStatus is one service as this host sees it.
@@ -46,13 +46,13 @@
 
 // TargetStatus is one target as this host sees it.
 type TargetStatus struct {
-	Target   string `json:"target"`
-	Address  string `json:"address"`
-	State    string `json:"state"`
-	Ejected  bool   `json:"ejected"`
-	InFlight int    `json:"inFlight"`
-	Queued   int    `json:"queued"`
-	Reported int    `json:"reported"`
+	Target       string `json:"target"`
+	Address      string `json:"address"`
+	State        string `json:"state"`
+	Ejected      bool   `json:"ejected"`
+	InFlight     int    `json:"inFlight"`
+	Queued       int    `json:"queued"`
+	ReportedLoad int    `json:"reported"`
 }
 
 // Snapshot returns the host's state for operators.
@@ -64,11 +64,11 @@
 		Ready:            r.Ready(),
 		Quorum:           r.detector.HasQuorum(r.now),
 		Revision:         r.Revision(),
-		RejectedRevision: r.rejected,
+		RejectedRevision: r.rejectedRevision,
 		Watching:         r.watching,
 		Flows:            r.flows.size,
 		Requests:         len(r.requests),
-		Held:             len(r.held),
+		Held:             len(r.heldPackets),
 		Counts:           make(map[string]uint64, numReasons),
 	}
 	if r.settings != nil {
@@ -81,11 +81,11 @@
 	for _, name := range r.detector.Others() {
 		state := r.detector.State(name)
 		s.Peers = append(s.Peers, PeerStatus{
-			Host:     name,
-			Liveness: state.Liveness.String(),
-			Phase:    state.Phase.String(),
-			Revision: state.Revision,
-			Denied:   r.detector.InCell(name) && r.detector.ConfirmedDead(name),
+			Host:          name,
+			Liveness:      state.Liveness.String(),
+			Phase:         state.Phase.String(),
+			Revision:      state.Revision,
+			ConfirmedDead: r.detector.InCell(name) && r.detector.ConfirmedDead(name),
 		})
 	}
 	for _, id := range r.serviceIDs {
@@ -96,19 +96,19 @@
 
 func (s *service) status(r *Reducer) ServiceStatus {
 	status := ServiceStatus{Service: s.settings.Name, Tenant: s.settings.Tenant}
-	ejected := s.eject(r.now)
+	ejected := s.ejectedTargets(r.now)
 	for i, t := range s.registry {
-		if !t.present {
+		if !t.listed {
 			continue
 		}
 		status.Targets = append(status.Targets, TargetStatus{
-			Target:   t.name,
-			Address:  t.address.String(),
-			State:    t.policy.State.String(),
-			Ejected:  ejected[i],
-			InFlight: t.inFlight,
-			Queued:   len(t.queue),
-			Reported: t.reported,
+			Target:       t.name,
+			Address:      t.address.String(),
+			State:        t.policy.State.String(),
+			Ejected:      ejected[i],
+			InFlight:     t.inFlight,
+			Queued:       len(t.queue),
+			ReportedLoad: t.reportedLoad,
 		})
 	}
 	return status
@@ -116,10 +116,10 @@
 
 // FlowStatus is one flow that this host remembers.
 type FlowStatus struct {
-	Caller  netip.AddrPort `json:"caller"`
-	Service string         `json:"service"`
-	Target  string         `json:"target"`
-	Long    bool           `json:"long"`
+	Caller    netip.AddrPort `json:"caller"`
+	Service   string         `json:"service"`
+	Target    string         `json:"target"`
+	LongLived bool           `json:"long"`
 	// Exception says that the flow is not where a newcomer would look for it.
 	Exception bool   `json:"exception"`
 	Owner     string `json:"owner"`
@@ -150,7 +150,7 @@
 			Caller:    e.key.Caller(),
 			Service:   s.settings.Name,
 			Target:    s.registry[e.flow.target].name,
-			Long:      e.flow.flags&flowLong != 0,
+			LongLived: e.flow.flags&flowLongLived != 0,
 			Exception: e.flow.flags&flowException != 0,
 			Owner:     owner,
 		})
--- a/core/reducer/stats.go
+++ b/core/reducer/stats.go
@@ -28,42 +28,42 @@
 	CountForwarded
 	CountOwned
 	CountFallback
-	CountRetry
-	CountMoved
-	CountExceptions
+	CountRetries
+	CountFlowsMoved
+	CountExceptionsSent
 	CountWitnessed
 	CountUnwitnessed
 	numReasons
 )
 
 var reasonNames = [numReasons]string{
-	DropUnknownService: "dropUnknownService",
-	DropUnknownCaller:  "dropUnknownCaller",
-	DropUnknownTarget:  "dropUnknownTarget",
-	DropNoTarget:       "dropNoTarget",
-	DropHopLimit:       "dropHopLimit",
-	DropLateAnswer:     "dropLateAnswer",
-	DropDuplicate:      "dropDuplicate",
-	DropHeldOverflow:   "dropHeldOverflow",
-	DropStale:          "dropStale",
-	RefuseDeadline:     "refuseDeadline",
-	RefuseQueueFull:    "refuseQueueFull",
-	RefuseTenantFull:   "refuseTenantFull",
-	RefuseTooLate:      "refuseTooLate",
-	RefuseNoTarget:     "refuseNoTarget",
-	RefuseNoOwner:      "refuseNoOwner",
-	RefuseUncertain:    "refuseUncertain",
-	RefuseUnanswered:   "refuseUnanswered",
-	RefuseHeld:         "refuseHeld",
-	RefuseIsolated:     "refuseIsolated",
-	CountForwarded:     "forwarded",
-	CountOwned:         "owned",
-	CountFallback:      "fallback",
-	CountRetry:         "retries",
-	CountMoved:         "flowsMoved",
-	CountExceptions:    "exceptionsSent",
-	CountWitnessed:     "witnessed",
-	CountUnwitnessed:   "unwitnessed",
+	DropUnknownService:  "dropUnknownService",
+	DropUnknownCaller:   "dropUnknownCaller",
+	DropUnknownTarget:   "dropUnknownTarget",
+	DropNoTarget:        "dropNoTarget",
+	DropHopLimit:        "dropHopLimit",
+	DropLateAnswer:      "dropLateAnswer",
+	DropDuplicate:       "dropDuplicate",
+	DropHeldOverflow:    "dropHeldOverflow",
+	DropStale:           "dropStale",
+	RefuseDeadline:      "refuseDeadline",
+	RefuseQueueFull:     "refuseQueueFull",
+	RefuseTenantFull:    "refuseTenantFull",
+	RefuseTooLate:       "refuseTooLate",
+	RefuseNoTarget:      "refuseNoTarget",
+	RefuseNoOwner:       "refuseNoOwner",
+	RefuseUncertain:     "refuseUncertain",
+	RefuseUnanswered:    "refuseUnanswered",
+	RefuseHeld:          "refuseHeld",
+	RefuseIsolated:      "refuseIsolated",
+	CountForwarded:      "forwarded",
+	CountOwned:          "owned",
+	CountFallback:       "fallback",
+	CountRetries:        "retries",
+	CountFlowsMoved:     "flowsMoved",
+	CountExceptionsSent: "exceptionsSent",
+	CountWitnessed:      "witnessed",
+	CountUnwitnessed:    "unwitnessed",
 }
 
 func (r Reason) String() string {
--- a/core/reducer/witness.go
+++ b/core/reducer/witness.go
@@ -13,8 +13,8 @@
 // callers may repeat them.
 type identitySet struct {
 	deadlines map[uint64]timekeeper.Instant
-	// oldest lists the identities in the order in which they came.
-	oldest []uint64
+	// order lists the identities in the order in which they came.
+	order []uint64
 }
 
 func newIdentitySet() identitySet {
@@ -28,7 +28,7 @@
 
 func (s *identitySet) add(id uint64, deadline timekeeper.Instant) {
 	if _, ok := s.deadlines[id]; !ok {
-		s.oldest = append(s.oldest, id)
+		s.order = append(s.order, id)
 	}
 	s.deadlines[id] = max(s.deadlines[id], deadline)
 }
@@ -41,24 +41,24 @@
 
 func (s *identitySet) expire(now timekeeper.Instant) {
 	n := 0
-	for n < len(s.oldest) && s.deadlines[s.oldest[n]].Passed(now) {
-		delete(s.deadlines, s.oldest[n])
+	for n < len(s.order) && s.deadlines[s.order[n]].Passed(now) {
+		delete(s.deadlines, s.order[n])
 		n++
 	}
 	if n > 0 {
-		s.oldest = slices.Delete(s.oldest, 0, n)
+		s.order = slices.Delete(s.order, 0, n)
 	}
 }
 
-// witnessedMemory is how long a host remembers for whom it holds an identity: a
-// request is unsent at its owner, and then held at the next, for holdSpan each at
+// witnessedTTL is how long a host remembers for whom it holds an identity: a
+// request is unsent at its owner, and then held at the next, for holdTimeout each at
 // most.
-const witnessedMemory = 2 * holdSpan
+const witnessedTTL = 2 * holdTimeout
 
 // witnessedIdentity is an identity that is held for an owner.
 type witnessedIdentity struct {
 	id       uint64
-	owner    hostStart
+	owner    hostIncarnation
 	deadline timekeeper.Instant
 }
 
@@ -66,7 +66,7 @@
 // came.
 type witnessedSet []witnessedIdentity
 
-func (s *witnessedSet) add(id uint64, owner hostStart, deadline timekeeper.Instant) {
+func (s *witnessedSet) add(id uint64, owner hostIncarnation, deadline timekeeper.Instant) {
 	*s = append(*s, witnessedIdentity{id: id, owner: owner, deadline: deadline})
 }
 
@@ -78,13 +78,13 @@
 	*s = slices.Delete(*s, 0, n)
 }
 
-// among groups those of some identities that are held for an owner, by owner. Of an
+// groupByOwner groups those of some identities that are held for an owner, by owner. Of an
 // identity that was held for two owners only the later counts: the earlier one may
 // have handed its request over to that.
-func (s witnessedSet) among(ids []uint64) []messenger.OwnerIdentities {
-	owners := make(map[uint64]hostStart, len(s))
-	for _, one := range s {
-		owners[one.id] = one.owner
+func (s witnessedSet) groupByOwner(ids []uint64) []messenger.OwnerIdentities {
+	owners := make(map[uint64]hostIncarnation, len(s))
+	for _, entry := range s {
+		owners[entry.id] = entry.owner
 	}
 	var groups []messenger.OwnerIdentities
 	for _, id := range ids {
@@ -93,7 +93,7 @@
 			continue
 		}
 		at := slices.IndexFunc(groups, func(g messenger.OwnerIdentities) bool {
-			return owner == hostStart{host: g.Owner, incarnation: g.Incarnation}
+			return owner == hostIncarnation{host: g.Owner, incarnation: g.Incarnation}
 		})
 		if at < 0 {
 			at = len(groups)
@@ -128,7 +128,7 @@
 	for _, name := range names[slices.Index(names, r.self)+1:] {
 		state := r.detector.State(name)
 		dead := state.Liveness == messenger.LivenessDead && r.detector.ConfirmedDead(name)
-		unready := isJoining(state) && r.handedTo[name] != state.Incarnation
+		unready := isJoining(state) && r.handedOverTo[name] != state.Incarnation
 		if !r.hasLeft(state) && !dead && !unready {
 			return name
 		}
@@ -136,7 +136,7 @@
 	return ""
 }
 
-// askWitness has the successor hold a request's identity before the request is
+// sendToWitness has the successor hold a request's identity before the request is
 // sent, and reports whether there is a successor to wait for.
 //
 // What goes wrong without it: the owner sends a request to its target and dies.
@@ -147,13 +147,13 @@
 // A successor that is silent is waited for until a quorum has given it up. To
 // go on without it would be wrong: it may live behind a cut, about to take over
 // in the belief that it was told of everything.
-func (r *Reducer) askWitness(q *request) bool {
+func (r *Reducer) sendToWitness(q *request) bool {
 	successor := r.successorOf(placer.BucketOf(q.hash))
 	if successor == "" {
 		r.count(CountUnwitnessed)
 		return false
 	}
-	q.heldBy = successor
+	q.witness = successor
 	link := r.witnessLinkTo(successor)
 	link.pending = append(link.pending, q)
 	r.flushWitness(successor, link)
@@ -215,8 +215,8 @@
 	return ""
 }
 
-// witness holds identities for another owner.
-func (r *Reducer) witness(from string, body *messenger.WitnessRequest) {
+// handleWitness holds identities for another owner.
+func (r *Reducer) handleWitness(from string, body *messenger.WitnessRequest) {
 	if body.Recipient != "" && body.Recipient != r.self {
 		r.sendPeer(body.Recipient, body)
 		return
@@ -228,14 +228,14 @@
 	if r.settings == nil || (isJoining(r.detector.State(r.self)) && !r.joining.hasRecordsOf(owner)) {
 		return
 	}
-	deadline := r.now.Add(r.exchangeLifetime())
-	by := hostStart{host: owner, incarnation: r.detector.State(owner).Incarnation}
+	deadline := r.now.Add(r.maxExchangeLifetime())
+	ownerIncarnation := hostIncarnation{host: owner, incarnation: r.detector.State(owner).Incarnation}
 	for _, id := range body.Identities {
-		if h := r.heldOf(id); h != nil && h.unsentBy == by {
+		if h := r.heldPacketByID(id); h != nil && h.unsentBy == ownerIncarnation {
 			continue // A repeat from before the owner handed the request over.
 		}
 		r.identities.add(id, deadline)
-		r.witnessed.add(id, by, r.now.Add(witnessedMemory))
+		r.witnessed.add(id, ownerIncarnation, r.now.Add(witnessedTTL))
 	}
 	ack := &messenger.WitnessAck{Sequence: body.Sequence}
 	if owner != from {
@@ -244,7 +244,7 @@
 	r.sendPeer(from, ack)
 }
 
-func (r *Reducer) witnessAcked(from string, body *messenger.WitnessAck) {
+func (r *Reducer) handleWitnessAck(from string, body *messenger.WitnessAck) {
 	if body.Recipient != "" && body.Recipient != r.self {
 		r.sendPeer(body.Recipient, body)
 		return
@@ -259,40 +259,40 @@
 	acked := slices.Clone(link.unacked)
 	link.unacked = link.unacked[:0]
 	for _, q := range acked {
-		if q.heldBy == from {
+		if q.witness == from {
 			r.count(CountWitnessed)
-			r.goOn(q)
+			r.resumeRequest(q)
 		}
 	}
 	r.flushWitness(from, link)
 }
 
-// goOn sends or refuses a request whose identity is held, if this host's right
+// resumeRequest sends or refuses a request whose identity is held, if this host's right
 // has not ended meanwhile.
-func (r *Reducer) goOn(q *request) {
+func (r *Reducer) resumeRequest(q *request) {
 	switch q.state {
 	case stateWitnessing:
-		if r.permission(placer.BucketOf(q.hash), q.service) != permissionWait {
+		if r.checkPermission(placer.BucketOf(q.hash), q.service) != permissionWait {
 			r.send(q)
 		}
 	case stateRefusing:
-		if r.permission(placer.BucketOf(q.hash), q.service) == permissionWait {
+		if r.checkPermission(placer.BucketOf(q.hash), q.service) == permissionWait {
 			q.outcome = OutcomeUnknown
 		}
-		r.conclude(q)
-	case stateQueued, stateSent, stateOrphan, stateAnswered, stateRefused:
+		r.sendFinalReply(q)
+	case stateQueued, stateSent, stateInDoubt, stateAnswered, stateRefused:
 	}
 }
 
-// witnessTick repeats messages that may be lost, and moves requests whose
+// advanceWitnesses repeats messages that may be lost, and moves requests whose
 // successor is no longer the one that was asked.
-func (r *Reducer) witnessTick() {
+func (r *Reducer) advanceWitnesses() {
 	for _, peer := range r.detector.Cell() {
 		link, ok := r.witnessLinks[peer]
 		if !ok {
 			continue
 		}
-		r.moveWitness(peer, link)
+		r.reassignWitness(peer, link)
 		if len(link.unacked) > 0 && link.resendDeadline.Passed(r.now) {
 			r.sendWitness(peer, link)
 		}
@@ -300,9 +300,9 @@
 	}
 }
 
-// moveWitness asks the next successor instead of one that was given up or left,
+// reassignWitness asks the next successor instead of one that was given up or left,
 // or sends without one. The requests are safe to send: nobody has sent them yet.
-func (r *Reducer) moveWitness(peer string, link *witnessLink) {
+func (r *Reducer) reassignWitness(peer string, link *witnessLink) {
 	waiting := append(slices.Clone(link.unacked), link.pending...)
 	if len(waiting) == 0 || r.successorOf(placer.BucketOf(waiting[0].hash)) == peer {
 		return
@@ -310,9 +310,9 @@
 	link.unacked = link.unacked[:0]
 	link.pending = link.pending[:0]
 	for _, q := range waiting {
-		waits := q.state == stateWitnessing || q.state == stateRefusing
-		if waits && q.heldBy == peer && !r.askWitness(q) {
-			r.goOn(q)
+		stillWaiting := q.state == stateWitnessing || q.state == stateRefusing
+		if stillWaiting && q.witness == peer && !r.sendToWitness(q) {
+			r.resumeRequest(q)
 		}
 	}
 }
--- a/operator/internal/printer/printer.go
+++ b/operator/internal/printer/printer.go
@@ -227,7 +227,7 @@
 	return p.print(flows, func(w io.Writer) {
 		row(w, "CALLER", "SERVICE", "TARGET", "LONG", "EXCEPTION", "OWNER")
 		for _, f := range flows {
-			row(w, f.Caller, f.Service, f.Target, f.Long, f.Exception, f.Owner)
+			row(w, f.Caller, f.Service, f.Target, f.LongLived, f.Exception, f.Owner)
 		}
 	})
 }
--- a/scripts/red.sh
+++ b/scripts/red.sh
@@ -44,61 +44,59 @@
 		return r.placeFlow(in)' 'if true {
 		_ = f
 		_ = known
-		return r.placeFlow(in)' TestEstablishedFlowsSurvivePlannedChange
-without "earlier tables" reducer/target.go 'for i := 1; i < len(s.tables); i++ {' 'for i := 1; i < 0; i++ {' TestUnknownFlowsGoWhereTheyWouldHaveBeenPut
-without "the handover of flows" reducer/handover.go 'if r.nextOwnerIs(to, hash) {
+		return r.placeFlow(in)' TestEstablishedFlowsKeepTargetAcrossPlannedChanges
+without "earlier tables" reducer/target.go 'for i := 1; i < len(s.tables); i++ {' 'for i := 1; i < 0; i++ {' TestUnknownFlowUsesPreviousPlacement
+without "the handover of flows" reducer/handover.go 'if r.isNextOwner(to, hash) {
 				h.flows' 'if _ = hash; false {
-				h.flows' TestEstablishedFlowsSurvivePlannedChange
+				h.flows' TestEstablishedFlowsKeepTargetAcrossPlannedChanges
 without "copies of exceptions" reducer/exceptions.go 'if r.copyTokens < flowRecordBytes ||' 'if true ||' TestSuccessorKnowsExceptions
 without "the quarantine of addresses" reducer/target.go 'addressQuarantine = 18 * time.Second' 'addressQuarantine = 0 * time.Second' TestNoPacketCrossesServices
-without "the check of an answer's sender" reducer/route.go '|| !s.knows(e.Target, r.lastUse) {' '{' TestAnswersOfStrangersAreDropped
-without "the return address" reducer/answer.go 'r.deliver(in)
+without "the check of an answer's sender" reducer/route.go '|| !s.acceptsResponsesFrom(e.Target, r.addressUses) {' '{' TestResponsesFromUnknownTargetsDropped
+without "the return address" reducer/answer.go 'r.deliverToCaller(in)
 		return
 	}
 	if in.packet' 'return
 	}
-	if in.packet' TestAnswerFindsItsCallerAfterTheOwnerDied
+	if in.packet' TestResponseReachesCallerAfterOwnerFailure
 without "memory of given-up requests" reducer/answer.go 'r.count(DropLateAnswer)
 	}
-}
-
-// answerToEarlier' 'r.deliver(in)
+}' 'r.deliverToCaller(in)
 	}
 }
 
-// answerToEarlier' 'TestLateAnswerDoesNotReachThePortsNextUser|TestLateAnswerDoesNotMeetALaterRequest'
-without "held identities of refusals" reducer/refusal.go 'if outcome == OutcomeUnknown || !q.nonIdempotent() {' 'if true {' 'TestRefusedAsNotRunDidNotRun|TestTwoSidesOfAPartitionRunOnce'
+// answerToEarlier' 'TestLateResponseNotDeliveredToNextUserOfPort|TestLateResponseNotMatchedToLaterRequest'
+without "held identities of refusals" reducer/refusal.go 'if outcome == OutcomeUnknown || !q.nonIdempotent() {' 'if true {' 'TestNotRunRefusalNeverRan|TestPartitionRunsRequestsOnce'
 without "held identities of requests" reducer/witness.go 'if successor == "" {
 		r.count' 'if true {
-		r.count' TestRepeatAfterTheOwnerDiedRunsOnce
-without "the quorum" detector/quorum.go 'if !d.isQuorum(d.membership, d.countsForSelf, leased) {' 'if false {' TestTwoSidesOfAPartitionRunOnce
+		r.count' TestRetransmissionAfterOwnerFailureRunsOnce
+without "the quorum" detector/quorum.go 'if !d.isQuorum(d.membership, d.countsForSelf, leased) {' 'if false {' TestPartitionRunsRequestsOnce
 without "leases that end" detector/quorum.go 'if m.leaseDeadline.Passed(now) {
 		return nil' 'if false {
-		return nil' TestPausedOwnerWakesAndRunsNothingAgain
-without "dropping stale datagrams" reducer/route.go 'if arrived.Add(staleAfter).Passed(r.now) {' 'if false {' TestPausedOwnerWakesAndRunsNothingAgain
+		return nil' TestResumedOwnerRunsNothingTwice
+without "dropping stale datagrams" reducer/route.go 'if arrived.Add(staleAfter).Passed(r.now) {' 'if false {' TestResumedOwnerRunsNothingTwice
 without "asking first after a sleep" reducer/isolation.go 'if r.inContact() {
 		return true
 	}
 	since' 'if true {
 		return true
 	}
-	since' TestLeavingTargetGetsNoNewWork
-without "moving new work off a draining target" reducer/pinning.go 't.policy.State == resolver.TargetActive &&' 't.policy.State != resolver.TargetState(99) &&' TestLeavingTargetGetsNoNewWork
-without "the handover before the end" reducer/leaving.go 'if r.settings == nil || !r.joining.over {
-		r.end()' 'if true {
-		r.end()' TestGracefulShutdownCutsNothing
-without "votes that are left behind" reducer/handover.go 'chunk.Votes, chunk.DeniedRecipients = r.detector.ReleaseVotes(to, h.leaving)' 'r.detector.ReleaseVotes(to, h.leaving)' TestGracefulShutdownCutsNothing
+	since' TestDrainingTargetGetsNoNewWork
+without "moving new work off a draining target" reducer/pinning.go 't.policy.State == resolver.TargetActive &&' 't.policy.State != resolver.TargetState(99) &&' TestDrainingTargetGetsNoNewWork
+without "the handover before the end" reducer/leaving.go 'if r.settings == nil || !r.joining.ready {
+		r.finishLeaving()' 'if true {
+		r.finishLeaving()' TestGracefulShutdownLosesNoRequests
+without "votes that are left behind" reducer/handover.go 'chunk.Votes, chunk.DeniedRecipients = r.detector.ReleaseVotes(to, h.leaving)' 'r.detector.ReleaseVotes(to, h.leaving)' TestGracefulShutdownLosesNoRequests
 without "votes that count at once" detector/votes.go 'return !v.refuses(d.self, d.incarnation)' 'return v.countsAgainstFrom.Passed(d.now)' TestRollingReplacementRefusesNothing
-without "the way around a broken link" reducer/witness.go 'if r.detector.State(peer).Liveness == messenger.LivenessAlive {' 'if true {' TestOneBrokenLinkInACellRefusesNothing
-without "the limit of a tenant" reducer/dispatch.go 'if r.tenantLoad[tenant] >= policy.MaxTenantInFlight {' 'if r.tenantLoad[tenant] < 0 {' TestOneTenantCannotTakeAllPlaces
-without "shedding what would be late" reducer/dispatch.go 'case r.now.Add(t.expectedWait(r.now)) >= q.deadline:' 'case false:' TestWhatWouldBeLateIsRefusedAtOnce
-without "the comparison of revisions" reducer/adoption.go 'if revision <= r.Revision() ||' 'if revision == r.Revision() ||' TestRevisionIsInForceEverywhereAndStays
-without "learning settings from peers" reducer/adoption.go 'if host == "" || highest' 'if true || host == "" || highest' TestRevisionIsInForceEverywhereAndStays
-without "asking other hosts at the start" reducer/adoption.go 'if len(r.seeds) == 0 ||' 'if true ||' TestRevisionIsInForceEverywhereAndStays
-without "few watchers" reducer/adoption.go 'watch := !ok || ahead < watchersPerZone' 'watch := !ok || ahead >= 0' TestFewHostsOfAZoneRead
-without "a fallback that keeps nothing" reducer/request.go 'if role == roleFallback {' 'if false {' TestHostWithoutPeersKeepsNoPlacesTaken
-without "the wait for other hosts" reducer/joining.go 'if r.startedAt.Add(acquaintanceSpan).Passed(r.now) {' 'if true {' TestStartingHostTakesNoPacketsBeforeItKnowsTheOthers
-without "what successors hold for others" reducer/handover.go 'if !r.unsentFor(id, body.WitnessedIdentities) {' 'if true {' TestUnsentRequestIsRunThoughItsIdentityComesToo
+without "the way around a broken link" reducer/witness.go 'if r.detector.State(peer).Liveness == messenger.LivenessAlive {' 'if true {' TestSingleLinkFailureInCellRefusesNothing
+without "the limit of a tenant" reducer/dispatch.go 'if r.tenantInFlight[tenant] >= policy.MaxTenantInFlight {' 'if r.tenantInFlight[tenant] < 0 {' TestTenantCannotTakeAllSlots
+without "shedding what would be late" reducer/dispatch.go 'case r.now.Add(t.expectedWait(r.now)) >= q.deadline:' 'case false:' TestRequestThatWouldMissDeadlineRefusedImmediately
+without "the comparison of revisions" reducer/adoption.go 'if revision <= r.Revision() ||' 'if revision == r.Revision() ||' TestRevisionReachesAllHostsAndIsNeverReverted
+without "learning settings from peers" reducer/adoption.go 'if host == "" || highest' 'if true || host == "" || highest' TestRevisionReachesAllHostsAndIsNeverReverted
+without "asking other hosts at the start" reducer/adoption.go 'if len(r.seedHosts) == 0 ||' 'if true ||' TestRevisionReachesAllHostsAndIsNeverReverted
+without "few watchers" reducer/adoption.go 'watch := !ok || watchersAhead < watchersPerZone' 'watch := !ok || watchersAhead >= 0' TestOnlyWatchersReadPlatform
+without "a fallback that keeps nothing" reducer/request.go 'if role == roleFallback {' 'if false {' TestHostWithoutPeersReleasesTargetSlots
+without "the wait for other hosts" reducer/joining.go 'if r.startedAt.Add(peerDiscoveryTimeout).Passed(r.now) {' 'if true {' TestStartingHostAcceptsNoPacketsBeforePeerDiscovery
+without "what successors hold for others" reducer/handover.go 'if !r.isKnownUnsent(id, body.WitnessedIdentities) {' 'if true {' TestUnsentRequestRunsDespiteWitnessedIdentity
 
 package=steerer
 without "the target's tag" steerer/steering.go 'to, ok := s.targets.byTag[p.Tag]' 'to, ok := s.choose(choice{service: "ledger", hash: key.hash()}), true' 'TestFlowStaysOnItsTargetAtAnyHost|TestFleetAgainstOracle'
--- a/standin/internal/measurer/measurer.go
+++ b/standin/internal/measurer/measurer.go
@@ -192,7 +192,7 @@
 	host := reducer.New(reducer.Config{Self: "a1", Incarnation: 1, Seed: 1, Timing: detector.DefaultTiming(), Start: now})
 	host.Reduce(&reducer.SettingsPublished{At: now, Revision: 1, Document: tree.Document()})
 	for !host.Ready() {
-		now = now.Add(reducer.TickEvery)
+		now = now.Add(reducer.TickInterval)
 		host.Reduce(&reducer.Tick{At: now})
 	}
 	before := heap()
@@ -211,7 +211,7 @@
 	}
 	point.Packet = time.Since(began) / packets
 	for range 256 {
-		now = now.Add(reducer.TickEvery)
+		now = now.Add(reducer.TickInterval)
 		began = time.Now()
 		host.Reduce(&reducer.Tick{At: now})
 		point.SweepTick = max(point.SweepTick, time.Since(began))
@@ -248,7 +248,7 @@
 		id := driver.RequestID{Caller: flowPacket(n, 0).Caller, Service: driver.ServiceAddress(1)}
 		f.Call(f.Reducer("a1").Owner(keyOf(id)), id, messenger.Packet{Kind: messenger.KindControl})
 		if n%1000 == 0 {
-			f.Step(reducer.TickEvery)
+			f.Step(reducer.TickInterval)
 		}
 	}
 	f.Step(time.Second)
@@ -281,7 +281,7 @@
 	f.Measure = true
 	const span = 4 * time.Second
 	idle := measureBytes(f, func() { f.Step(span) })
-	perTick := max(1, aSecond*int(reducer.TickEvery)/int(time.Second))
+	perTick := max(1, aSecond*int(reducer.TickInterval)/int(time.Second))
 	n := 0
 	busy := measureBytes(f, func() {
 		for end := f.Now.Add(span); f.Now < end; {
@@ -290,7 +290,7 @@
 				id := driver.RequestID{Caller: flowPacket(n, 0).Caller, Service: driver.ServiceAddress(1), Exchange: messenger.Exchange{MessageID: uint16(n), Token: uint64(n), TokenLength: 8}}
 				f.CallAfter(time.Duration(n%20)*time.Millisecond, "", id, messenger.Packet{Kind: messenger.KindRequest, Flags: messenger.FlagOpensFlow})
 			}
-			f.Step(reducer.TickEvery)
+			f.Step(reducer.TickInterval)
 		}
 	})
 	return RequestPoint{ASecond: n * int(time.Second) / int(span), BytesARequest: float64(busy-idle) / float64(n)}
