--- a/balancer/internal/exchanger/exchanger.go
+++ b/balancer/internal/exchanger/exchanger.go
@@ -196,12 +196,12 @@
 }
 
 // Ask sends a question; the answer, or why there is none, becomes an event.
-func (x *Exchanger) Ask(ctx context.Context, e *steerer.AskHost) {
+func (x *Exchanger) Ask(ctx context.Context, e *steerer.SendSyncRequest) {
 	x.calls.Add(1)
 	ask := *e
 	go func() {
 		defer x.calls.Done()
-		event := &steerer.HostAnswered{From: ask.Host}
+		event := &steerer.SyncResponseReceived{From: ask.Host}
 		event.Knowledge, event.Err = x.exchange(ctx, &ask)
 		if event.Err == nil && len(event.Knowledge.CompressedSettings) > 0 {
 			event.Document, event.Settings, event.Err = x.unpack(event.Knowledge.CompressedSettings)
@@ -213,13 +213,13 @@
 	}()
 }
 
-func (x *Exchanger) exchange(ctx context.Context, ask *steerer.AskHost) (*messenger.SyncResponse, error) {
+func (x *Exchanger) exchange(ctx context.Context, ask *steerer.SendSyncRequest) (*messenger.SyncResponse, error) {
 	const op = "ask host"
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	ctx, giveUp := context.WithCancel(ctx)
 	defer giveUp()
-	unanswered := time.AfterFunc(ask.Patience, giveUp)
+	unanswered := time.AfterFunc(ask.Timeout, giveUp)
 	defer unanswered.Stop()
 	conn, response, err := websocket.Dial(ctx, "ws://"+ask.Address.String()+path, &websocket.DialOptions{HTTPClient: x.dial})
 	if response != nil && response.Body != nil {
--- a/balancer/internal/exchanger/exchanger_test.go
+++ b/balancer/internal/exchanger/exchanger_test.go
@@ -36,7 +36,7 @@
 }
 
 // exchange runs two hosts, one of which asks the other.
-func exchange(t *testing.T, answer Answerer) *steerer.HostAnswered {
+func exchange(t *testing.T, answer Answerer) *steerer.SyncResponseReceived {
 	t.Helper()
 	decode := func(document []byte) (*steerer.Settings, error) {
 		return steerer.NewSettings(uint64(len(document)), nil, nil, 0), nil
@@ -48,8 +48,8 @@
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	end := served.Run(ctx)
-	asking.Ask(ctx, &steerer.AskHost{Host: "b1", Address: netip.MustParseAddrPort(served.listener.Addr().String()), Request: &messenger.SyncRequest{IncludeTargets: true}, Patience: 500 * time.Millisecond})
-	event, ok := (<-events).(*steerer.HostAnswered)
+	asking.Ask(ctx, &steerer.SendSyncRequest{Host: "b1", Address: netip.MustParseAddrPort(served.listener.Addr().String()), Request: &messenger.SyncRequest{IncludeTargets: true}, Timeout: 500 * time.Millisecond})
+	event, ok := (<-events).(*steerer.SyncResponseReceived)
 	require.True(t, ok)
 	cancel()
 	require.NoError(t, <-end)
--- a/balancer/internal/fetcher/fetcher.go
+++ b/balancer/internal/fetcher/fetcher.go
@@ -71,8 +71,8 @@
 func (f *Fetcher) Probe(ctx context.Context, e *steerer.Probe) {
 	platform, probe := f.platform, *e
 	f.start(ctx, func(started timekeeper.Instant) steerer.Event {
-		outcome := platform.Check(ctx, probe.Target, probe.Address, probe.Path, probe.Patience)
-		return &steerer.Probed{Target: probe.Target, Born: probe.Born, Outcome: outcome, Took: time.Duration(f.clock() - started)}
+		outcome := platform.Check(ctx, probe.Target, probe.Address, probe.Path, probe.Timeout)
+		return &steerer.ProbeCompleted{Target: probe.Target, Incarnation: probe.Incarnation, Outcome: outcome, Took: time.Duration(f.clock() - started)}
 	})
 }
 
--- a/balancer/internal/flowrunner/flowrunner.go
+++ b/balancer/internal/flowrunner/flowrunner.go
@@ -90,23 +90,23 @@
 	r := &Runner{path: path, config: config, platform: platform, log: log, start: time.Now(), events: make(chan steerer.Event, eventQueue), meterer: meterer.New(), inspector: inspector.New[*steerer.Steerer]()}
 	incarnation := uint64(r.start.UnixMilli())
 	r.steerer = steerer.New(steerer.Config{
-		Self:               config.Name,
-		Address:            config.AdvertisedAddress,
-		AvailabilityZone:   config.AvailabilityZone,
-		Seeds:              config.Seeds,
-		Incarnation:        incarnation,
-		Seed:               incarnation,
-		FirstStart:         config.FirstStart,
-		SettingsWithin:     config.SettingsWithin,
-		DrainingWithin:     config.DrainingWithin,
-		EvacuatedWithin:    config.EvacuatedWithin,
-		Regions:            config.Regions,
-		ColdOverage:        config.ColdOverage,
-		ColdAllowance:      config.ColdAllowance,
-		Quotas:             config.Quotas,
-		MaxFlows:           int(float64(config.MemoryBytes) * flowShare / flowBytes),
-		LinkBytesPerSecond: config.LinkBytesPerSecond,
-		Start:              r.now(),
+		Self:                       config.Name,
+		Address:                    config.AdvertisedAddress,
+		AvailabilityZone:           config.AvailabilityZone,
+		Seeds:                      config.Seeds,
+		Incarnation:                incarnation,
+		Seed:                       incarnation,
+		Bootstrap:                  config.FirstStart,
+		SettingsPropagationLimit:   config.SettingsWithin,
+		DrainingPropagationLimit:   config.DrainingWithin,
+		EvacuationPropagationLimit: config.EvacuatedWithin,
+		Regions:                    config.Regions,
+		ColdBurstFactor:            config.ColdOverage,
+		ColdBurstAllowance:         config.ColdAllowance,
+		Quotas:                     config.Quotas,
+		MaxFlows:                   int(float64(config.MemoryBytes) * flowShare / flowBytes),
+		LinkBytesPerSecond:         config.LinkBytesPerSecond,
+		Start:                      r.now(),
 	})
 	var err error
 	if r.forwarder, err = forwarder.New(config.PacketAddress, platform.Codec, platform.MaxDatagramBytes, r.events); err != nil {
@@ -128,7 +128,7 @@
 		return nil, errors.Wrap(err, "start")
 	}
 	r.metrics.exporter.Mux.HandleFunc("GET /targets", serveState(r, (*steerer.Steerer).TargetStatuses))
-	r.metrics.exporter.Mux.HandleFunc("GET /knowledge", serveState(r, (*steerer.Steerer).KnowledgeStatus))
+	r.metrics.exporter.Mux.HandleFunc("GET /knowledge", serveState(r, (*steerer.Steerer).SyncStatus))
 	r.metrics.latencies = map[string]tally.Histogram{}
 	r.transport = r.transportCounters()
 	return r, nil
@@ -149,7 +149,7 @@
 // knowledge answers another host's question.
 func (r *Runner) knowledge(ctx context.Context, request *messenger.SyncRequest) (*messenger.SyncResponse, error) {
 	var knowledge *messenger.SyncResponse
-	err := r.inspector.Inspect(ctx, func(s *steerer.Steerer) { knowledge = s.Knowledge(request) })
+	err := r.inspector.Inspect(ctx, func(s *steerer.Steerer) { knowledge = s.SyncResponse(request) })
 	return knowledge, err
 }
 
@@ -177,7 +177,7 @@
 
 // loop is the only place that touches the steerer.
 func (r *Runner) loop(ctx context.Context, leave <-chan struct{}, failed <-chan error) error {
-	ticker := time.NewTicker(steerer.TickEvery)
+	ticker := time.NewTicker(steerer.TickInterval)
 	defer ticker.Stop()
 	if r.handle(ctx, &steerer.Tick{}) { // The first reads need not wait for the ticker.
 		return nil
@@ -226,7 +226,7 @@
 
 // handle takes in one event and reports whether the host has left.
 func (r *Runner) handle(ctx context.Context, event steerer.Event) bool {
-	steerer.Stamp(event, r.now())
+	steerer.SetTime(event, r.now())
 	ended := r.carryOut(ctx, r.steerer.Reduce(event))
 	if packet, ok := event.(*steerer.CallerPacket); ok {
 		r.forwarder.Release(packet)
@@ -244,7 +244,7 @@
 	ended := false
 	for _, effect := range effects {
 		switch e := effect.(type) {
-		case *steerer.ToTarget:
+		case *steerer.ForwardPacket:
 			r.forwarder.ToTarget(e)
 		case *steerer.ResetFlow:
 			r.forwarder.Reset(e)
@@ -256,15 +256,15 @@
 			r.fetcher.Probe(ctx, e)
 		case *steerer.SendReport:
 			r.gossiper.Send(e)
-		case *steerer.AskHost:
+		case *steerer.SendSyncRequest:
 			r.exchanger.Ask(ctx, e)
-		case *steerer.Answered:
+		case *steerer.ObserveLatency:
 			r.metrics.answered(e)
-		case *steerer.Logged:
+		case *steerer.WriteLog:
 			if r.log.Allow() {
 				r.log.Write(e.Event, logger.Fields(e.Line)...)
 			}
-		case *steerer.Ended:
+		case *steerer.Exit:
 			ended = true
 		}
 	}
--- a/balancer/internal/flowrunner/metrics.go
+++ b/balancer/internal/flowrunner/metrics.go
@@ -28,7 +28,7 @@
 
 // answered records how long a request took until its caller acknowledged the
 // answer's first bytes, as seen from this host.
-func (m *metrics) answered(e *steerer.Answered) {
+func (m *metrics) answered(e *steerer.ObserveLatency) {
 	name := e.Route.Name
 	histogram, ok := m.latencies[name]
 	if !ok && len(m.latencies) >= maxRoutes {
@@ -49,7 +49,7 @@
 		return // The host is about to end.
 	}
 	e := r.metrics.exporter
-	snapshot.Counts.Each(func(name string, value uint64) { e.Count("decisions", name, value) })
+	snapshot.Counters.Each(func(name string, value uint64) { e.Count("decisions", name, value) })
 	for name, read := range r.transport {
 		e.Count("transport", name, read())
 	}
@@ -65,14 +65,14 @@
 	e.Scope.Gauge("store_era").Update(float64(snapshot.Era))
 	e.Scope.Gauge("settings_age_seconds").Update(snapshot.SettingsAge.Seconds())
 	e.Scope.Gauge("targets_age_seconds").Update(snapshot.TargetsAge.Seconds())
-	e.Scope.Gauge("requests_paced").Update(float64(snapshot.Paced))
+	e.Scope.Gauge("requests_paced").Update(float64(snapshot.Queued))
 	e.Scope.Gauge("callers_kept").Update(float64(snapshot.Callers))
-	e.Scope.Gauge("services_pressed").Update(float64(snapshot.Pressed))
-	e.Scope.Gauge("services_short").Update(float64(snapshot.Short))
-	e.Scope.Gauge("fullest_service_room_slots").Update(snapshot.Room)
+	e.Scope.Gauge("services_pressed").Update(float64(snapshot.Congested))
+	e.Scope.Gauge("services_short").Update(float64(snapshot.Overloaded))
+	e.Scope.Gauge("fullest_service_room_slots").Update(snapshot.Capacity)
 	e.Scope.Gauge("fullest_service_demand_slots").Update(snapshot.Demand)
 	e.Scope.Gauge("connections").Update(float64(snapshot.Connections))
-	e.Scope.Gauge("connection_places").Update(float64(snapshot.ConnectionPlaces))
+	e.Scope.Gauge("connection_places").Update(float64(snapshot.ConnectionCapacity))
 	e.Scope.Gauge("ready").Update(exporter.OneIf(snapshot.Ready))
 }
 
--- a/balancer/internal/forwarder/forwarder.go
+++ b/balancer/internal/forwarder/forwarder.go
@@ -38,7 +38,7 @@
 // Codec reads and writes packets.
 type Codec interface {
 	Decode(data []byte) (steerer.Packet, error)
-	AppendToTarget(buffer []byte, e *steerer.ToTarget) []byte
+	AppendToTarget(buffer []byte, e *steerer.ForwardPacket) []byte
 	AppendReset(buffer []byte, e *steerer.ResetFlow) []byte
 }
 
@@ -124,7 +124,7 @@
 }
 
 // ToTarget passes a packet on. Only one goroutine may send.
-func (f *Forwarder) ToTarget(e *steerer.ToTarget) {
+func (f *Forwarder) ToTarget(e *steerer.ForwardPacket) {
 	f.out = f.codec.AppendToTarget(f.out[:0], e)
 	f.send(e.Address)
 }
--- a/core/steerer/asking.go
+++ b/core/steerer/asking.go
@@ -9,56 +9,56 @@
 )
 
 const (
-	// askEvery is the least time between the beginnings of two questions to other
-	// hosts, askRetryPause the mean pause after one that failed. A host that turns another
+	// syncInterval is the least time between the beginnings of two questions to other
+	// hosts, syncRetryDelay the mean pause after one that failed. A host that turns another
 	// away does so at once, and the next has room.
-	askEvery      = 300 * time.Millisecond
-	askRetryPause = 100 * time.Millisecond
-	// firstReadPatience is how long a host that has just started waits for its own
+	syncInterval   = 300 * time.Millisecond
+	syncRetryDelay = 100 * time.Millisecond
+	// firstReadGrace is how long a host that has just started waits for its own
 	// first reads before it asks others: the platform answers in some milliseconds.
-	firstReadPatience = 100 * time.Millisecond
-	// usualAnswerPatience is how long a host may take to begin its answer. That takes three
+	firstReadGrace = 100 * time.Millisecond
+	// syncTimeout is how long a host may take to begin its answer. That takes three
 	// round trips, and a few tens of milliseconds of a small processor to compress what is
 	// told. While packets wait in this host's own link, by a few hundred milliseconds each
-	// way, it is slowAnswerPatience.
-	usualAnswerPatience = 500 * time.Millisecond
-	slowAnswerPatience  = 2 * time.Second
-	// behindShare and behindSpread say how long a host that has heard of newer settings
+	// way, it is syncTimeoutSlowLink.
+	syncTimeout         = 500 * time.Millisecond
+	syncTimeoutSlowLink = 2 * time.Second
+	// settingsSyncShare and settingsSyncSpread say how long a host that has heard of newer settings
 	// asks others before it reads the platform: at most from 0.3 to 0.5 of the time in
 	// which settings must be known, each host at its own part. Half is left for the read.
-	behindShare  = 0.3
-	behindSpread = 0.2
-	// askPatience is how long this host waits for reports to tell it all up to a position
+	settingsSyncShare  = 0.3
+	settingsSyncSpread = 0.2
+	// targetsLagTolerance is how long this host waits for reports to tell it all up to a position
 	// that another has reached before it asks. Mostly they do: each change is repeated for
 	// longer.
-	askPatience = 500 * time.Millisecond
+	targetsLagTolerance = 500 * time.Millisecond
 )
 
-// asking is the state of this host's questions to others.
-type asking struct {
-	// asked says that a question is under way; each is answered or fails.
-	asked bool
-	// deadline is when the next question may be sent.
-	deadline timekeeper.Instant
-	// behindSince is since when another host is known to have newer settings; 0 if
+// peerSync is the state of this host's questions to others.
+type peerSync struct {
+	// inFlight says that a question is under way; each is answered or fails.
+	inFlight bool
+	// nextRequest is when the next question may be sent.
+	nextRequest timekeeper.Instant
+	// settingsBehindSince is since when another host is known to have newer settings; 0 if
 	// none is.
-	behindSince timekeeper.Instant
-	// awaited is a position up to which some host knows all targets, and this one does not
+	settingsBehindSince timekeeper.Instant
+	// awaitedPosition is a position up to which some host knows all targets, and this one does not
 	// since awaitedSince; 0 if there is none.
-	awaited      sequencer.Position
-	awaitedSince timekeeper.Instant
-	// goneLearned says that another host has told which targets are gone.
-	goneLearned bool
+	awaitedPosition sequencer.Position
+	awaitedSince    timekeeper.Instant
+	// missingTargetsKnown says that another host has told which targets are gone.
+	missingTargetsKnown bool
 }
 
-// noteBehind remembers that another host has newer settings.
-func (s *Steerer) noteBehind() {
-	if s.asking.behindSince == 0 {
-		s.asking.behindSince = s.now
+// recordNewerSettings remembers that another host has newer settings.
+func (s *Steerer) recordNewerSettings() {
+	if s.asking.settingsBehindSince == 0 {
+		s.asking.settingsBehindSince = s.now
 	}
 }
 
-// askingTick asks another host for what this one lacks, and the platform only if
+// syncTick asks another host for what this one lacks, and the platform only if
 // nobody answers.
 //
 // What goes wrong otherwise: a host that starts while the platform is down, or
@@ -67,129 +67,129 @@
 // host of the fleet calls the platform at once.
 //
 // One question is under way at a time: a document of some hundred KB takes a small link
-// for longer than askEvery, and several that come at once all come late.
-func (s *Steerer) askingTick() {
-	s.readIfLeftBehind()
-	if s.awaitsFirstReads() || s.asking.asked || !s.asking.deadline.Passed(s.now) {
+// for longer than syncInterval, and several that come at once all come late.
+func (s *Steerer) syncTick() {
+	s.readIfPeersDoNotSync()
+	if s.awaitingFirstReads() || s.asking.inFlight || !s.asking.nextRequest.Passed(s.now) {
 		return
 	}
-	p := s.informant()
+	p := s.syncPeer()
 	if p == nil {
-		p = s.goneInformant()
+		p = s.pickMissingTargetsPeer()
 	}
 	if p == nil {
 		return
 	}
-	s.asking.asked = true
-	s.asking.deadline = s.now.Add(askEvery)
+	s.asking.inFlight = true
+	s.asking.nextRequest = s.now.Add(syncInterval)
 	request := &messenger.SyncRequest{
-		SettingsNewerThan: s.version(), IncludeTargets: s.lacksTargets(), IncludeMissing: s.wantsGone(),
+		SettingsNewerThan: s.version(), IncludeTargets: s.needsTargets(), IncludeMissing: s.needsMissingTargets(),
 		TargetsSince: s.targetsPosition.Revision, TargetsSinceEra: s.targetsPosition.Era,
 	}
-	s.log("hostAsked", field("peer", p.name), field("version", utoa(s.version())), field("peerVersion", utoa(p.version)),
-		field("targets", btoa(request.IncludeTargets)), field("revision", s.targetsPosition.String()), field("peerRevision", p.position.String()))
-	s.emit(&AskHost{Host: p.name, Address: p.address, Request: request, Patience: s.answerPatience()})
+	s.log("hostAsked", field("peer", p.name), field("version", formatUint(s.version())), field("peerVersion", formatUint(p.version)),
+		field("targets", formatBool(request.IncludeTargets)), field("revision", s.targetsPosition.String()), field("peerRevision", p.position.String()))
+	s.emit(&SendSyncRequest{Host: p.name, Address: p.address, Request: request, Timeout: s.syncResponseTimeout()})
 }
 
-// answerPatience is how long the next question may go without the beginning of an answer.
+// syncResponseTimeout is how long the next question may go without the beginning of an answer.
 //
 // What goes wrong with a fixed one: a host whose link is full of uploads asks one host
 // after the other, gives each up while its answer is on the way, and fills its link with
 // beginnings. One notices by a host that gets no answer from anybody for seconds, while
 // its reports arrive.
-func (s *Steerer) answerPatience() time.Duration {
+func (s *Steerer) syncResponseTimeout() time.Duration {
 	if s.path.slow(s.now) {
-		return slowAnswerPatience
+		return syncTimeoutSlowLink
 	}
-	return usualAnswerPatience
+	return syncTimeout
 }
 
-// awaitsFirstReads reports whether the first reads after this host's start may still come in
+// awaitingFirstReads reports whether the first reads after this host's start may still come in
 // time to spare others a question.
-func (s *Steerer) awaitsFirstReads() bool {
+func (s *Steerer) awaitingFirstReads() bool {
 	reading := s.reading.settings.reading || s.reading.targets.reading
-	return reading && !s.config.Start.Add(firstReadPatience).Passed(s.now)
+	return reading && !s.config.Start.Add(firstReadGrace).Passed(s.now)
 }
 
-// readIfLeftBehind has this host read the platform if nobody has told it the newer
+// readIfPeersDoNotSync has this host read the platform if nobody has told it the newer
 // settings that it has heard of.
 //
 // What goes wrong if it does so sooner: after each change the whole fleet reads the
 // document, of some hundred KB, from the platform at once, though others have it
 // compressed and nearer by.
-func (s *Steerer) readIfLeftBehind() {
+func (s *Steerer) readIfPeersDoNotSync() {
 	a := &s.asking
-	if a.behindSince == 0 {
+	if a.settingsBehindSince == 0 {
 		return
 	}
-	if a.behindSince.Add(s.behindPatience()).Passed(s.now) {
+	if a.settingsBehindSince.Add(s.settingsSyncTimeout()).Passed(s.now) {
 		s.reading.settings.urgent = true
-		a.behindSince = s.now
+		a.settingsBehindSince = s.now
 	}
 }
 
-// behindPatience is how long this host asks others for newer settings before it reads
+// settingsSyncTimeout is how long this host asks others for newer settings before it reads
 // them itself. By the time that it hears of them the first reader has asked for them,
 // and has taken them in; the rest has to do for its own read.
-func (s *Steerer) behindPatience() time.Duration {
-	within, transfer := s.publishedWithin(), s.transferTime()
-	share := behindShare + behindSpread*s.ownPart()
-	left := within - firstPatience(within, transfer) - 2*transfer - portion(within, newsShare)
-	return boundedWait(within, share, left)
+func (s *Steerer) settingsSyncTimeout() time.Duration {
+	within, transfer := s.settingsPropagationLimit(), s.transferTime()
+	share := settingsSyncShare + settingsSyncSpread*s.hostFraction()
+	remaining := within - firstReaderMaxAge(within, transfer) - 2*transfer - scale(within, propagationShare)
+	return boundedAge(within, share, remaining)
 }
 
-// informant picks a host that knows what this one lacks, in the own zone if there
+// syncPeer picks a host that knows what this one lacks, in the own zone if there
 // is one; nil if nothing is lacking or nobody knows it.
 //
 // What goes wrong if all pick the same: after a loss of all hosts everybody asks the
 // first one that knows, its link is full, and nobody is answered in time.
-func (s *Steerer) informant() *peer {
-	newest, position := uint64(0), sequencer.Position{}
+func (s *Steerer) syncPeer() *peer {
+	newestVersion, position := uint64(0), sequencer.Position{}
 	for _, p := range s.peers.recent {
-		if p.hears(s.now) && p.position.Known() {
-			newest = max(newest, p.version)
+		if p.reportedRecently(s.now) && p.position.Known() {
+			newestVersion = max(newestVersion, p.version)
 			position = position.Later(p.position)
 		}
 	}
-	s.await(position)
+	s.trackAwaitedPosition(position)
 	if s.inEndedEra() {
-		return s.pickInformant(newest)
+		return s.pickSyncPeer(newestVersion)
 	}
-	if newest < s.version() || (s.settings != nil && newest == s.version() && !s.lacksTargets()) {
+	if newestVersion < s.version() || (s.settings != nil && newestVersion == s.version() && !s.needsTargets()) {
 		return nil
 	}
-	return s.pickInformant(newest)
+	return s.pickSyncPeer(newestVersion)
 }
 
-// pickInformant picks one of the hosts with the newest settings, and newer targets
+// pickSyncPeer picks one of the hosts with the newest settings, and newer targets
 // if those are lacking, at random.
-func (s *Steerer) pickInformant(newest uint64) *peer {
-	var near, far []*peer
+func (s *Steerer) pickSyncPeer(newest uint64) *peer {
+	var sameZone, otherZones []*peer
 	for _, p := range s.peers.recent {
-		if !s.canTell(p, newest) {
+		if !s.hasNewerState(p, newest) {
 			continue
 		}
 		if p.zone == s.config.AvailabilityZone {
-			near = append(near, p)
+			sameZone = append(sameZone, p)
 		} else {
-			far = append(far, p)
+			otherZones = append(otherZones, p)
 		}
 	}
-	if len(near) == 0 {
-		near = far
+	if len(sameZone) == 0 {
+		sameZone = otherZones
 	}
-	if len(near) == 0 {
+	if len(sameZone) == 0 {
 		return nil
 	}
-	return near[s.random.IntN(len(near))]
+	return sameZone[s.random.IntN(len(sameZone))]
 }
 
-// canTell reports whether a host knows what this one lacks, if newest is the newest version
+// hasNewerState reports whether a host knows what this one lacks, if newest is the newest version
 // of the settings that any has. A host that goes by targets of an era that has ended needs
 // those of the newest era more than settings.
-func (s *Steerer) canTell(p *peer, newest uint64) bool {
+func (s *Steerer) hasNewerState(p *peer, newest uint64) bool {
 	switch {
-	case !p.hears(s.now) || !p.position.Known():
+	case !p.reportedRecently(s.now) || !p.position.Known():
 		return false
 	case s.inEndedEra():
 		return p.position.Era == s.reading.era
@@ -199,24 +199,24 @@
 	return newest > s.version() || s.targetsPosition.Before(p.position)
 }
 
-// await remembers since when another host has known all targets up to a position that this
+// trackAwaitedPosition remembers since when another host has known all targets up to a position that this
 // host has not reached. Later positions begin the time anew: while targets change without
 // a pause there is always a later one.
-func (s *Steerer) await(newest sequencer.Position) {
+func (s *Steerer) trackAwaitedPosition(newest sequencer.Position) {
 	a := &s.asking
-	reached := a.awaitedSince != 0 && !s.targetsPosition.Before(a.awaited)
+	reached := a.awaitedSince != 0 && !s.targetsPosition.Before(a.awaitedPosition)
 	switch {
 	case !s.targetsPosition.Before(newest):
 		a.awaitedSince = 0
 	case reached || a.awaitedSince == 0:
-		a.awaited = newest
+		a.awaitedPosition = newest
 		a.awaitedSince = s.now
 	}
 }
 
-// lacksTargets reports whether others should be asked for their targets.
-func (s *Steerer) lacksTargets() bool {
-	behind := s.asking.awaitedSince != 0 && s.asking.awaitedSince.Add(askPatience).Passed(s.now)
+// needsTargets reports whether others should be asked for their targets.
+func (s *Steerer) needsTargets() bool {
+	behind := s.asking.awaitedSince != 0 && s.asking.awaitedSince.Add(targetsLagTolerance).Passed(s.now)
 	return !s.targetsPosition.Known() || s.inEndedEra() || behind
 }
 
@@ -228,61 +228,61 @@
 	return s.settings.Version
 }
 
-// hostAnswered takes in what another host knows. What this host learned itself
+// handleSyncResponse takes in what another host knows. What this host learned itself
 // meanwhile stays if it is newer.
-func (s *Steerer) hostAnswered(e *HostAnswered) {
-	s.asking.asked = false
+func (s *Steerer) handleSyncResponse(e *SyncResponseReceived) {
+	s.asking.inFlight = false
 	if e.Err != nil {
-		pause := time.Duration(float64(askRetryPause) * (0.5 + s.random.Float64()))
-		s.asking.deadline = s.now.Add(pause)
+		pause := time.Duration(float64(syncRetryDelay) * (0.5 + s.random.Float64()))
+		s.asking.nextRequest = s.now.Add(pause)
 		s.log("hostNotAnswering", field("peer", e.From), field("error", e.Err.Error()))
 		return
 	}
 	k := e.Knowledge
 	if k.MissingComplete {
-		s.takeGone(k, e.From)
+		s.applyMissingTargets(k, e.From)
 	}
 	if e.Settings != nil {
-		s.adopt(e.Settings, e.Document, e.From)
+		s.applySettings(e.Settings, e.Document, e.From)
 	}
 	if k.SettingsRevision == s.version() && k.SettingsRevision != 0 {
-		s.confirm(&s.reading.settings, reportedRead{k.SettingsReadNumber, k.SettingsEra, k.SettingsAge}, e.From)
+		s.applyConfirmation(&s.reading.settings, reportedRead{k.SettingsReadNumber, k.SettingsEra, k.SettingsAge}, e.From)
 	}
 	if k.TargetsRevision != 0 {
-		s.takeTargets(k, e.From)
+		s.applyPeerTargets(k, e.From)
 	}
 }
 
-// takeTargets takes in the targets that another host knows. An answer from a later era
+// applyPeerTargets takes in the targets that another host knows. An answer from a later era
 // than this host's targets is a whole list: changes lead from no era to another. One from
 // an era that has ended is better than nothing only.
-func (s *Steerer) takeTargets(k *messenger.SyncResponse, from string) {
+func (s *Steerer) applyPeerTargets(k *messenger.SyncResponse, from string) {
 	position := sequencer.At(k.TargetsEra, k.TargetsRevision)
 	if position.Era < s.reading.era && s.targetsPosition.Known() {
 		return
 	}
-	s.noteEra(position.Era, from)
+	s.recordEra(position.Era, from)
 	listed := make(map[string]bool, len(k.Targets))
 	for _, state := range k.Targets {
 		listed[state.ID] = !state.Missing
-		s.takeState(state, k.TargetsEra, from)
+		s.applyTargetState(state, k.TargetsEra, from)
 	}
 	if position.Before(s.targetsPosition) {
 		return
 	}
 	switch {
 	case k.Scope == messenger.ScopeFull, !position.ContinuesFrom(s.targetsPosition):
-		s.endList(listed, position, from)
+		s.completeTargetList(listed, position, from)
 	case k.Scope == messenger.ScopeDelta:
 		s.targetsPosition = position
 	default:
 		return // Something may be missing; a later read tells.
 	}
-	s.confirm(&s.reading.targets, reportedRead{k.TargetsReadNumber, k.TargetsEra, k.TargetsAge}, from)
+	s.applyConfirmation(&s.reading.targets, reportedRead{k.TargetsReadNumber, k.TargetsEra, k.TargetsAge}, from)
 }
 
-// Knowledge answers another host's question. The document is not compressed yet.
-func (s *Steerer) Knowledge(request *messenger.SyncRequest) *messenger.SyncResponse {
+// SyncResponse answers another host's question. The document is not compressed yet.
+func (s *Steerer) SyncResponse(request *messenger.SyncRequest) *messenger.SyncResponse {
 	k := &messenger.SyncResponse{
 		SettingsRevision:   s.version(),
 		SettingsAge:        age(s.now, s.reading.settings.confirmed),
@@ -294,7 +294,7 @@
 		k.CompressedSettings = s.document
 	}
 	if request.IncludeMissing {
-		k.MissingTargets = s.goneStates()
+		k.MissingTargets = s.missingTargetStates()
 		k.MissingComplete = true
 	}
 	if !request.IncludeTargets {
@@ -303,18 +303,18 @@
 	k.TargetsRevision = s.targetsPosition.Revision
 	k.TargetsAge = age(s.now, s.reading.targets.confirmed)
 	k.TargetsReadNumber = s.reading.targets.confirmedRead
-	var told []*target
-	told, k.Scope = s.toldSince(sequencer.At(request.TargetsSinceEra, request.TargetsSince))
-	for _, t := range told {
-		k.Targets = append(k.Targets, s.state(t))
+	var targets []*target
+	targets, k.Scope = s.targetsSince(sequencer.At(request.TargetsSinceEra, request.TargetsSince))
+	for _, t := range targets {
+		k.Targets = append(k.Targets, s.targetState(t))
 	}
 	return k
 }
 
-// toldSince lists the targets of which a host is told that knows all up to a position.
-func (s *Steerer) toldSince(position sequencer.Position) ([]*target, messenger.Scope) {
-	if s.targetsPosition.ContinuesFrom(position) && s.targets.history.reaches(position) {
-		return s.targets.seenAfter(position), messenger.ScopeDelta
+// targetsSince lists the targets of which a host is told that knows all up to a position.
+func (s *Steerer) targetsSince(position sequencer.Position) ([]*target, messenger.Scope) {
+	if s.targetsPosition.ContinuesFrom(position) && s.targets.history.covers(position) {
+		return s.targets.changedSince(position), messenger.ScopeDelta
 	}
 	return s.targets.ordered(), messenger.ScopeFull
 }
--- a/core/steerer/bench_test.go
+++ b/core/steerer/bench_test.go
@@ -17,13 +17,13 @@
 
 // loneHost is a host that knows some targets of ledger.
 func loneHost(targets, maxFlows int) *steerer.Steerer {
-	s := steerer.New(steerer.Config{Self: "a1", AvailabilityZone: "a", MaxFlows: maxFlows, SettingsWithin: 3 * time.Second, DrainingWithin: 3 * time.Second, Start: timekeeper.Instant(time.Second)})
+	s := steerer.New(steerer.Config{Self: "a1", AvailabilityZone: "a", MaxFlows: maxFlows, SettingsPropagationLimit: 3 * time.Second, DrainingPropagationLimit: 3 * time.Second, Start: timekeeper.Instant(time.Second)})
 	at := timekeeper.Instant(2 * time.Second)
-	s.Reduce(&steerer.SettingsRead{At: at, Started: at, Published: steerer.Published{Settings: settingsOf(1, routes())}})
+	s.Reduce(&steerer.SettingsRead{At: at, Started: at, Published: steerer.Published{Settings: newSettings(1, routes())}})
 	var list []steerer.Target
 	for n := range targets {
 		id := fmt.Sprintf("i-%08x", 0x10000000+n)
-		number, _ := steerer.NumberOf(id)
+		number, _ := steerer.ParseTargetNumber(id)
 		list = append(list, steerer.Target{ID: id, Number: number, Service: "ledger", AvailabilityZone: string(rune('a' + n%7)), Slots: 3})
 	}
 	s.Reduce(&steerer.TargetsRead{At: at, Started: at, List: steerer.TargetList{Position: sequencer.At(0, 1), Targets: list}})
@@ -47,15 +47,15 @@
 	}
 }
 
-// BenchmarkLaterPacket passes on a packet of a flow that is known.
-func BenchmarkLaterPacket(b *testing.B) {
+// BenchmarkEstablishedFlowPacket passes on a packet of a flow that is known.
+func BenchmarkEstablishedFlowPacket(b *testing.B) {
 	s := loneHost(150, 1<<20)
 	c := (&fleet{}).caller(1, readRoute)
 	at := timekeeper.Instant(3 * time.Second)
 	opened := c.packet(steerer.FlagOpen, 0, "open")
 	opened.Acknowledged = 0
 	for _, effect := range s.Reduce(&steerer.CallerPacket{At: at, Packet: opened}) {
-		if e, ok := effect.(*steerer.ToTarget); ok {
+		if e, ok := effect.(*steerer.ForwardPacket); ok {
 			c.tag = e.Tag
 		}
 	}
@@ -103,10 +103,10 @@
 		f.step(4 * time.Second)
 		bytes, reads := f.reportBytes/len(f.names)/4, f.reads
 		t.Logf("%d hosts: %d bytes a second and host sent, %.1f reads a second", len(f.names), bytes, float64(reads)/4)
-		f.settings = settingsOf(2, routes())
+		f.settings = newSettings(2, routes())
 		published := f.now
 		for slices.ContainsFunc(f.names, func(name string) bool { return f.hosts[name].steerer.Snapshot().Version < 2 }) {
-			f.step(steerer.TickEvery)
+			f.step(steerer.TickInterval)
 			require.Less(t, f.now.Since(published), 9*time.Second, "a change is in force everywhere")
 		}
 		t.Logf("%d hosts: a change in force everywhere after %s", len(f.names), f.now.Since(published))
@@ -115,7 +115,7 @@
 	}
 }
 
-func sealedBytes(t tester, e *steerer.SendReport) int {
+func sealedSize(t tester, e *steerer.SendReport) int {
 	data, err := encoder.New("a1", nil).Encode(e.Host, e.Report)
 	require.NoError(t, err)
 	return len(data)
--- a/core/steerer/changes.go
+++ b/core/steerer/changes.go
@@ -8,68 +8,68 @@
 )
 
 const (
-	// maxChanges bounds the changes in a report, so that it fits a datagram.
-	maxChanges = 10
-	// changeMemory is how long a change is repeated in reports.
-	changeMemory = 3 * time.Second
+	// maxChangesPerReport bounds the changes in a report, so that it fits a datagram.
+	maxChangesPerReport = 10
+	// changeRetention is how long a change is repeated in reports.
+	changeRetention = 3 * time.Second
 )
 
-// change is a target whose state other hosts should hear of.
-type change struct {
+// pendingChange is a target whose state other hosts should hear of.
+type pendingChange struct {
 	target   *target
 	deadline timekeeper.Instant
-	// told counts the reports that have told of it.
-	told int
+	// batch counts the reports that have told of it.
+	timesSent int
 }
 
-// changes are what reports tell of, those that were told the least first.
+// pendingChanges are what reports tell of, those that were told the least first.
 //
 // What goes wrong if all are told by turns: targets are replaced, and what is new waits
 // behind what everybody has heard. One notices by hosts that ask others, or the platform,
 // for what reports could have told them.
-type changes []change
+type pendingChanges []pendingChange
 
-// noteChange marks a target's state as news.
-func (s *Steerer) noteChange(t *target) {
-	s.peers.news = true
-	s.peers.changes.add(t, s.now.Add(changeMemory))
+// queueChange marks a target's state as news.
+func (s *Steerer) queueChange(t *target) {
+	s.peers.reportNow = true
+	s.peers.changes.add(t, s.now.Add(changeRetention))
 }
 
 // add lists a target's new state until a deadline.
-func (c *changes) add(t *target, deadline timekeeper.Instant) {
-	if t.news {
-		*c = slices.DeleteFunc(*c, func(one change) bool { return one.target == t })
+func (c *pendingChanges) add(t *target, deadline timekeeper.Instant) {
+	if t.inRecentChanges {
+		*c = slices.DeleteFunc(*c, func(entry pendingChange) bool { return entry.target == t })
 	}
-	t.news = true
-	c.insert(change{target: t, deadline: deadline})
+	t.inRecentChanges = true
+	c.insert(pendingChange{target: t, deadline: deadline})
 }
 
 // insert lists a change behind those that were told as often.
-func (c *changes) insert(one change) {
-	at, _ := slices.BinarySearchFunc(*c, one.told+1, func(other change, told int) int { return other.told - told })
-	*c = slices.Insert(*c, at, one)
+func (c *pendingChanges) insert(entry pendingChange) {
+	index, _ := slices.BinarySearchFunc(*c, entry.timesSent+1, func(other pendingChange, told int) int { return other.timesSent - told })
+	*c = slices.Insert(*c, index, entry)
 }
 
 // next returns the changes that the next report tells, and counts them as told.
-func (c *changes) next() []*target {
-	told := slices.Clone((*c)[:min(len(*c), maxChanges)])
-	*c = slices.Delete(*c, 0, len(told))
+func (c *pendingChanges) next() []*target {
+	batch := slices.Clone((*c)[:min(len(*c), maxChangesPerReport)])
+	*c = slices.Delete(*c, 0, len(batch))
 	var targets []*target
-	for _, one := range told {
-		targets = append(targets, one.target)
-		one.told++
-		c.insert(one)
+	for _, entry := range batch {
+		targets = append(targets, entry.target)
+		entry.timesSent++
+		c.insert(entry)
 	}
 	return targets
 }
 
-// forget drops the changes that have been told for long enough.
-func (c *changes) forget(now timekeeper.Instant) {
-	*c = slices.DeleteFunc(*c, func(one change) bool {
-		old := one.deadline.Passed(now)
-		if old {
-			one.target.news = false
+// expire drops the changes that have been told for long enough.
+func (c *pendingChanges) expire(now timekeeper.Instant) {
+	*c = slices.DeleteFunc(*c, func(entry pendingChange) bool {
+		expired := entry.deadline.Passed(now)
+		if expired {
+			entry.target.inRecentChanges = false
 		}
-		return old
+		return expired
 	})
 }
--- a/core/steerer/cold_test.go
+++ b/core/steerer/cold_test.go
@@ -8,26 +8,26 @@
 	"github.com/stretchr/testify/require"
 )
 
-// withWarmUp publishes what cold targets of the ledger bear.
-func (f *fleet) withWarmUp(span time.Duration, perSecond float64) {
-	f.settings = steerer.NewSettings(2, routes(), []steerer.Service{{Name: "ledger", HealthPath: "/healthz", WarmUp: span, WarmUpPerSecond: perSecond}}, 15*time.Second)
+// publishWarmUp publishes what cold targets of the ledger bear.
+func (f *fleet) publishWarmUp(span time.Duration, perSecond float64) {
+	f.settings = steerer.NewSettings(2, routes(), []steerer.Service{{Name: "ledger", HealthPath: "/healthz", WarmUp: span, WarmUpFlowsPerSecond: perSecond}}, 15*time.Second)
 	f.step(2 * time.Second)
 }
 
-// turnCold says in a target's entry that it is cold.
-func (f *fleet) turnCold(id string, span time.Duration) {
+// markCold says in a target's entry that it is cold.
+func (f *fleet) markCold(id string, span time.Duration) {
 	target := f.targets[id]
 	target.WarmUp = span
 	f.targets[id] = target
 	f.revision++
 }
 
-// crowd opens flows through all hosts, some each tick, and returns how many came to each
+// openFlowsAndCountPeaks opens flows through all hosts, some each tick, and returns how many came to each
 // target in its worst second.
-func (f *fleet) crowd(first int, span time.Duration, perTick int) map[string]int {
+func (f *fleet) openFlowsAndCountPeaks(first int, span time.Duration, perTick int) map[string]int {
 	times := map[string][]time.Duration{}
 	n := first
-	for clock := time.Duration(0); clock < span; clock += steerer.TickEvery {
+	for clock := time.Duration(0); clock < span; clock += steerer.TickInterval {
 		for _, name := range f.names {
 			for range perTick {
 				n++
@@ -38,7 +38,7 @@
 				}
 			}
 		}
-		f.step(steerer.TickEvery)
+		f.step(steerer.TickInterval)
 	}
 	worst := map[string]int{}
 	for id, all := range times {
@@ -61,18 +61,18 @@
 //
 // The bound is what the targets state, 2 a second, times 1.5, and 5 more. What they
 // can't take goes to the other zone, and nobody is refused.
-func TestColdTargetsGetWhatTheyBear(t *testing.T) {
+func TestColdTargetsStayWithinTheirFlowLimit(t *testing.T) {
 	f := newFleet(t, 4, 4)
-	f.withWarmUp(4*time.Second, 2)
+	f.publishWarmUp(4*time.Second, 2)
 	for id, target := range f.targets {
 		if target.Service == "ledger" && target.AvailabilityZone == "a" {
-			f.turnCold(id, 4*time.Second)
+			f.markCold(id, 4*time.Second)
 		}
 	}
 	f.step(1500 * time.Millisecond)
-	worst := f.crowd(0, 2*time.Second, 1)
+	worst := f.openFlowsAndCountPeaks(0, 2*time.Second, 1)
 	for id, count := range worst {
-		if f.zoneOf(id) == "a" {
+		if f.targetZone(id) == "a" {
 			require.LessOrEqual(t, count, 8, id)
 		}
 	}
@@ -84,22 +84,22 @@
 // Symptom: a zone that comes back after an order falls over. Sequence: it is evacuated for
 // some seconds, and the order is taken back. Cause: its targets have not started anew, so
 // nothing says that they are cold.
-func TestReturnedZoneIsCold(t *testing.T) {
+func TestZoneIsColdAfterEvacuation(t *testing.T) {
 	f := newFleet(t, 4, 4)
-	f.withWarmUp(4*time.Second, 2)
+	f.publishWarmUp(4*time.Second, 2)
 	f.evacuate("a")
 	f.step(5 * time.Second)
-	f.takeBack("a")
+	f.withdrawEvacuation("a")
 	f.step(1500 * time.Millisecond)
-	for id, count := range f.crowd(0, 2*time.Second, 1) {
-		if f.zoneOf(id) == "a" {
+	for id, count := range f.openFlowsAndCountPeaks(0, 2*time.Second, 1) {
+		if f.targetZone(id) == "a" {
 			require.LessOrEqual(t, count, 8, id)
 		}
 	}
 	f.step(5 * time.Second)
 	total := 0
-	for id, count := range f.crowd(5000, time.Second, 1) {
-		if f.zoneOf(id) == "a" {
+	for id, count := range f.openFlowsAndCountPeaks(5000, time.Second, 1) {
+		if f.targetZone(id) == "a" {
 			total += count
 		}
 	}
@@ -108,14 +108,14 @@
 
 // Symptom: callers are refused although targets have room. Sequence: all targets of a
 // service start together and state no bound. Cause: tickets where none are needed.
-func TestColdTargetsWithoutABoundTakeAll(t *testing.T) {
+func TestColdTargetsWithoutLimitAcceptAllFlows(t *testing.T) {
 	f := newFleet(t, 2)
-	f.withWarmUp(4*time.Second, 0)
+	f.publishWarmUp(4*time.Second, 0)
 	for id := range f.targets {
-		f.turnCold(id, 4*time.Second)
+		f.markCold(id, 4*time.Second)
 	}
 	f.step(1500 * time.Millisecond)
-	f.crowd(0, time.Second, 1)
+	f.openFlowsAndCountPeaks(0, time.Second, 1)
 	for _, name := range f.names {
 		require.Empty(t, f.hosts[name].resets)
 	}
@@ -123,10 +123,10 @@
 
 // Symptom: only the host that reads the platform spares a target. Sequence: a target turns
 // cold without a restart. Cause: a warm-up is no news to others.
-func TestOtherHostsHearOfColdTargets(t *testing.T) {
+func TestColdStateReachesOtherHosts(t *testing.T) {
 	f := newFleet(t, 3)
-	f.withWarmUp(10*time.Second, 2)
-	f.turnCold("i-10000001", 10*time.Second)
+	f.publishWarmUp(10*time.Second, 2)
+	f.markCold("i-10000001", 10*time.Second)
 	f.step(2 * time.Second)
 	for _, name := range f.names {
 		require.Equal(t, 1, f.hosts[name].steerer.Snapshot().Cold, name)
@@ -135,12 +135,12 @@
 
 // Symptom: a request whose data may not leave a region runs in another. Sequence: a route
 // names regions; the targets of its region drain. Cause: regions are not asked for.
-func TestRoutesKeepToTheirRegions(t *testing.T) {
+func TestRoutesStayInTheirRegions(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	f.regions = map[string]string{"a": "north", "b": "south"}
 	all := routes()
 	all[1].Regions = []string{"south"}
-	f.settings = settingsOf(2, all)
+	f.settings = newSettings(2, all)
 	for _, name := range f.names {
 		f.kill(name)
 		f.start(name)
@@ -149,9 +149,9 @@
 	for n := range 20 {
 		c := f.caller(n, checkRoute)
 		c.open("a1", 0)
-		require.Equal(t, "b", f.zoneOf(c.target))
+		require.Equal(t, "b", f.targetZone(c.target))
 		c.open("a1", 1)
-		require.Equal(t, "b", f.zoneOf(c.target))
+		require.Equal(t, "b", f.targetZone(c.target))
 	}
 	for id, target := range f.targets {
 		if target.AvailabilityZone == "b" {
--- a/core/steerer/comparing.go
+++ b/core/steerer/comparing.go
@@ -18,12 +18,12 @@
 func Compare(before, after *Settings) []Difference {
 	var differences []Difference
 	for _, route := range before.Routes {
-		if _, ok := after.named(route.Name); !ok {
+		if _, ok := after.routeByName(route.Name); !ok {
 			differences = append(differences, Difference{route.Name, "removed", "new flows are refused, open flows reset when they next send"})
 		}
 	}
 	for _, route := range after.Routes {
-		old, ok := before.named(route.Name)
+		old, ok := before.routeByName(route.Name)
 		if !ok {
 			differences = append(differences, Difference{route.Name, "added at " + route.Address.String(), "new flows are taken"})
 			continue
@@ -34,7 +34,7 @@
 	return differences
 }
 
-func (s *Settings) named(name string) (Route, bool) {
+func (s *Settings) routeByName(name string) (Route, bool) {
 	for _, route := range s.Routes {
 		if route.Name == name {
 			return route, true
@@ -52,7 +52,7 @@
 		}
 	}
 	add("address", r.Address, next.Address, "flows at the old address end as if the route were removed")
-	add("services", r.Shares, next.Shares, "new flows move; open flows stay where they are")
+	add("services", r.TrafficSplit, next.TrafficSplit, "new flows move; open flows stay where they are")
 	add("kind", r.Kind, next.Kind, "decides which open flows are reset when their target falls silent")
 	add("timeout", r.Timeout, next.Timeout, "no effect on flows")
 	add("latency objective", r.LatencyObjective, next.LatencyObjective, "decides how long requests may wait, and so how many get in, while a service is short of room")
--- a/core/steerer/counts.go
+++ b/core/steerer/counts.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Count names something that a host counts.
-type Count uint8
+// Counter names something that a host counts.
+type Counter uint8
 
 // What is counted.
 const (
-	// DropUnknowing counts packets that came too long before this host knew settings
+	// DropNotReady counts packets that came too long before this host knew settings
 	// and targets.
-	DropUnknowing Count = iota
+	DropNotReady Counter = iota
 	// DropUnknownTag counts packets whose target this host does not know.
 	DropUnknownTag
 	// Refused counts flows that were refused before anything ran.
@@ -18,8 +18,8 @@
 	FlowReset
 	// ProbeSent counts liveness checks.
 	ProbeSent
-	// NotRemembered counts flows beyond Config.MaxFlows.
-	NotRemembered
+	// FlowTableFull counts flows beyond Config.MaxFlows.
+	FlowTableFull
 	// SettingsReads and TargetsReads count reads of the platform, ReadsFailed
 	// those of them that failed.
 	SettingsReads
@@ -27,20 +27,20 @@
 	ReadsFailed
 	// ReportsSent counts reports to other hosts.
 	ReportsSent
-	// QuickAnswer counts answers that came more quickly than work can be done.
-	QuickAnswer
+	// FastFailure counts answers that came more quickly than work can be done.
+	FastFailure
 	// TargetMalformed counts entries that name no target, once for each change.
 	TargetMalformed
-	// RequestPaced counts requests that had to wait at this host.
-	RequestPaced
-	// RefusedNoRoom counts those of the refused flows for which there was no room,
+	// RequestQueued counts requests that had to wait at this host.
+	RequestQueued
+	// RefusedNoCapacity counts those of the refused flows for which there was no room,
 	// RefusedOverload those that would have waited behind others at this host.
-	RefusedNoRoom
+	RefusedNoCapacity
 	RefusedOverload
-	// RefusedFull counts flows that were refused because all targets are full, SentOn those
+	// RefusedFull counts flows that were refused because all targets are full, FlowRedispatched those
 	// that this host sent on because a target did not take them.
 	RefusedFull
-	SentOn
+	FlowRedispatched
 	// DropStale counts packets that came while this host stood still.
 	DropStale
 	// StoreRestored counts restores of the platform's store that this host has learned of.
@@ -53,30 +53,30 @@
 	// caller had more than its share of a service short of room, or had used up a quota.
 	RefusedCallerShare
 	RefusedCallerQuota
-	numCounts
+	numCounters
 )
 
-func (c Count) String() string { return countNames[c] }
+func (c Counter) String() string { return counterNames[c] }
 
-// countNames are the counts' names in metrics.
-var countNames = [numCounts]string{
-	DropUnknowing:      "dropUnknowing",
+// counterNames are the counts' names in metrics.
+var counterNames = [numCounters]string{
+	DropNotReady:       "dropUnknowing",
 	DropUnknownTag:     "dropUnknownTag",
 	Refused:            "refused",
 	FlowReset:          "flowReset",
 	ProbeSent:          "probeSent",
-	NotRemembered:      "notRemembered",
+	FlowTableFull:      "notRemembered",
 	SettingsReads:      "settingsReads",
 	TargetsReads:       "targetsReads",
 	ReadsFailed:        "readsFailed",
 	ReportsSent:        "reportsSent",
-	QuickAnswer:        "quickAnswer",
+	FastFailure:        "quickAnswer",
 	TargetMalformed:    "targetMalformed",
-	RequestPaced:       "requestPaced",
-	RefusedNoRoom:      "refusedNoRoom",
+	RequestQueued:      "requestPaced",
+	RefusedNoCapacity:  "refusedNoRoom",
 	RefusedOverload:    "refusedOverload",
 	RefusedFull:        "refusedFull",
-	SentOn:             "sentOn",
+	FlowRedispatched:   "sentOn",
 	DropStale:          "dropStale",
 	StoreRestored:      "storeRestored",
 	TargetSlow:         "targetSlow",
@@ -85,16 +85,16 @@
 	RefusedCallerQuota: "refusedCallerQuota",
 }
 
-// Counts holds a number for each Count.
-type Counts [numCounts]uint64
+// Counters holds a number for each Count.
+type Counters [numCounters]uint64
 
-func (c *Counts) add(count Count) { c[count]++ }
+func (c *Counters) add(counter Counter) { c[counter]++ }
 
 // Snapshot is a host's state in figures, for metrics.
 type Snapshot struct {
-	Counts  Counts
-	Flows   int
-	Targets int
+	Counters Counters
+	Flows    int
+	Targets  int
 	// Unreachable counts the targets that did not answer.
 	Unreachable int
 	// Evacuated counts the zones that operators have ordered to be evacuated, Cold the
@@ -114,19 +114,19 @@
 	// been confirmed.
 	SettingsAge time.Duration
 	TargetsAge  time.Duration
-	// Paced counts the requests that wait at this host, Pressed the services that are
+	// Queued counts the requests that wait at this host, Pressed the services that are
 	// asked for more than their targets can do.
-	Paced   int
-	Pressed int
-	// Short counts the services that are asked for more than their targets have room for.
+	Queued    int
+	Congested int
+	// Overloaded counts the services that are asked for more than their targets have room for.
 	// Room and Demand are those of the fullest service, in slots.
-	Short  int
-	Room   float64
-	Demand float64
+	Overloaded int
+	Capacity   float64
+	Demand     float64
 	// Connections counts the flows at the targets of services that are short of connections,
-	// as far as known, ConnectionPlaces how many there may be.
-	Connections      int
-	ConnectionPlaces int
+	// as far as known, ConnectionCapacity how many there may be.
+	Connections        int
+	ConnectionCapacity int
 	// Callers counts the addresses and prefixes of callers that are kept.
 	Callers int
 	Ready   bool
@@ -134,32 +134,32 @@
 
 // Snapshot returns the present figures.
 func (s *Steerer) Snapshot() Snapshot {
-	snapshot := Snapshot{Counts: s.counts, Flows: len(s.flows), Targets: len(s.targets.byID), Peers: len(s.peers.byName), Live: s.hostsHeardOf(), Version: s.version()}
+	snapshot := Snapshot{Counters: s.counts, Flows: len(s.flows), Targets: len(s.targets.byID), Peers: len(s.peers.byName), Live: s.alivePeers(), Version: s.version()}
 	snapshot.SettingsAge = age(s.now, s.reading.settings.confirmed)
 	snapshot.TargetsAge = age(s.now, s.reading.targets.confirmed)
 	snapshot.Ready = s.Ready()
 	snapshot.Era = s.reading.era
-	snapshot.Paced = s.paced
+	snapshot.Queued = s.paced
 	snapshot.Callers = s.throttler.CallerCount()
 	snapshot.Evacuated = len(s.evacuator.Zones())
 	for _, v := range s.services {
 		if v.load.Congested() {
-			snapshot.Pressed++
+			snapshot.Congested++
 		}
 	}
-	s.addRoom(&snapshot)
-	for _, v := range s.connections.tight {
+	s.addCapacity(&snapshot)
+	for _, v := range s.connections.constrained {
 		snapshot.Connections += v.flows
-		snapshot.ConnectionPlaces += v.places
+		snapshot.ConnectionCapacity += v.capacity
 	}
 	for _, t := range s.targets.byID {
 		if t.health.unreachable() {
 			snapshot.Unreachable++
 		}
-		if t.pace.Slow() {
+		if t.slowdownEstimate.Slow() {
 			snapshot.Slow++
 		}
-		if s.cold(t) {
+		if s.isCold(t) {
 			snapshot.Cold++
 		}
 	}
@@ -167,8 +167,8 @@
 }
 
 // Each calls a function with each count's name and value.
-func (c *Counts) Each(do func(name string, value uint64)) {
-	for count, value := range c {
-		do(Count(count).String(), value)
+func (c *Counters) Each(do func(name string, value uint64)) {
+	for counter, value := range c {
+		do(Counter(counter).String(), value)
 	}
 }
--- a/core/steerer/digest.go
+++ b/core/steerer/digest.go
@@ -7,19 +7,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// noteState takes in that the state of a target has changed, as first read at a position.
-func (t *table) noteState(one *target, seen sequencer.Position) {
-	next := one.stateDigest()
-	t.history.add(sighting{target: one, seen: seen, digestChange: next - one.digest})
-	t.digestSum += next - one.digest
-	one.digest = next
-	one.seen = seen
-	t.noteUncounted(one)
+// recordState takes in that the state of a target has changed, as first read at a position.
+func (t *targetTable) recordState(tgt *target, seen sequencer.Position) {
+	next := tgt.stateDigest()
+	t.history.add(historyEntry{target: tgt, observed: seen, digestChange: next - tgt.digest})
+	t.digestSum += next - tgt.digest
+	tgt.digest = next
+	tgt.seenPosition = seen
+	t.markForRecount(tgt)
 }
 
 // digest is equal for tables that list the same targets in the same states, in whatever
 // order they came: the sum of the targets' own digests.
-func (t *table) digest() uint64 { return t.digestSum }
+func (t *targetTable) digest() uint64 { return t.digestSum }
 
 // digestAt is the digest of the table without what was first read after a position. It
 // reports whether the history goes back that far.
@@ -28,20 +28,20 @@
 // a pause each host has heard of some changes that others have not, no two agree, and none
 // learns that it knows all up to the last read of the platform. One notices by hosts that
 // all read the platform themselves during a release.
-func (t *table) digestAt(position sequencer.Position) (uint64, bool) {
+func (t *targetTable) digestAt(position sequencer.Position) (uint64, bool) {
 	switch {
-	case !t.history.reaches(position):
+	case !t.history.covers(position):
 		return 0, false
 	case !position.Before(t.history.latest):
 		return t.digestSum, true
 	}
 	sum := t.digestSum
-	for _, one := range t.history.sightings {
-		if position.Before(one.seen) {
-			sum -= one.digestChange
+	for _, entry := range t.history.entries {
+		if position.Before(entry.observed) {
+			sum -= entry.digestChange
 		}
 	}
-	t.visits += uint64(len(t.history.sightings))
+	t.entriesVisited += uint64(len(t.history.entries))
 	return sum, true
 }
 
@@ -60,9 +60,9 @@
 	if t.Draining {
 		state = append(state, "\x00draining"...)
 	}
-	if t.Born != 0 {
+	if t.Incarnation != 0 {
 		state = append(state, 0)
-		state = strconv.AppendInt(state, t.Born, 10)
+		state = strconv.AppendInt(state, t.Incarnation, 10)
 	}
 	return xxhash.Sum64(state)
 }
--- a/core/steerer/digest_internal_test.go
+++ b/core/steerer/digest_internal_test.go
@@ -13,14 +13,14 @@
 
 // Failure: hosts that know the same take each other for out of date, or the other way round,
 // because a digest that is kept up to date has missed a change.
-func TestDigestFollowsEachChange(t *testing.T) {
+func TestDigestMatchesFullRecomputation(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	s := New(Config{Self: "a1", AvailabilityZone: "a"})
 	s.targetsPosition = sequencer.At(0, 1)
 	for step := range uint64(3000) {
-		changeSomething(s, random, sequencer.At(0, 2+step))
+		applyRandomChange(s, random, sequencer.At(0, 2+step))
 		if random.IntN(3) == 0 {
-			require.Equal(t, wholeDigest(&s.targets), s.targets.digest(), "step %d", step)
+			require.Equal(t, recomputeDigest(&s.targets), s.targets.digest(), "step %d", step)
 		}
 		sorted := slices.IsSortedFunc(s.targets.ordered(), func(x, y *target) int { return strings.Compare(x.ID, y.ID) })
 		require.True(t, sorted)
@@ -28,15 +28,15 @@
 	}
 }
 
-// changeSomething adds one of 40 targets, changes it, or lets it go, as seen at a position.
-func changeSomething(s *Steerer, random *rand.Rand, seen sequencer.Position) {
+// applyRandomChange adds one of 40 targets, changes it, or lets it go, as seen at a position.
+func applyRandomChange(s *Steerer, random *rand.Rand, seen sequencer.Position) {
 	id := fmt.Sprintf("i-%08x", 0x10000000+random.IntN(40))
-	number, _ := NumberOf(id)
+	number, _ := ParseTargetNumber(id)
 	known := s.targets.byID[id]
 	switch random.IntN(4) {
 	case 0:
 		if known != nil && !known.missing {
-			s.takeMissing(known, seen, "test")
+			s.markMissing(known, seen, "test")
 		}
 	case 1:
 		if known != nil && known.missing {
@@ -44,13 +44,13 @@
 		}
 	default:
 		zone := string(rune('a' + random.IntN(3)))
-		record := Target{ID: id, Number: number, Service: "ledger", AvailabilityZone: zone, Slots: 2, Draining: random.IntN(2) == 0, Born: int64(random.IntN(3))}
-		s.takeRecord(record, seen, "test")
+		record := Target{ID: id, Number: number, Service: "ledger", AvailabilityZone: zone, Slots: 2, Draining: random.IntN(2) == 0, Incarnation: int64(random.IntN(3))}
+		s.applyTarget(record, seen, "test")
 	}
 }
 
-// wholeDigest works the digest of a table out from all of its targets.
-func wholeDigest(t *table) uint64 {
+// recomputeDigest works the digest of a table out from all of its targets.
+func recomputeDigest(t *targetTable) uint64 {
 	sum := uint64(0)
 	for _, one := range t.byID {
 		sum += one.stateDigest()
@@ -60,19 +60,19 @@
 
 // Failure: two hosts that know the same up to a position don't agree on it, because one has
 // heard of later changes.
-func TestDigestAsOfAPositionLeavesOutWhatCameLater(t *testing.T) {
+func TestDigestAtExcludesLaterChanges(t *testing.T) {
 	random := rand.New(rand.NewPCG(4, 4))
 	s := New(Config{Self: "a1", AvailabilityZone: "a"})
 	s.targetsPosition = sequencer.At(0, 1)
 	digests := []uint64{0, s.targets.digest()}
-	for step := range uint64(2 * maxHistory) {
-		changeSomething(s, random, sequencer.At(0, 2+step))
+	for step := range uint64(2 * maxHistoryEntries) {
+		applyRandomChange(s, random, sequencer.At(0, 2+step))
 		digests = append(digests, s.targets.digest())
 		position := sequencer.At(0, 1+random.Uint64N(2+step))
 		got, known := s.targets.digestAt(position)
 		if known {
 			require.Equal(t, digests[position.Revision], got, "step %d, %s", step, position)
 		}
-		require.Equal(t, !position.Before(s.targets.history.begin), known)
+		require.Equal(t, !position.Before(s.targets.history.completeSince), known)
 	}
 }
--- a/core/steerer/effect.go
+++ b/core/steerer/effect.go
@@ -13,21 +13,21 @@
 // data; those of one Reduce call are valid until the next call.
 type Effect interface{ effect() }
 
-func (*ToTarget) effect()     {}
-func (*ResetFlow) effect()    {}
-func (*ReadSettings) effect() {}
-func (*ReadTargets) effect()  {}
-func (*Probe) effect()        {}
-func (*SendReport) effect()   {}
-func (*AskHost) effect()      {}
-func (*Answered) effect()     {}
-func (*Logged) effect()       {}
-func (*Ended) effect()        {}
-
-// ToTarget passes a packet on to a target.
-type ToTarget struct {
+func (*ForwardPacket) effect()   {}
+func (*ResetFlow) effect()       {}
+func (*ReadSettings) effect()    {}
+func (*ReadTargets) effect()     {}
+func (*Probe) effect()           {}
+func (*SendReport) effect()      {}
+func (*SendSyncRequest) effect() {}
+func (*ObserveLatency) effect()  {}
+func (*WriteLog) effect()        {}
+func (*Exit) effect()            {}
+
+// ForwardPacket passes a packet on to a target.
+type ForwardPacket struct {
 	Address netip.AddrPort
-	Number  Number
+	Number  TargetNumber
 	// Tag is written into an opening packet; it is 0 on all others.
 	Tag  Tag
 	Data []byte
@@ -62,12 +62,12 @@
 // Probe checks whether a target lives.
 type Probe struct {
 	Target string
-	// Born is the life of the target that is to be checked; see Target.
-	Born    int64
-	Address netip.AddrPort
-	Path    string
-	// Patience is how long a handshake with the target may take.
-	Patience time.Duration
+	// Incarnation is the life of the target that is to be checked; see Target.
+	Incarnation int64
+	Address     netip.AddrPort
+	Path        string
+	// Timeout is how long a handshake with the target may take.
+	Timeout time.Duration
 }
 
 // SendReport sends this host's report to another host.
@@ -77,28 +77,28 @@
 	Report  *messenger.Report
 }
 
-// AskHost asks another host for what it knows.
-type AskHost struct {
+// SendSyncRequest asks another host for what it knows.
+type SendSyncRequest struct {
 	Host    string
 	Address netip.AddrPort
 	Request *messenger.SyncRequest
-	// Patience is how long the host may take to begin its answer.
-	Patience time.Duration
+	// Timeout is how long the host may take to begin its answer.
+	Timeout time.Duration
 }
 
-// Answered says that a target began to answer a request, for histograms.
-type Answered struct {
+// ObserveLatency says that a target began to answer a request, for histograms.
+type ObserveLatency struct {
 	Route   Route
 	Latency time.Duration
 }
 
-// Logged is one line for the log.
-type Logged struct{ recorder.Line }
+// WriteLog is one line for the log.
+type WriteLog struct{ recorder.Line }
 
 // Field is a key and a value of a log line.
 type Field = recorder.Field
 
 func field(key, value string) Field { return Field{Key: key, Value: value} }
 
-// Ended says that the process may end.
-type Ended struct{}
+// Exit says that the process may end.
+type Exit struct{}
--- a/core/steerer/estimating_internal_test.go
+++ b/core/steerer/estimating_internal_test.go
@@ -12,29 +12,29 @@
 
 // Symptom: a host's memory grows with each service that it has ever served. Sequence:
 // services come and go. Cause: what is known of a service's zones is never forgotten.
-func TestZonesOfOldServicesAreForgotten(t *testing.T) {
+func TestZoneEstimatesOfUnusedServicesExpire(t *testing.T) {
 	s := New(Config{Self: "a1", AvailabilityZone: "a", MaxFlows: 100})
 	s.now = timekeeper.Instant(time.Second)
 	for n := range 50 {
-		s.speedZone(fmt.Sprintf("service-%d", n), "a").Observe(1, s.now)
+		s.zoneSlowdown(fmt.Sprintf("service-%d", n), "a").Observe(1, s.now)
 	}
-	s.estimatingTick()
+	s.estimatesTick()
 	require.Len(t, s.estimating.zones, 50, "of late")
 	s.now = s.now.Add(time.Minute)
-	s.estimatingTick()
+	s.estimatesTick()
 	require.Empty(t, s.estimating.zones)
 }
 
 // Symptom: the flows of one service are the trials of all, or none are. Sequence: two
 // services whose flows alternate. Cause: one counter for all services.
-func TestServicesCountTheirTrialsApart(t *testing.T) {
+func TestTrialsAreCountedPerService(t *testing.T) {
 	s := New(Config{Self: "a1", AvailabilityZone: "a", MaxFlows: 100})
 	s.now = timekeeper.Instant(time.Second)
 	due := map[string]int{}
 	for range 64 {
 		for _, name := range []string{"intake", "ledger"} {
 			views := []zoneView{{slowness: 1}}
-			s.trial(choice{service: name}, views, nil)
+			s.pickTrialTarget(placement{service: name}, views, nil)
 			if views[0].slowness == 0 {
 				due[name]++
 			}
@@ -46,24 +46,24 @@
 // Symptom: some hosts never hear of a slow target. Sequence: more targets are slow than a
 // report has room for; a host sends as many reports in a round as there are parts. Cause:
 // each report begins with other targets, so that each recipient hears the same part always.
-func TestReportsOfARoundTellOfTheSameTargets(t *testing.T) {
+func TestReportsOfARoundCoverTheSameTargets(t *testing.T) {
 	s := New(Config{Self: "a1", AvailabilityZone: "a", MaxFlows: 100})
 	s.now = timekeeper.Instant(time.Second)
-	for n := range 2 * maxPaces {
+	for n := range 2 * maxSlowdownReports {
 		one := &target{tag: Tag(n + 1)}
 		for range 8 {
-			one.pace.Observe(3, s.now)
+			one.slowdownEstimate.Observe(3, s.now)
 		}
-		one.pace.Refresh(s.now)
+		one.slowdownEstimate.Refresh(s.now)
 		s.estimating.active = append(s.estimating.active, one)
 	}
-	first := tagsOf(s.paces())
-	require.Len(t, first, maxPaces)
-	require.Equal(t, first, tagsOf(s.paces()))
-	s.now = s.now.Add(reportEvery)
-	second := tagsOf(s.paces())
+	first := tagsOf(s.slowdownReports())
+	require.Len(t, first, maxSlowdownReports)
+	require.Equal(t, first, tagsOf(s.slowdownReports()))
+	s.now = s.now.Add(reportInterval)
+	second := tagsOf(s.slowdownReports())
 	require.NotContains(t, second, first[0])
-	require.Equal(t, second, tagsOf(s.paces()))
+	require.Equal(t, second, tagsOf(s.slowdownReports()))
 }
 
 func tagsOf(paces []messenger.TargetSlowdown) []uint32 {
--- a/core/steerer/estimating_test.go
+++ b/core/steerer/estimating_test.go
@@ -9,17 +9,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// learnUsual lets hosts learn that answers take 50 ms, wherever they come from.
-func learnUsual(f *fleet, names ...string) {
+// learnBaseline lets hosts learn that answers take 50 ms, wherever they come from.
+func learnBaseline(f *fleet, names ...string) {
 	for n := range 30 {
 		for h, name := range names {
-			answerAfter(f, name, 30_000+100*h+n, 50*time.Millisecond)
+			requestWithLatency(f, name, 30_000+100*h+n, 50*time.Millisecond)
 		}
 	}
 }
 
-// flowsAt opens flows at a target.
-func flowsAt(f *fleet, name, target string, from, count int) []*caller {
+// openFlowsAt opens flows at a target.
+func openFlowsAt(f *fleet, name, target string, from, count int) []*caller {
 	var all []*caller
 	for n := range count {
 		all = append(all, openOn(f, name, target, from+100*n, false))
@@ -27,25 +27,25 @@
 	return all
 }
 
-// askAll lets a request of each flow take a while.
-func askAll(f *fleet, name string, flows []*caller, took time.Duration) {
+// requestAll lets a request of each flow take a while.
+func requestAll(f *fleet, name string, flows []*caller, took time.Duration) {
 	for _, c := range flows {
-		c.ask(name)
+		c.sendRequest(name)
 	}
 	f.step(took)
 	for _, c := range flows {
-		c.thank(name)
+		c.ackResponse(name)
 	}
 }
 
-// slowTarget lets a host find out that a target takes ten times as long, while others
+// makeTargetSlow lets a host find out that a target takes ten times as long, while others
 // work as usual.
-func slowTarget(f *fleet, name, target string) {
-	flows := flowsAt(f, name, target, 2000, 3)
+func makeTargetSlow(f *fleet, name, target string) {
+	flows := openFlowsAt(f, name, target, 2000, 3)
 	for round := range 3 {
-		askAll(f, name, flows, 500*time.Millisecond)
+		requestAll(f, name, flows, 500*time.Millisecond)
 		for n := range 6 {
-			answerAfter(f, name, 50_000+10*round+n, 50*time.Millisecond)
+			requestWithLatency(f, name, 50_000+10*round+n, 50*time.Millisecond)
 		}
 	}
 }
@@ -55,59 +55,59 @@
 // under way and not how long each takes.
 func TestSlowTargetGetsFewFlows(t *testing.T) {
 	f := newFleet(t, 1)
-	learnUsual(f, "a1")
-	require.NotZero(t, share(f, "a1", failing, 1000))
-	slowTarget(f, "a1", failing)
-	require.LessOrEqual(t, share(f, "a1", failing, 6000), 2, "trials")
-	status := statusOf(f, "a1", failing)
+	learnBaseline(f, "a1")
+	require.NotZero(t, countPlacements(f, "a1", failingTarget, 1000))
+	makeTargetSlow(f, "a1", failingTarget)
+	require.LessOrEqual(t, countPlacements(f, "a1", failingTarget, 6000), 2, "trials")
+	status := statusOf(f, "a1", failingTarget)
 	require.Greater(t, status.Slowness, 2.0)
-	require.Contains(t, status.Avoided, "times as long as usual")
-	require.NotZero(t, logged(f, "a1", "targetSlow"))
+	require.Contains(t, status.AvoidReason, "times as long as usual")
+	require.NotZero(t, countLogged(f, "a1", "targetSlow"))
 	require.Equal(t, 1, f.hosts["a1"].steerer.Snapshot().Slow)
 }
 
 // Symptom: in a large zone each host has to find out for itself that a target is slow.
 // Sequence: one host sees late answers of it. Cause: hosts that keep it to themselves.
-func TestSlowTargetsAreToldToTheZonesHosts(t *testing.T) {
+func TestSlowTargetIsReportedWithinItsZone(t *testing.T) {
 	f := newFleet(t, 3, 1)
-	learnUsual(f, "a1", "a2")
-	slowTarget(f, "a1", failing)
+	learnBaseline(f, "a1", "a2")
+	makeTargetSlow(f, "a1", failingTarget)
 	f.step(300 * time.Millisecond)
-	require.Greater(t, statusOf(f, "a2", failing).Slowness, 1.5)
-	require.InDelta(t, 1, statusOf(f, "b1", failing).Slowness, 0, "other zones look for themselves")
+	require.Greater(t, statusOf(f, "a2", failingTarget).Slowness, 1.5)
+	require.InDelta(t, 1, statusOf(f, "b1", failingTarget).Slowness, 0, "other zones look for themselves")
 }
 
 // Symptom: callers wait at a target that hangs. Sequence: it takes requests and answers
 // none. Cause: only answers tell how long requests take.
-func TestHangingTargetIsSlowBeforeItAnswers(t *testing.T) {
+func TestHangingTargetIsSlowBeforeItsFirstResponse(t *testing.T) {
 	f := newFleet(t, 1)
-	learnUsual(f, "a1")
-	for _, c := range flowsAt(f, "a1", failing, 2000, 4) {
-		c.ask("a1")
+	learnBaseline(f, "a1")
+	for _, c := range openFlowsAt(f, "a1", failingTarget, 2000, 4) {
+		c.sendRequest("a1")
 	}
 	f.step(900 * time.Millisecond)
-	require.Greater(t, statusOf(f, "a1", failing).Slowness, 1.5)
+	require.Greater(t, statusOf(f, "a1", failingTarget).Slowness, 1.5)
 }
 
 // Symptom: a host that stood still makes its zone avoid targets that work. Sequence:
 // requests are under way when the host freezes; their answers came long before it looks.
 // Cause: the host's own delay is taken for the target's.
-func TestFrozenHostBlamesNoTarget(t *testing.T) {
+func TestHostPauseDoesNotMarkTargetsSlow(t *testing.T) {
 	f := newFleet(t, 1)
-	learnUsual(f, "a1")
-	all := flowsAt(f, "a1", failing, 2000, 6)
+	learnBaseline(f, "a1")
+	all := openFlowsAt(f, "a1", failingTarget, 2000, 6)
 	for _, c := range all {
-		c.ask("a1")
+		c.sendRequest("a1")
 	}
 	f.hosts["a1"].running = false
 	f.step(time.Second)
 	f.hosts["a1"].running = true
 	f.step(50 * time.Millisecond)
 	for _, c := range all {
-		c.thank("a1")
+		c.ackResponse("a1")
 	}
 	f.step(100 * time.Millisecond)
-	require.InDelta(t, 1, statusOf(f, "a1", failing).Slowness, 0)
+	require.InDelta(t, 1, statusOf(f, "a1", failingTarget).Slowness, 0)
 }
 
 // Symptom: callers stay in a zone whose targets all take ten times as long. Sequence: all
@@ -115,17 +115,17 @@
 // than any wait.
 func TestSlowZoneSpillsOver(t *testing.T) {
 	f := newFleet(t, 1, 1)
-	learnUsual(f, "a1", "b1")
+	learnBaseline(f, "a1", "b1")
 	home := func(id string) bool { return f.targets[id].AvailabilityZone == "a" }
 	c := f.caller(1, checkRoute)
 	c.open("a1", 0)
 	require.True(t, home(c.target))
 	var all []*caller
 	for i := range 3 {
-		all = append(all, flowsAt(f, "a1", fmt.Sprintf("i-1%07x", 2*i+1), 2000+1000*i, 3)...)
+		all = append(all, openFlowsAt(f, "a1", fmt.Sprintf("i-1%07x", 2*i+1), 2000+1000*i, 3)...)
 	}
 	for range 4 {
-		askAll(f, "a1", all, 500*time.Millisecond)
+		requestAll(f, "a1", all, 500*time.Millisecond)
 	}
 	away := 0
 	for n := range 40 {
@@ -135,7 +135,7 @@
 			away++
 		}
 		c.establish("a1")
-		c.finish("a1")
+		c.close("a1")
 	}
 	require.Greater(t, away, 30)
 }
@@ -143,87 +143,87 @@
 // Symptom: flows that the quick targets would serve are refused for overload. Sequence:
 // some targets turn slow and their answers are late. Cause: late answers of slow targets
 // that count as pressure on the service.
-func TestSlowTargetsDoNotPressTheirService(t *testing.T) {
+func TestSlowTargetsDoNotCongestTheirService(t *testing.T) {
 	f := newFleet(t, 1)
-	f.settings = settingsOf(2, objectiveRoutes())
+	f.settings = newSettings(2, objectiveRoutes())
 	f.step(2 * time.Second)
-	learnUsual(f, "a1")
-	flows := flowsAt(f, "a1", failing, 2000, 3)
+	learnBaseline(f, "a1")
+	flows := openFlowsAt(f, "a1", failingTarget, 2000, 3)
 	for round := range 8 {
-		askAll(f, "a1", flows, 500*time.Millisecond)
+		requestAll(f, "a1", flows, 500*time.Millisecond)
 		for n := range 4 {
-			answerAfter(f, "a1", 22_000+10*round+n, 50*time.Millisecond)
+			requestWithLatency(f, "a1", 22_000+10*round+n, 50*time.Millisecond)
 		}
 	}
-	require.Zero(t, f.hosts["a1"].steerer.Snapshot().Pressed)
+	require.Zero(t, f.hosts["a1"].steerer.Snapshot().Congested)
 }
 
 // Symptom: a slow half of the targets counts as usual after some seconds, and is avoided
 // no more. Sequence: more than half of the answers take six times as long. Cause: what is usual
 // follows all answers alike.
-func TestUsualDoesNotFollowSlowTargets(t *testing.T) {
+func TestBaselineIgnoresSlowTargets(t *testing.T) {
 	f := newFleet(t, 1)
 	for n := range 300 {
-		answerAfter(f, "a1", 30_000+n, 50*time.Millisecond)
+		requestWithLatency(f, "a1", 30_000+n, 50*time.Millisecond)
 	}
-	flows := flowsAt(f, "a1", failing, 2000, 5)
+	flows := openFlowsAt(f, "a1", failingTarget, 2000, 5)
 	for round := range 60 {
-		askAll(f, "a1", flows, 300*time.Millisecond)
+		requestAll(f, "a1", flows, 300*time.Millisecond)
 		for n := range 3 {
-			answerAfter(f, "a1", 45_000+5*round+n, 50*time.Millisecond)
+			requestWithLatency(f, "a1", 45_000+5*round+n, 50*time.Millisecond)
 		}
 	}
 	for n := range 10 {
-		answerAfter(f, "a1", 40_000+n, 15*time.Millisecond)
+		requestWithLatency(f, "a1", 40_000+n, 15*time.Millisecond)
 	}
-	require.Zero(t, f.hosts["a1"].steerer.Snapshot().Counts[steerer.QuickAnswer], "15 ms are more than a quarter of 50")
+	require.Zero(t, f.hosts["a1"].steerer.Snapshot().Counters[steerer.FastFailure], "15 ms are more than a quarter of 50")
 }
 
 // Symptom: a target that has recovered idles. Sequence: it was slow, then its flows ended;
 // it answers as usual again. Cause: nobody is sent there any more.
-func TestRecoveredTargetHasItsShareBack(t *testing.T) {
+func TestRecoveredTargetRegainsItsShare(t *testing.T) {
 	f := newFleet(t, 1)
-	learnUsual(f, "a1")
-	slowTarget(f, "a1", failing)
-	require.Greater(t, statusOf(f, "a1", failing).Slowness, 2.0)
+	learnBaseline(f, "a1")
+	makeTargetSlow(f, "a1", failingTarget)
+	require.Greater(t, statusOf(f, "a1", failingTarget).Slowness, 2.0)
 	for n := range 100 {
-		answerAfter(f, "a1", 10_000+n, 50*time.Millisecond)
+		requestWithLatency(f, "a1", 10_000+n, 50*time.Millisecond)
 	}
-	require.InDelta(t, 1, statusOf(f, "a1", failing).Slowness, 0)
-	require.NotZero(t, logged(f, "a1", "targetQuickAgain"))
-	require.NotZero(t, share(f, "a1", failing, 20_000))
+	require.InDelta(t, 1, statusOf(f, "a1", failingTarget).Slowness, 0)
+	require.NotZero(t, countLogged(f, "a1", "targetQuickAgain"))
+	require.NotZero(t, countPlacements(f, "a1", failingTarget, 20_000))
 }
 
 // Symptom: the believed speed of a target outlives its process. Sequence: a slow target
 // starts again under its ID. Cause: what was learned of an earlier life.
 func TestRestartedTargetIsNotSlow(t *testing.T) {
 	f := newFleet(t, 1)
-	learnUsual(f, "a1")
-	slowTarget(f, "a1", failing)
-	require.Greater(t, statusOf(f, "a1", failing).Slowness, 2.0)
-	slow := logged(f, "a1", "targetQuickAgain")
-	f.restart(failing)
+	learnBaseline(f, "a1")
+	makeTargetSlow(f, "a1", failingTarget)
+	require.Greater(t, statusOf(f, "a1", failingTarget).Slowness, 2.0)
+	slow := countLogged(f, "a1", "targetQuickAgain")
+	f.restart(failingTarget)
 	f.step(time.Second)
-	require.Equal(t, 1, logged(f, "a1", "targetReborn"))
-	require.Equal(t, slow, logged(f, "a1", "targetQuickAgain"), "nothing was learned since")
-	require.InDelta(t, 1, statusOf(f, "a1", failing).Slowness, 0)
+	require.Equal(t, 1, countLogged(f, "a1", "targetReborn"))
+	require.Equal(t, slow, countLogged(f, "a1", "targetQuickAgain"), "nothing was learned since")
+	require.InDelta(t, 1, statusOf(f, "a1", failingTarget).Slowness, 0)
 }
 
 // Symptom: a trial goes to a target that has crashed. Sequence: a slow target without open
 // flows falls silent; it is due for a trial. Cause: trials that look at speed alone.
-func TestSilentTargetIsNotTried(t *testing.T) {
+func TestUnresponsiveTargetGetsNoTrial(t *testing.T) {
 	f := newFleet(t, 1)
-	learnUsual(f, "a1")
-	slowTarget(f, "a1", failing)
-	flows := openOn(f, "a1", failing, 60_000, true)
-	f.outcomes[failing] = steerer.ProbeSilent
-	flows.ask("a1")
+	learnBaseline(f, "a1")
+	makeTargetSlow(f, "a1", failingTarget)
+	flows := openOn(f, "a1", failingTarget, 60_000, true)
+	f.probeOutcomes[failingTarget] = steerer.ProbeConnectTimeout
+	flows.sendRequest("a1")
 	f.step(200 * time.Millisecond)
-	flows.repeat("a1")
+	flows.retransmit("a1")
 	f.step(500 * time.Millisecond)
-	require.Contains(t, statusOf(f, "a1", failing).Avoided, "no answer")
+	require.Contains(t, statusOf(f, "a1", failingTarget).AvoidReason, "no answer")
 	for round := range 20 {
-		require.Zero(t, share(f, "a1", failing, 10_000+100*round))
+		require.Zero(t, countPlacements(f, "a1", failingTarget, 10_000+100*round))
 		f.step(100 * time.Millisecond)
 	}
 }
@@ -233,35 +233,35 @@
 // those whose deadlines are later.
 func TestLongRequestsDoNotHideAHangingTarget(t *testing.T) {
 	f := newFleet(t, 1)
-	learnUsual(f, "a1")
+	learnBaseline(f, "a1")
 	long := func(n int) *caller {
 		c := f.caller(n, uploadRoute)
 		c.open("a1", 0)
 		c.establish("a1")
-		c.ask("a1")
+		c.sendRequest("a1")
 		return c
 	}
 	for n := range 25 {
 		c := long(33_000 + n)
 		f.step(time.Second)
-		c.thank("a1")
-		c.finish("a1")
+		c.ackResponse("a1")
+		c.close("a1")
 	}
-	learnUsual(f, "a1")
-	flows := flowsAt(f, "a1", failing, 2000, 5)
+	learnBaseline(f, "a1")
+	flows := openFlowsAt(f, "a1", failingTarget, 2000, 5)
 	long(34_000)
 	for _, c := range flows {
-		c.ask("a1")
+		c.sendRequest("a1")
 	}
 	f.step(900 * time.Millisecond)
-	require.Greater(t, statusOf(f, "a1", failing).Slowness, 1.5)
+	require.Greater(t, statusOf(f, "a1", failingTarget).Slowness, 1.5)
 }
 
 // Symptom: a sound target gets no new flows of its service. Sequence: some callers upload
 // over slow links, by chance to the same target: each goes on sending for half a second, and
 // has its answer 50 ms after its last byte. Cause: the time in which the caller sends counts
 // as the target's.
-func TestSlowUploadersBlameNoTarget(t *testing.T) {
+func TestSlowUploadsDoNotMarkTargetsSlow(t *testing.T) {
 	for _, pause := range []time.Duration{50 * time.Millisecond, 600 * time.Millisecond} {
 		t.Run(pause.String(), func(t *testing.T) { uploadSlowly(t, pause) })
 	}
@@ -270,17 +270,17 @@
 // uploadSlowly lets callers pause between the packets of their uploads to one target.
 func uploadSlowly(t *testing.T, pause time.Duration) {
 	f := newFleet(t, 1)
-	learnUsual(f, "a1")
+	learnBaseline(f, "a1")
 	upload := func(n int, last time.Duration) *caller {
 		c := f.caller(n, uploadRoute)
 		c.open("a1", 0)
 		c.establish("a1")
-		c.send("a1", 600)
+		c.sendPart("a1", 600)
 		f.step(last)
-		c.send("a1", 600)
+		c.sendPart("a1", 600)
 		f.step(50 * time.Millisecond)
-		c.thank("a1")
-		c.finish("a1")
+		c.ackResponse("a1")
+		c.close("a1")
 		return c
 	}
 	target := ""
@@ -295,22 +295,22 @@
 		if c.target == target {
 			all = append(all, c)
 		} else {
-			c.finish("a1")
+			c.close("a1")
 		}
 	}
 	for range 4 {
 		for _, c := range all {
-			c.send("a1", 600)
+			c.sendPart("a1", 600)
 		}
 		f.step(pause)
 		require.InDelta(t, 1, statusOf(f, "a1", target).Slowness, 0.01)
 	}
 	for _, c := range all {
-		c.send("a1", 600)
+		c.sendPart("a1", 600)
 	}
 	f.step(50 * time.Millisecond)
 	for _, c := range all {
-		c.thank("a1")
+		c.ackResponse("a1")
 	}
 	require.InDelta(t, 1, statusOf(f, "a1", target).Slowness, 0.01)
 }
--- a/core/steerer/event.go
+++ b/core/steerer/event.go
@@ -17,15 +17,15 @@
 	at() *timekeeper.Instant
 }
 
-func (e *CallerPacket) at() *timekeeper.Instant   { return &e.At }
-func (e *SettingsRead) at() *timekeeper.Instant   { return &e.At }
-func (e *TargetsRead) at() *timekeeper.Instant    { return &e.At }
-func (e *Probed) at() *timekeeper.Instant         { return &e.At }
-func (e *ReportReceived) at() *timekeeper.Instant { return &e.At }
-func (e *HostAnswered) at() *timekeeper.Instant   { return &e.At }
-func (e *Tick) at() *timekeeper.Instant           { return &e.At }
-func (e *Shutdown) at() *timekeeper.Instant       { return &e.At }
-func (e *SeedsChanged) at() *timekeeper.Instant   { return &e.At }
+func (e *CallerPacket) at() *timekeeper.Instant         { return &e.At }
+func (e *SettingsRead) at() *timekeeper.Instant         { return &e.At }
+func (e *TargetsRead) at() *timekeeper.Instant          { return &e.At }
+func (e *ProbeCompleted) at() *timekeeper.Instant       { return &e.At }
+func (e *ReportReceived) at() *timekeeper.Instant       { return &e.At }
+func (e *SyncResponseReceived) at() *timekeeper.Instant { return &e.At }
+func (e *Tick) at() *timekeeper.Instant                 { return &e.At }
+func (e *Shutdown) at() *timekeeper.Instant             { return &e.At }
+func (e *SeedsChanged) at() *timekeeper.Instant         { return &e.At }
 
 // CallerPacket is a packet that the fabric handed to this host.
 type CallerPacket struct {
@@ -74,8 +74,8 @@
 	// Since is the position after which the list tells of changes; zero for a whole list.
 	Since   sequencer.Position
 	Targets []Target
-	// Gone are the IDs of targets that are no longer listed, if only changes are told.
-	Gone []string
+	// MissingIDs are the IDs of targets that are no longer listed, if only changes are told.
+	MissingIDs []string
 	// Malformed lists the entries that name no target.
 	Malformed []MalformedTarget
 }
@@ -97,20 +97,20 @@
 const (
 	// ProbeHealthy means that the target answered that it is well.
 	ProbeHealthy ProbeOutcome = iota + 1
-	// ProbeUnwilling means that it answered, and wants no new work.
-	ProbeUnwilling
-	// ProbeOther means that another target answered at its address.
-	ProbeOther
+	// ProbeNotReady means that it answered, and wants no new work.
+	ProbeNotReady
+	// ProbeWrongTarget means that another target answered at its address.
+	ProbeWrongTarget
 	// ProbeRefused means that nothing listens at its address.
 	ProbeRefused
-	// ProbeSilent means that not even a connection opened in time.
-	ProbeSilent
-	// ProbeBusy means that the target took the connection and did not answer in
+	// ProbeConnectTimeout means that not even a connection opened in time.
+	ProbeConnectTimeout
+	// ProbeResponseTimeout means that the target took the connection and did not answer in
 	// time.
-	ProbeBusy
-	// ProbeCut means that the target took the connection and ended it at once, with no
+	ProbeResponseTimeout
+	// ProbeClosed means that the target took the connection and ended it at once, with no
 	// answer.
-	ProbeCut
+	ProbeClosed
 	// ProbeReset means that the connection was reset before this host had seen it open: by a
 	// target that holds all the connections that it may, or by one that is about to end.
 	ProbeReset
@@ -120,17 +120,17 @@
 	switch o {
 	case ProbeHealthy:
 		return "healthy"
-	case ProbeUnwilling:
+	case ProbeNotReady:
 		return "unwilling"
-	case ProbeOther:
+	case ProbeWrongTarget:
 		return "otherTarget"
 	case ProbeRefused:
 		return "refused"
-	case ProbeSilent:
+	case ProbeConnectTimeout:
 		return "silent"
-	case ProbeBusy:
+	case ProbeResponseTimeout:
 		return "busy"
-	case ProbeCut:
+	case ProbeClosed:
 		return "cut"
 	case ProbeReset:
 		return "reset"
@@ -138,13 +138,13 @@
 	return "unknown"
 }
 
-// Probed is the outcome of a Probe effect.
-type Probed struct {
+// ProbeCompleted is the outcome of a Probe effect.
+type ProbeCompleted struct {
 	At     timekeeper.Instant
 	Target string
-	// Born is the life of the target that was checked.
-	Born    int64
-	Outcome ProbeOutcome
+	// Incarnation is the life of the target that was checked.
+	Incarnation int64
+	Outcome     ProbeOutcome
 	// Took is how long the check lasted.
 	Took time.Duration
 }
@@ -156,8 +156,8 @@
 	Report *messenger.Report
 }
 
-// HostAnswered is the outcome of an AskHost effect.
-type HostAnswered struct {
+// SyncResponseReceived is the outcome of an SendSyncRequest effect.
+type SyncResponseReceived struct {
 	At   timekeeper.Instant
 	From string
 	// Knowledge is nil if Err is set. Settings and Document are what it brought,
@@ -168,7 +168,7 @@
 	Err       error
 }
 
-// Tick lets time pass. It comes every TickEvery.
+// Tick lets time pass. It comes every TickInterval.
 type Tick struct {
 	At timekeeper.Instant
 	// TransfersReceived and TransfersSent are the bytes that reads of the platform and answers
@@ -188,5 +188,5 @@
 	Seeds []netip.AddrPort
 }
 
-// Stamp sets the time at which an event is handled.
-func Stamp(event Event, now timekeeper.Instant) { *event.at() = now }
+// SetTime sets the time at which an event is handled.
+func SetTime(event Event, now timekeeper.Instant) { *event.at() = now }
--- a/core/steerer/explaining.go
+++ b/core/steerer/explaining.go
@@ -20,11 +20,11 @@
 // Check lists what is wrong with a version, sorted by path.
 func (s *Settings) Check() []Finding {
 	var findings []Finding
-	for _, fault := range s.Faults {
+	for _, fault := range s.RouteProblems {
 		effect := "the route stays as the version before had it, if it had one"
-		if _, read := s.named(fault.Route); read {
+		if _, read := s.routeByName(fault.Route); read {
 			effect = "the rest of the route is in force"
-		} else if s.lists(fault.Route) {
+		} else if s.hasService(fault.Route) {
 			effect = "the rest of the service is in force"
 		}
 		findings = append(findings, Finding{fault.Route, fault.Err.Error(), effect})
@@ -44,17 +44,17 @@
 func (s *Settings) checkRoute(route Route) []Finding {
 	var findings []Finding
 	total := 0
-	for _, share := range route.Shares {
+	for _, share := range route.TrafficSplit {
 		total += max(share.Weight, 0)
 		if share.Weight < 0 {
 			findings = append(findings, Finding{route.Name, fmt.Sprintf("weight %d of %s is below zero", share.Weight, share.Service), "flows are spread in other parts than written"})
 		}
-		if len(s.Services) > 0 && !s.lists(share.Service) {
+		if len(s.Services) > 0 && !s.hasService(share.Service) {
 			findings = append(findings, Finding{route.Name, "service " + share.Service + " is not listed", "its targets are checked at " + defaultHealthPath})
 		}
 	}
 	if total == 0 {
-		findings = append(findings, Finding{route.Name, "all weights are zero", "all flows go to " + route.Shares[0].Service})
+		findings = append(findings, Finding{route.Name, "all weights are zero", "all flows go to " + route.TrafficSplit[0].Service})
 	}
 	if route.Timeout <= 0 {
 		findings = append(findings, Finding{route.Name, "no timeout", "an unanswered request counts as load until the flow's next packet, or for a second"})
@@ -62,8 +62,8 @@
 	return findings
 }
 
-// InForce is one value that is in force.
-type InForce struct {
+// EffectiveValue is one value that is in force.
+type EffectiveValue struct {
 	Key   string `json:"key"`
 	Value string `json:"value"`
 	// From says where the value stands, or that it is built in.
@@ -75,71 +75,71 @@
 
 // Explain lists the values in force for a route, by name or address, or for a
 // service. It reports whether there is one.
-func (s *Settings) Explain(path string) ([]InForce, bool) {
+func (s *Settings) Explain(path string) ([]EffectiveValue, bool) {
 	for _, route := range s.Routes {
 		if route.Name == path || route.Address.String() == path {
 			return s.explainRoute(route), true
 		}
 	}
-	var values []InForce
+	var values []EffectiveValue
 	for _, route := range s.Routes {
-		for _, share := range route.Shares {
+		for _, share := range route.TrafficSplit {
 			if share.Service == path {
-				values = append(values, InForce{"route", fmt.Sprintf("%s at %v, weight %d", route.Name, route.Address, share.Weight), "routes." + route.Name})
+				values = append(values, EffectiveValue{"route", fmt.Sprintf("%s at %v, weight %d", route.Name, route.Address, share.Weight), "routes." + route.Name})
 			}
 		}
 	}
-	if len(values) == 0 && !s.lists(path) {
+	if len(values) == 0 && !s.hasService(path) {
 		return nil, false
 	}
 	return append(values, s.explainService(path)...), true
 }
 
-// lists reports whether anything is published of a service.
-func (s *Settings) lists(service string) bool {
-	return slices.ContainsFunc(s.Services, func(one Service) bool { return one.Name == service })
+// hasService reports whether anything is published of a service.
+func (s *Settings) hasService(service string) bool {
+	return slices.ContainsFunc(s.Services, func(listed Service) bool { return listed.Name == service })
 }
 
-func (s *Settings) explainService(name string) []InForce {
+func (s *Settings) explainService(name string) []EffectiveValue {
 	from := builtIn
-	if s.lists(name) {
+	if s.hasService(name) {
 		from = "services." + name
 	}
 	service := s.service(name)
 	warmUp := "any number of new flows a second"
-	if service.WarmUpPerSecond > 0 {
-		warmUp = fmt.Sprintf("%g new flows a second", service.WarmUpPerSecond)
+	if service.WarmUpFlowsPerSecond > 0 {
+		warmUp = fmt.Sprintf("%g new flows a second", service.WarmUpFlowsPerSecond)
 	}
 	connections := "any number of flows at a target"
 	if service.MaxConnections > 0 {
 		connections = fmt.Sprintf("%d flows at a target", service.MaxConnections)
 	}
-	return []InForce{
+	return []EffectiveValue{
 		{"liveness check of " + name, service.HealthPath, from},
 		{"connections of " + name, connections, from},
 		{"cold targets of " + name, fmt.Sprintf("for %v, %s", service.WarmUp, warmUp), from},
 	}
 }
 
-func (s *Settings) explainRoute(route Route) []InForce {
+func (s *Settings) explainRoute(route Route) []EffectiveValue {
 	from := "routes." + route.Name
-	values := []InForce{
+	values := []EffectiveValue{
 		{"address", route.Address.String(), from},
 		{"kind", route.Kind.String(), from},
 		{"timeout", route.Timeout.String(), from},
 		{"latency objective", route.LatencyObjective.String(), from},
 		{"priority", fmt.Sprint(route.Priority), from},
 	}
-	for _, share := range route.Shares {
-		values = append(values, InForce{"weight of " + share.Service, fmt.Sprint(share.Weight), from})
+	for _, share := range route.TrafficSplit {
+		values = append(values, EffectiveValue{"weight of " + share.Service, fmt.Sprint(share.Weight), from})
 		values = append(values, s.explainService(share.Service)...)
 	}
 	regions := "any"
 	if len(route.Regions) > 0 {
 		regions = strings.Join(route.Regions, ", ")
 	}
-	values = append(values, InForce{"regions", regions, from})
-	idle := InForce{"idle flows are forgotten after", cmp.Or(s.IdleTimeout, defaultIdle).String(), "limits"}
+	values = append(values, EffectiveValue{"regions", regions, from})
+	idle := EffectiveValue{"idle flows are forgotten after", cmp.Or(s.IdleTimeout, defaultIdleTimeout).String(), "limits"}
 	if s.IdleTimeout == 0 {
 		idle.From = builtIn
 	}
--- a/core/steerer/fixture_test.go
+++ b/core/steerer/fixture_test.go
@@ -28,11 +28,11 @@
 // fleet is some hosts before one platform, on a clock of its own. Calls and
 // messages take hop.
 type fleet struct {
-	t     tester
-	now   timekeeper.Instant
-	names []string
-	hosts map[string]*host
-	queue []timed
+	t      tester
+	now    timekeeper.Instant
+	names  []string
+	hosts  map[string]*host
+	timers []timer
 
 	settings *steerer.Settings
 	targets  map[string]steerer.Target
@@ -47,49 +47,49 @@
 	documentBytes  int
 	// drainingWithin is the same for targets that drain.
 	drainingWithin time.Duration
-	// deaf are hosts whose questions nobody answers, late by how much hosts are late to
+	// unansweredHosts are hosts whose questions nobody answers, late by how much hosts are late to
 	// take in what comes.
-	deaf map[string]bool
-	late map[string]time.Duration
+	unansweredHosts map[string]bool
+	inboundDelay    map[string]time.Duration
 	// evacuatedWithin and regions are what hosts that start are told.
 	evacuatedWithin time.Duration
 	regions         map[string]string
 	// quotas are what hosts that start are told.
 	quotas []throttler.Quota
-	// shown is what the platform listed at each position that it has shown.
-	shown map[sequencer.Position]listing
+	// listings is what the platform listed at each position that it has shown.
+	listings map[sequencer.Position]platformListing
 	// malformed are listed entries that name no target.
 	malformed []steerer.MalformedTarget
-	// down says that the platform answers nobody, turnedAway names hosts that it
+	// down says that the platform answers nobody, deniedHosts names hosts that it
 	// does not answer.
-	down       bool
-	turnedAway map[string]bool
-	cut        map[[2]string]bool
-	// outcomes says how liveness checks end; the others end well.
-	outcomes map[string]steerer.ProbeOutcome
-	reads    int
+	down        bool
+	deniedHosts map[string]bool
+	cutLinks    map[[2]string]bool
+	// probeOutcomes says how liveness checks end; the others end well.
+	probeOutcomes map[string]steerer.ProbeOutcome
+	reads         int
 	// targetReads counts those of reads that were of the targets.
 	// staleReads counts those of reads that may have been seconds old.
-	staleReads int
-	asks       int
-	// settingsTake and targetsTake are how long a read of them takes; hop if 0.
-	settingsTake time.Duration
-	targetsTake  time.Duration
-	// reportTakes is how long a report is on its way; hop if 0.
-	reportTakes time.Duration
-	// answerTakes is how long a host takes to answer another; hop if 0.
-	answerTakes time.Duration
-	// asking counts the questions of each host that are under way, mostAsking the most
+	staleReads   int
+	syncRequests int
+	// settingsReadTime and targetsReadTime are how long a read of them takes; hop if 0.
+	settingsReadTime time.Duration
+	targetsReadTime  time.Duration
+	// reportDelay is how long a report is on its way; hop if 0.
+	reportDelay time.Duration
+	// answerDelay is how long a host takes to answer another; hop if 0.
+	answerDelay time.Duration
+	// pendingSyncRequests counts the questions of each host that are under way, peakPendingSyncRequests the most
 	// that any had at once.
-	asking     map[string]int
-	mostAsking int
-	// maxAnswers bounds the questions that a host answers at once; 0 is any.
-	maxAnswers int
-	probes     int
-	// reports counts the reports that hosts sent each other, farReports those that went
+	pendingSyncRequests     map[string]int
+	peakPendingSyncRequests int
+	// maxConcurrentAnswers bounds the questions that a host answers at once; 0 is any.
+	maxConcurrentAnswers int
+	probes               int
+	// reports counts the reports that hosts sent each other, crossZoneReports those that went
 	// to another zone.
-	reports    int
-	farReports int
+	reports          int
+	crossZoneReports int
 	// reportBytes counts what hosts sent each other, sealed; -1 to leave it.
 	reportBytes int
 	// answerBytes counts what hosts told each other of targets in answer to questions, while
@@ -102,12 +102,12 @@
 	address netip.AddrPort
 	running bool
 	starts  uint64
-	sent    []sent
+	sent    []sentPacket
 	resets  []steerer.ResetFlow
-	logs    []steerer.Logged
+	logs    []steerer.WriteLog
 	ended   bool
-	// answering counts the questions that the host answers at present.
-	answering int
+	// activeAnswers counts the questions that the host answers at present.
+	activeAnswers int
 	// maxFlows bounds the flows that the host remembers; 0 is plenty.
 	maxFlows int
 	// linkBytesPerSecond is what the host's link carries; 0 is unknown.
@@ -116,8 +116,8 @@
 	reads int
 }
 
-// sent is a packet that a host passed on.
-type sent struct {
+// sentPacket is a packet that a host passed on.
+type sentPacket struct {
 	target string
 	tag    steerer.Tag
 	data   string
@@ -125,16 +125,16 @@
 	flow string
 }
 
-type timed struct {
-	at timekeeper.Instant
-	do func()
+type timer struct {
+	at  timekeeper.Instant
+	run func()
 }
 
-const hop = 2 * time.Millisecond
+const linkDelay = 2 * time.Millisecond
 
 var (
-	errDown   = errors.New("the platform does not answer")
-	errSpoilt = errors.New("no service")
+	errPlatformDown   = errors.New("the platform does not answer")
+	errMalformedEntry = errors.New("no service")
 )
 
 // Routes of every test: reads and checks go to ledger, uploads to intake.
@@ -145,15 +145,15 @@
 )
 
 func routes() []steerer.Route {
-	ledger, intake := []steerer.Share{{Service: "ledger", Weight: 1}}, []steerer.Share{{Service: "intake", Weight: 1}}
+	ledger, intake := []steerer.WeightedService{{Service: "ledger", Weight: 1}}, []steerer.WeightedService{{Service: "intake", Weight: 1}}
 	return []steerer.Route{
-		{Name: "read", Address: readRoute, Shares: ledger, Kind: steerer.KindIdempotent, Timeout: 2500 * time.Millisecond},
-		{Name: "check", Address: checkRoute, Shares: ledger, Kind: steerer.KindNonIdempotent, Timeout: 3 * time.Second},
-		{Name: "upload", Address: uploadRoute, Shares: intake, Kind: steerer.KindUpload, Timeout: 5 * time.Second},
+		{Name: "read", Address: readRoute, TrafficSplit: ledger, Kind: steerer.KindIdempotent, Timeout: 2500 * time.Millisecond},
+		{Name: "check", Address: checkRoute, TrafficSplit: ledger, Kind: steerer.KindNonIdempotent, Timeout: 3 * time.Second},
+		{Name: "upload", Address: uploadRoute, TrafficSplit: intake, Kind: steerer.KindUpload, Timeout: 5 * time.Second},
 	}
 }
 
-func settingsOf(version uint64, routes []steerer.Route) *steerer.Settings {
+func newSettings(version uint64, routes []steerer.Route) *steerer.Settings {
 	return steerer.NewSettings(version, routes, []steerer.Service{{Name: "ledger", HealthPath: "/healthz"}}, 15*time.Second)
 }
 
@@ -163,8 +163,8 @@
 	t.Helper()
 	f := &fleet{
 		t: t, now: timekeeper.Instant(time.Second), hosts: map[string]*host{}, targets: map[string]steerer.Target{},
-		turnedAway: map[string]bool{}, cut: map[[2]string]bool{}, asking: map[string]int{}, shown: map[sequencer.Position]listing{}, outcomes: map[string]steerer.ProbeOutcome{},
-		settings: settingsOf(1, routes()), revision: 1, reportBytes: -1,
+		deniedHosts: map[string]bool{}, cutLinks: map[[2]string]bool{}, pendingSyncRequests: map[string]int{}, listings: map[sequencer.Position]platformListing{}, probeOutcomes: map[string]steerer.ProbeOutcome{},
+		settings: newSettings(1, routes()), revision: 1, reportBytes: -1,
 	}
 	for zone, count := range hostsByZone {
 		for n := 1; n <= count; n++ {
@@ -191,7 +191,7 @@
 
 // addTarget registers a target and returns it.
 func (f *fleet) addTarget(id, service, zone string) steerer.Target {
-	number, ok := steerer.NumberOf(id)
+	number, ok := steerer.ParseTargetNumber(id)
 	require.True(f.t, ok)
 	f.revision++
 	target := steerer.Target{
@@ -212,25 +212,25 @@
 // restart lets a target start again under its ID.
 func (f *fleet) restart(id string) {
 	target := f.targets[id]
-	target.Born += 1000
+	target.Incarnation += 1000
 	target.Draining = false
 	f.targets[id] = target
 	f.revision++
 }
 
-// spoil writes an entry that names no target over a target's own.
-func (f *fleet) spoil(id string) {
+// malformEntry writes an entry that names no target over a target's own.
+func (f *fleet) malformEntry(id string) {
 	f.remove(id)
-	f.malformed = append(f.malformed, steerer.MalformedTarget{ID: id, Digest: f.revision, Err: errSpoilt})
+	f.malformed = append(f.malformed, steerer.MalformedTarget{ID: id, Digest: f.revision, Err: errMalformedEntry})
 }
 
-// evacuate orders a zone to be evacuated, takeBack takes the order back.
+// evacuate orders a zone to be evacuated, withdrawEvacuation takes the order back.
 func (f *fleet) evacuate(zone string) {
 	f.revision++
 	f.orders = f.orders.WithZone(zone, f.revision)
 }
 
-func (f *fleet) takeBack(zone string) {
+func (f *fleet) withdrawEvacuation(zone string) {
 	f.revision++
 	f.orders = f.orders.WithoutZone(zone, f.revision)
 }
@@ -256,23 +256,23 @@
 	h.steerer = steerer.New(steerer.Config{
 		Self: name, Address: h.address, AvailabilityZone: name[:1], Seeds: seeds,
 		Incarnation: h.starts, Seed: h.starts, MaxFlows: h.maxFlows, LinkBytesPerSecond: h.linkBytesPerSecond, Start: f.now,
-		SettingsWithin: cmp.Or(f.settingsWithin, 3*time.Second), DrainingWithin: cmp.Or(f.drainingWithin, 3*time.Second),
-		EvacuatedWithin: f.evacuatedWithin, Regions: f.regions, ColdOverage: 1.5, ColdAllowance: 5, Quotas: f.quotas,
+		SettingsPropagationLimit: cmp.Or(f.settingsWithin, 3*time.Second), DrainingPropagationLimit: cmp.Or(f.drainingWithin, 3*time.Second),
+		EvacuationPropagationLimit: f.evacuatedWithin, Regions: f.regions, ColdBurstFactor: 1.5, ColdBurstAllowance: 5, Quotas: f.quotas,
 	})
 	f.reduce(name, &steerer.Tick{})
 }
 
 func (f *fleet) kill(name string) { f.hosts[name].running = false }
 
-func (f *fleet) after(d time.Duration, do func()) {
-	f.queue = append(f.queue, timed{at: f.now.Add(d), do: do})
+func (f *fleet) schedule(d time.Duration, do func()) {
+	f.timers = append(f.timers, timer{at: f.now.Add(d), run: do})
 }
 
 // step lets time pass, tick by tick, in order of the hosts' names.
 func (f *fleet) step(d time.Duration) {
 	end := f.now.Add(d)
 	for f.now < end {
-		next := min(f.now.Add(steerer.TickEvery), end)
+		next := min(f.now.Add(steerer.TickInterval), end)
 		f.runUntil(next)
 		f.now = next
 		for _, name := range f.names {
@@ -285,18 +285,18 @@
 func (f *fleet) runUntil(end timekeeper.Instant) {
 	for {
 		best := -1
-		for i, one := range f.queue {
-			if one.at <= end && (best < 0 || one.at < f.queue[best].at) {
+		for i, timer := range f.timers {
+			if timer.at <= end && (best < 0 || timer.at < f.timers[best].at) {
 				best = i
 			}
 		}
 		if best < 0 {
 			return
 		}
-		one := f.queue[best]
-		f.queue = slices.Delete(f.queue, best, best+1)
-		f.now = max(f.now, one.at)
-		one.do()
+		next := f.timers[best]
+		f.timers = slices.Delete(f.timers, best, best+1)
+		f.now = max(f.now, next.at)
+		next.run()
 	}
 }
 
@@ -305,18 +305,18 @@
 	if !h.running {
 		return
 	}
-	steerer.Stamp(event, f.now)
+	steerer.SetTime(event, f.now)
 	for _, effect := range slices.Clone(h.steerer.Reduce(event)) {
-		f.carryOut(name, effect)
+		f.perform(name, effect)
 	}
 }
 
-func (f *fleet) carryOut(name string, effect steerer.Effect) {
+func (f *fleet) perform(name string, effect steerer.Effect) {
 	h := f.hosts[name]
 	switch e := effect.(type) {
-	case *steerer.ToTarget:
+	case *steerer.ForwardPacket:
 		data, flow, _ := strings.Cut(string(e.Data), "|")
-		h.sent = append(h.sent, sent{target: idOf(e.Number), tag: e.Tag, data: data, flow: flow})
+		h.sent = append(h.sent, sentPacket{target: idOf(e.Number), tag: e.Tag, data: data, flow: flow})
 	case *steerer.ResetFlow:
 		h.resets = append(h.resets, *e)
 	case *steerer.ReadSettings:
@@ -327,22 +327,22 @@
 		f.probe(name, *e)
 	case *steerer.SendReport:
 		f.sendReport(name, e)
-	case *steerer.AskHost:
+	case *steerer.SendSyncRequest:
 		f.askHost(name, e)
-	case *steerer.Logged:
+	case *steerer.WriteLog:
 		h.logs = append(h.logs, *e)
-	case *steerer.Ended:
+	case *steerer.Exit:
 		h.ended = true
-	case *steerer.Answered:
+	case *steerer.ObserveLatency:
 	}
 }
 
-func idOf(number steerer.Number) string { return fmt.Sprintf("i-%x", uint64(number)) }
+func idOf(number steerer.TargetNumber) string { return fmt.Sprintf("i-%x", uint64(number)) }
 
-func (f *fleet) answers(name string) bool { return !f.down && !f.turnedAway[name] }
+func (f *fleet) platformAnswers(name string) bool { return !f.down && !f.deniedHosts[name] }
 
-// noteRead counts a read.
-func (f *fleet) noteRead(name string, mayBeStale bool) {
+// countRead counts a read.
+func (f *fleet) countRead(name string, mayBeStale bool) {
 	f.reads++
 	f.hosts[name].reads++
 	if mayBeStale {
@@ -358,20 +358,20 @@
 }
 
 func (f *fleet) readSettings(name string, options steerer.ReadOptions) {
-	f.noteRead(name, options.MayBeStale)
-	event := &steerer.SettingsRead{Started: f.now, MayBeStale: options.MayBeStale, Err: errDown}
-	if f.answers(name) {
+	f.countRead(name, options.MayBeStale)
+	event := &steerer.SettingsRead{Started: f.now, MayBeStale: options.MayBeStale, Err: errPlatformDown}
+	if f.platformAnswers(name) {
 		orders := f.orders.WithRevision(f.revision)
-		orders.Position.Era = f.shownEra(options)
+		orders.Position.Era = f.answerEra(options)
 		event.Published = steerer.Published{Settings: f.settings, Document: f.document(), Orders: orders}
 		event.Err = nil
 	}
-	f.after(max(hop, f.settingsTake)+f.late[name], func() { f.reduce(name, event) })
+	f.schedule(max(linkDelay, f.settingsReadTime)+f.inboundDelay[name], func() { f.reduce(name, event) })
 }
 
-// shownEra is the era of an answer: the platform's, or, if it tells none, what the reader has
+// answerEra is the era of an answer: the platform's, or, if it tells none, what the reader has
 // heard of.
-func (f *fleet) shownEra(options steerer.ReadOptions) uint64 {
+func (f *fleet) answerEra(options steerer.ReadOptions) uint64 {
 	if f.era == 0 {
 		return options.Era
 	}
@@ -379,117 +379,117 @@
 }
 
 func (f *fleet) readTargets(name string, options steerer.ReadOptions) {
-	f.noteRead(name, options.MayBeStale)
-	event := &steerer.TargetsRead{Started: f.now, MayBeStale: options.MayBeStale, Err: errDown}
-	if f.answers(name) {
-		event.Err, event.List = nil, f.listSince(options)
+	f.countRead(name, options.MayBeStale)
+	event := &steerer.TargetsRead{Started: f.now, MayBeStale: options.MayBeStale, Err: errPlatformDown}
+	if f.platformAnswers(name) {
+		event.Err, event.List = nil, f.changesSince(options)
 	}
-	f.after(max(hop, f.targetsTake), func() { f.reduce(name, event) })
+	f.schedule(max(linkDelay, f.targetsReadTime), func() { f.reduce(name, event) })
 }
 
-// listing is what the platform listed at some position.
-type listing struct {
+// platformListing is what the platform listed at some position.
+type platformListing struct {
 	targets   map[string]steerer.Target
 	malformed []steerer.MalformedTarget
 }
 
-// listSince is what has changed since a position that the platform has shown, or all targets.
-func (f *fleet) listSince(options steerer.ReadOptions) steerer.TargetList {
-	list := steerer.TargetList{Position: sequencer.At(f.shownEra(options), f.revision)}
-	before, told := f.shown[options.Since]
-	if told && options.Since.Era == list.Position.Era {
+// changesSince is what has changed since a position that the platform has shown, or all targets.
+func (f *fleet) changesSince(options steerer.ReadOptions) steerer.TargetList {
+	list := steerer.TargetList{Position: sequencer.At(f.answerEra(options), f.revision)}
+	previous, known := f.listings[options.Since]
+	if known && options.Since.Era == list.Position.Era {
 		list.Since = options.Since
 	} else {
-		before = listing{}
+		previous = platformListing{}
 	}
 	for id, target := range f.targets {
-		if old, listed := before.targets[id]; !listed || old != target {
+		if old, listed := previous.targets[id]; !listed || old != target {
 			list.Targets = append(list.Targets, target)
 		}
 	}
-	for id := range before.targets {
+	for id := range previous.targets {
 		_, listed := f.targets[id]
 		spoilt := slices.ContainsFunc(f.malformed, func(one steerer.MalformedTarget) bool { return one.ID == id })
 		if !listed && !spoilt {
-			list.Gone = append(list.Gone, id)
+			list.MissingIDs = append(list.MissingIDs, id)
 		}
 	}
 	for _, one := range f.malformed {
-		if !slices.Contains(before.malformed, one) {
+		if !slices.Contains(previous.malformed, one) {
 			list.Malformed = append(list.Malformed, one)
 		}
 	}
 	slices.SortFunc(list.Targets, func(x, y steerer.Target) int { return strings.Compare(x.ID, y.ID) })
-	slices.Sort(list.Gone)
-	f.shown[list.Position] = listing{targets: maps.Clone(f.targets), malformed: slices.Clone(f.malformed)}
+	slices.Sort(list.MissingIDs)
+	f.listings[list.Position] = platformListing{targets: maps.Clone(f.targets), malformed: slices.Clone(f.malformed)}
 	return list
 }
 
 func (f *fleet) probe(name string, e steerer.Probe) {
 	f.probes++
-	outcome, ok := f.outcomes[e.Target]
-	took := hop
+	outcome, ok := f.probeOutcomes[e.Target]
+	took := linkDelay
 	if !ok {
 		outcome = steerer.ProbeHealthy
 	}
-	if outcome == steerer.ProbeSilent {
-		took = e.Patience * 5 / 3 // The host is slow to notice.
+	if outcome == steerer.ProbeConnectTimeout {
+		took = e.Timeout * 5 / 3 // The host is slow to notice.
 	}
-	f.after(took, func() {
-		f.reduce(name, &steerer.Probed{Target: e.Target, Born: e.Born, Outcome: outcome, Took: took})
+	f.schedule(took, func() {
+		f.reduce(name, &steerer.ProbeCompleted{Target: e.Target, Incarnation: e.Incarnation, Outcome: outcome, Took: took})
 	})
 }
 
 func (f *fleet) sendReport(name string, e *steerer.SendReport) {
 	report := *e.Report
 	if f.reportBytes >= 0 {
-		f.reportBytes += sealedBytes(f.t, e)
+		f.reportBytes += sealedSize(f.t, e)
 	}
 	f.reports++
 	for _, other := range f.names {
 		if f.hosts[other].address == e.Address && other[0] != name[0] {
-			f.farReports++
+			f.crossZoneReports++
 		}
-		if f.hosts[other].address == e.Address && !f.cut[[2]string{name, other}] {
-			f.after(max(hop, f.reportTakes)+f.late[other], func() { f.reduce(other, &steerer.ReportReceived{From: name, Report: &report}) })
+		if f.hosts[other].address == e.Address && !f.cutLinks[[2]string{name, other}] {
+			f.schedule(max(linkDelay, f.reportDelay)+f.inboundDelay[other], func() { f.reduce(other, &steerer.ReportReceived{From: name, Report: &report}) })
 		}
 	}
 }
 
-func (f *fleet) askHost(name string, e *steerer.AskHost) {
-	f.asks++
-	f.asking[name]++
-	f.mostAsking = max(f.mostAsking, f.asking[name])
+func (f *fleet) askHost(name string, e *steerer.SendSyncRequest) {
+	f.syncRequests++
+	f.pendingSyncRequests[name]++
+	f.peakPendingSyncRequests = max(f.peakPendingSyncRequests, f.pendingSyncRequests[name])
 	other := f.hosts[e.Host]
-	event := &steerer.HostAnswered{From: e.Host, Err: errDown}
-	busy := f.maxAnswers > 0 && other.answering == f.maxAnswers
-	took := max(hop, f.answerTakes) + f.late[name]
+	event := &steerer.SyncResponseReceived{From: e.Host, Err: errPlatformDown}
+	busy := f.maxConcurrentAnswers > 0 && other.activeAnswers == f.maxConcurrentAnswers
+	took := max(linkDelay, f.answerDelay) + f.inboundDelay[name]
 	switch {
-	case f.deaf[name]:
-		took = e.Patience
-	case other.running && !busy && !f.cut[[2]string{name, e.Host}]:
-		other.answering++
-		f.after(50*time.Millisecond, func() { other.answering-- })
+	case f.unansweredHosts[name]:
+		took = e.Timeout
+	case other.running && !busy && !f.cutLinks[[2]string{name, e.Host}]:
+		other.activeAnswers++
+		f.schedule(50*time.Millisecond, func() { other.activeAnswers-- })
 		event.Err = nil
-		event.Knowledge = other.steerer.Knowledge(e.Request)
+		event.Knowledge = other.steerer.SyncResponse(e.Request)
 		if f.reportBytes >= 0 {
-			f.answerBytes += answeredBytes(f.t, event.Knowledge.Targets)
+			f.answerBytes += compressedSize(f.t, event.Knowledge.Targets)
 		}
 		if event.Knowledge.CompressedSettings != nil {
 			event.Document, event.Settings = event.Knowledge.CompressedSettings, f.settings
 		}
 	}
-	f.after(took, func() {
-		f.asking[name]--
+	f.schedule(took, func() {
+		f.pendingSyncRequests[name]--
 		f.reduce(name, event)
 	})
 }
 
-// split cuts every link between zones; the platform stays in reach.
-func (f *fleet) split(zone string) {
+// splitZone cuts every link between zones; the platform stays in reach.
+func (f *fleet) splitZone(zone string) {
 	for _, x := range f.names {
 		for _, y := range f.names {
-			f.cut[[2]string{x, y}] = (x[:1] == zone) != (y[:1] == zone)
+			f.cutLinks[[2]string{x, y}] = (x[:1] == zone) != (y[:1] == zone)
 		}
 	}
 }
@@ -500,21 +500,21 @@
 	address netip.AddrPort
 	route   netip.AddrPort
 	// target and tag are what the opening packet got.
-	target   string
-	tag      steerer.Tag
-	sequence uint32
-	answered uint32
+	target       string
+	tag          steerer.Tag
+	sequence     uint32
+	acknowledged uint32
 }
 
 func (f *fleet) caller(n int, route netip.AddrPort) *caller {
 	address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{100, 64, byte(n >> 8), byte(n)}), 40000)
-	return &caller{f: f, address: address, route: route, sequence: 1000, answered: 5000}
+	return &caller{f: f, address: address, route: route, sequence: 1000, acknowledged: 5000}
 }
 
 func (c *caller) packet(flags steerer.Flags, length uint32, data string) steerer.Packet {
 	return steerer.Packet{
 		Caller: c.address, Service: c.route, Tag: c.tag, Flags: flags, Length: length,
-		Sequence: c.sequence, Acknowledged: c.answered, Data: []byte(data + "|" + c.address.String()),
+		Sequence: c.sequence, Acknowledged: c.acknowledged, Data: []byte(data + "|" + c.address.String()),
 	}
 }
 
@@ -535,40 +535,40 @@
 	c.f.reduce(name, &steerer.CallerPacket{Packet: c.packet(steerer.FlagAck, 0, "ack")})
 }
 
-// ask sends a request of one packet.
-func (c *caller) ask(name string) {
+// sendRequest sends a request of one packet.
+func (c *caller) sendRequest(name string) {
 	p := c.packet(steerer.FlagAck, 100, "ask")
 	c.f.reduce(name, &steerer.CallerPacket{Packet: p})
 	c.sequence += 100
 }
 
-// send sends a part of a large request.
-func (c *caller) send(name string, bytes uint32) {
+// sendPart sends a part of a large request.
+func (c *caller) sendPart(name string, bytes uint32) {
 	p := c.packet(steerer.FlagAck, bytes, strings.Repeat("x", int(bytes)))
 	c.f.reduce(name, &steerer.CallerPacket{Packet: p})
 	c.sequence += bytes
 }
 
-// repeat sends the last request again.
-func (c *caller) repeat(name string) {
+// retransmit sends the last request again.
+func (c *caller) retransmit(name string) {
 	p := c.packet(steerer.FlagAck, 100, "ask")
 	p.Sequence -= 100
 	c.f.reduce(name, &steerer.CallerPacket{Packet: p})
 }
 
-// thank acknowledges an answer.
-func (c *caller) thank(name string) {
-	c.answered += 500
+// ackResponse acknowledges an answer.
+func (c *caller) ackResponse(name string) {
+	c.acknowledged += 500
 	c.establish(name)
 }
 
-// finish closes the caller's end.
-func (c *caller) finish(name string) {
+// close closes the caller's end.
+func (c *caller) close(name string) {
 	c.f.reduce(name, &steerer.CallerPacket{Packet: c.packet(steerer.FlagAck|steerer.FlagEnd, 0, "end")})
 }
 
-// last is the target that the last packet through a host reached.
-func (f *fleet) last(name string) string {
+// lastTarget is the target that the last packet through a host reached.
+func (f *fleet) lastTarget(name string) string {
 	all := f.hosts[name].sent
 	if len(all) == 0 {
 		return ""
--- a/core/steerer/foreign.go
+++ b/core/steerer/foreign.go
@@ -2,11 +2,11 @@
 
 import "cranberryspan.dev/core/sequencer"
 
-// maxMalformed bounds the entries of which is kept that they were logged: other programs may
+// maxLoggedMalformed bounds the entries of which is kept that they were logged: other programs may
 // write any number.
-const maxMalformed = 1000
+const maxLoggedMalformed = 1000
 
-// noteMalformed takes in listed entries that name no target.
+// recordMalformed takes in listed entries that name no target.
 //
 // Such an entry is another program's, or was written over a target's own. A target
 // whose entry is lost so gets no new flows at once: nothing says any more that it is
@@ -16,29 +16,29 @@
 // with its next heartbeat.
 //
 // An entry is logged once, until it changes: it may lie there for days.
-func (s *Steerer) noteMalformed(entries []MalformedTarget, seen sequencer.Position) {
+func (s *Steerer) recordMalformed(entries []MalformedTarget, seen sequencer.Position) {
 	for _, entry := range entries {
 		t, known := s.targets.byID[entry.ID]
-		if !s.malformed[entry.Digest] {
+		if !s.loggedMalformed[entry.Digest] {
 			s.counts.add(TargetMalformed)
 			s.log("targetMalformed", field("target", entry.ID), field("error", entry.Err.Error()),
-				field("known", btoa(known)), field("revision", seen.String()))
+				field("known", formatBool(known)), field("revision", seen.String()))
 		}
-		if len(s.malformed) < maxMalformed {
-			s.malformed[entry.Digest] = true
+		if len(s.loggedMalformed) < maxLoggedMalformed {
+			s.loggedMalformed[entry.Digest] = true
 		}
-		if known && !t.unreadable && t.seen.Before(seen) {
-			t.unreadable = true
-			s.takeMissing(t, seen, fromPlatform)
+		if known && !t.malformed && t.seenPosition.Before(seen) {
+			t.malformed = true
+			s.markMissing(t, seen, fromPlatform)
 		}
 	}
 }
 
-// stillMalformed returns those of the entries that were logged that a whole list still has.
-func (s *Steerer) stillMalformed(entries []MalformedTarget) map[uint64]bool {
+// retainMalformed returns those of the entries that were logged that a whole list still has.
+func (s *Steerer) retainMalformed(entries []MalformedTarget) map[uint64]bool {
 	still := map[uint64]bool{}
 	for _, entry := range entries {
-		if s.malformed[entry.Digest] {
+		if s.loggedMalformed[entry.Digest] {
 			still[entry.Digest] = true
 		}
 	}
--- a/core/steerer/fuzz_test.go
+++ b/core/steerer/fuzz_test.go
@@ -36,30 +36,30 @@
 // allowed to use, and when each target drained. It knows nothing of the hosts.
 func TestFleetAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newMachine(t)
+		m := newModel(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"open":     m.open,
 			"open2":    m.open,
-			"talk":     m.talk,
-			"talk2":    m.talk,
-			"repeat":   m.repeat,
+			"talk":     m.exchange,
+			"talk2":    m.exchange,
+			"repeat":   m.retransmit,
 			"kill":     m.kill,
 			"start":    m.startHost,
 			"pause":    m.pause,
 			"cut":      m.cut,
-			"heal":     m.heal,
-			"platform": m.platform,
-			"refuse":   m.refuse,
+			"heal":     m.healLinks,
+			"platform": m.togglePlatform,
+			"refuse":   m.togglePlatformAccess,
 			"drain":    m.drain,
 			"crash":    m.crash,
 			"restart":  m.restart,
-			"spoil":    m.spoil,
-			"rewrite":  m.rewrite,
-			"crowd":    m.crowd,
+			"spoil":    m.malformEntry,
+			"rewrite":  m.restoreEntries,
+			"crowd":    m.congest,
 			"add":      m.add,
 			"publish":  m.publish,
 			"wait":     m.wait,
-			"":         m.check,
+			"":         m.checkInvariants,
 		})
 	})
 }
@@ -68,40 +68,40 @@
 type oracleFlow struct {
 	*caller
 	kind steerer.Kind
-	// lost says that the flow's target has started again and does not hold it.
-	lost bool
+	// stateLost says that the flow's target has started again and does not hold it.
+	stateLost bool
 }
 
-// machine drives a fleet and keeps the oracle.
-type machine struct {
-	f     *fleet
-	flows []*oracleFlow
-	next  int
-	ids   int
+// model drives a fleet and keeps the oracle.
+type model struct {
+	f            *fleet
+	flows        []*oracleFlow
+	lastCaller   int
+	lastTargetID int
 	// services names what each route was ever allowed to use.
-	services map[string]string
-	dead     map[string]bool
-	drained  map[string]timekeeper.Instant
-	// spoilt are targets whose entries were written over.
-	spoilt []steerer.Target
-	// disturbed is when something last kept news from a host.
-	disturbed timekeeper.Instant
-	versions  map[string]uint64
-	checked   map[string]int
-	resets    map[string]int
-}
-
-func newMachine(t *rapid.T) *machine {
+	services     map[string]string
+	dead         map[string]bool
+	drainedSince map[string]timekeeper.Instant
+	// malformed are targets whose entries were written over.
+	malformed []steerer.Target
+	// lastDisturbance is when something last kept news from a host.
+	lastDisturbance timekeeper.Instant
+	versions        map[string]uint64
+	checked         map[string]int
+	resets          map[string]int
+}
+
+func newModel(t *rapid.T) *model {
 	f := newFleet(t, 2, 2, 1)
-	return &machine{
-		f: f, services: map[string]string{}, dead: map[string]bool{}, drained: map[string]timekeeper.Instant{},
+	return &model{
+		f: f, services: map[string]string{}, dead: map[string]bool{}, drainedSince: map[string]timekeeper.Instant{},
 		versions: map[string]uint64{}, checked: map[string]int{}, resets: map[string]int{},
 	}
 }
 
-func (m *machine) host(t *rapid.T) string { return rapid.SampledFrom(m.f.names).Draw(t, "host") }
+func (m *model) host(t *rapid.T) string { return rapid.SampledFrom(m.f.names).Draw(t, "host") }
 
-func (m *machine) target(t *rapid.T) string {
+func (m *model) target(t *rapid.T) string {
 	var ids []string
 	for id := range m.f.targets {
 		ids = append(ids, id)
@@ -113,65 +113,65 @@
 	return rapid.SampledFrom(ids).Draw(t, "target")
 }
 
-func (m *machine) open(t *rapid.T) {
-	m.next++
+func (m *model) open(t *rapid.T) {
+	m.lastCaller++
 	at := rapid.IntRange(0, 2).Draw(t, "route")
 	route := []struct {
 		kind    steerer.Kind
 		service string
 	}{{steerer.KindIdempotent, "ledger"}, {steerer.KindNonIdempotent, "ledger"}, {steerer.KindUpload, "intake"}}[at]
-	c := m.f.caller(m.next, routes()[at].Address)
+	c := m.f.caller(m.lastCaller, routes()[at].Address)
 	name := m.host(t)
 	c.open(name, 0)
 	if c.target == "" || m.dead[c.target] {
 		return // It does not open; its caller tries anew.
 	}
-	require.Equal(t, route.service, m.serviceOf(c.target), "flow %d", m.next)
-	if since, ok := m.drained[c.target]; ok {
-		calm := m.f.now.Since(m.disturbed) > 4*time.Second
-		require.False(t, calm && m.f.now.Since(since) > 3*time.Second, "flow %d went to %s, which drains", m.next, c.target)
+	require.Equal(t, route.service, m.serviceOf(c.target), "flow %d", m.lastCaller)
+	if since, ok := m.drainedSince[c.target]; ok {
+		calm := m.f.now.Since(m.lastDisturbance) > 4*time.Second
+		require.False(t, calm && m.f.now.Since(since) > 3*time.Second, "flow %d went to %s, which drains", m.lastCaller, c.target)
 	}
 	c.establish(name)
 	m.flows = append(m.flows, &oracleFlow{caller: c, kind: route.kind})
 }
 
-func (m *machine) serviceOf(id string) string {
+func (m *model) serviceOf(id string) string {
 	if strings.HasPrefix(id, "i-2") {
 		return "intake"
 	}
 	return "ledger"
 }
 
-func (m *machine) flow(t *rapid.T) *oracleFlow {
+func (m *model) flow(t *rapid.T) *oracleFlow {
 	if len(m.flows) == 0 {
 		t.Skip("no flow is open")
 	}
 	return rapid.SampledFrom(m.flows).Draw(t, "flow")
 }
 
-// talk lets some flows ask, and be answered if their targets live.
-func (m *machine) talk(t *rapid.T) {
+// exchange lets some flows ask, and be answered if their targets live.
+func (m *model) exchange(t *rapid.T) {
 	for range rapid.IntRange(1, 10).Draw(t, "requests") {
 		c := m.flow(t)
 		name := m.host(t)
-		m.sendChecked(t, name, c.ask)
-		m.f.step(time.Duration(rapid.IntRange(0, 1).Draw(t, "ticks")) * steerer.TickEvery)
-		if !m.dead[c.target] && !c.lost {
-			c.thank(name)
+		m.sendAndCheck(t, name, c.sendRequest)
+		m.f.step(time.Duration(rapid.IntRange(0, 1).Draw(t, "ticks")) * steerer.TickInterval)
+		if !m.dead[c.target] && !c.stateLost {
+			c.ackResponse(name)
 		}
 	}
 }
 
-func (m *machine) repeat(t *rapid.T) {
+func (m *model) retransmit(t *rapid.T) {
 	c := m.flow(t)
 	m.f.step(200 * time.Millisecond)
 	name := m.host(t)
-	m.sendChecked(t, name, c.repeat)
+	m.sendAndCheck(t, name, c.retransmit)
 }
 
-// sendChecked sends a packet of a flow and checks that each packet that the host passes on
+// sendAndCheck sends a packet of a flow and checks that each packet that the host passes on
 // reaches its own target or nobody.
-func (m *machine) sendChecked(t *rapid.T, name string, send func(string)) {
+func (m *model) sendAndCheck(t *rapid.T, name string, send func(string)) {
 	before := len(m.f.hosts[name].sent)
 	send(name)
 	for _, s := range m.f.hosts[name].sent[before:] {
@@ -181,69 +181,69 @@
 
 // checkSent demands that a packet of an open flow goes to the flow's own target. What
 // one flow's packet sets free may be another's.
-func (m *machine) checkSent(t *rapid.T, s sent) {
+func (m *model) checkSent(t *rapid.T, s sentPacket) {
 	at := slices.IndexFunc(m.flows, func(c *oracleFlow) bool { return c.address.String() == s.flow })
 	if at >= 0 {
 		require.Equal(t, m.flows[at].target, s.target, "a packet of %s", s.flow)
 	}
 }
 
-func (m *machine) kill(t *rapid.T) {
+func (m *model) kill(t *rapid.T) {
 	m.f.kill(m.host(t))
-	m.disturbed = m.f.now
+	m.lastDisturbance = m.f.now
 }
 
-func (m *machine) startHost(t *rapid.T) {
+func (m *model) startHost(t *rapid.T) {
 	name := m.host(t)
 	m.f.kill(name)
 	delete(m.versions, name)
 	m.f.start(name)
-	m.disturbed = m.f.now
+	m.lastDisturbance = m.f.now
 }
 
 // pause lets time pass for everything but a host.
-func (m *machine) pause(t *rapid.T) {
+func (m *model) pause(t *rapid.T) {
 	h := m.f.hosts[m.host(t)]
 	running := h.running
 	h.running = false
-	m.f.step(time.Duration(rapid.IntRange(1, 40).Draw(t, "ticks")) * steerer.TickEvery)
+	m.f.step(time.Duration(rapid.IntRange(1, 40).Draw(t, "ticks")) * steerer.TickInterval)
 	h.running = running
-	m.disturbed = m.f.now
+	m.lastDisturbance = m.f.now
 }
 
-func (m *machine) cut(t *rapid.T) {
-	m.f.split(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone"))
-	m.disturbed = m.f.now
+func (m *model) cut(t *rapid.T) {
+	m.f.splitZone(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone"))
+	m.lastDisturbance = m.f.now
 }
 
-func (m *machine) heal(_ *rapid.T) {
-	m.f.cut = map[[2]string]bool{}
-	m.disturbed = m.f.now
+func (m *model) healLinks(_ *rapid.T) {
+	m.f.cutLinks = map[[2]string]bool{}
+	m.lastDisturbance = m.f.now
 }
 
-func (m *machine) platform(t *rapid.T) {
+func (m *model) togglePlatform(t *rapid.T) {
 	m.f.down = rapid.Bool().Draw(t, "down")
-	m.disturbed = m.f.now
+	m.lastDisturbance = m.f.now
 }
 
-func (m *machine) refuse(t *rapid.T) {
-	m.f.turnedAway[m.host(t)] = rapid.Bool().Draw(t, "refused")
-	m.disturbed = m.f.now
+func (m *model) togglePlatformAccess(t *rapid.T) {
+	m.f.deniedHosts[m.host(t)] = rapid.Bool().Draw(t, "refused")
+	m.lastDisturbance = m.f.now
 }
 
-func (m *machine) drain(t *rapid.T) {
+func (m *model) drain(t *rapid.T) {
 	id := m.target(t)
 	m.f.drain(id)
-	if _, ok := m.drained[id]; !ok {
-		m.drained[id] = m.f.now
+	if _, ok := m.drainedSince[id]; !ok {
+		m.drainedSince[id] = m.f.now
 	}
 }
 
 // crash ends a target silently; sometimes its address goes to another service.
-func (m *machine) crash(t *rapid.T) {
+func (m *model) crash(t *rapid.T) {
 	id := m.target(t)
 	old := m.f.targets[id]
-	m.f.outcomes[id] = rapid.SampledFrom([]steerer.ProbeOutcome{steerer.ProbeSilent, steerer.ProbeRefused, steerer.ProbeOther}).Draw(t, "outcome")
+	m.f.probeOutcomes[id] = rapid.SampledFrom([]steerer.ProbeOutcome{steerer.ProbeConnectTimeout, steerer.ProbeRefused, steerer.ProbeWrongTarget}).Draw(t, "outcome")
 	m.dead[id] = true
 	m.f.remove(id)
 	if rapid.Bool().Draw(t, "reused") {
@@ -256,88 +256,88 @@
 }
 
 // restart lets a target start again under its ID. It holds none of its flows.
-func (m *machine) restart(t *rapid.T) {
+func (m *model) restart(t *rapid.T) {
 	id := m.target(t)
 	m.f.restart(id)
-	delete(m.drained, id)
+	delete(m.drainedSince, id)
 	for _, c := range m.flows {
-		c.lost = c.lost || c.target == id
+		c.stateLost = c.stateLost || c.target == id
 	}
 }
 
-// spoil writes another program's entry over a target's own; the target works on.
-func (m *machine) spoil(t *rapid.T) {
+// malformEntry writes another program's entry over a target's own; the target works on.
+func (m *model) malformEntry(t *rapid.T) {
 	id := m.target(t)
-	m.spoilt = append(m.spoilt, m.f.targets[id])
-	m.f.spoil(id)
-	if _, ok := m.drained[id]; !ok {
-		m.drained[id] = m.f.now
+	m.malformed = append(m.malformed, m.f.targets[id])
+	m.f.malformEntry(id)
+	if _, ok := m.drainedSince[id]; !ok {
+		m.drainedSince[id] = m.f.now
 	}
 }
 
-// rewrite lets the targets whose entries were written over write them again.
-func (m *machine) rewrite(t *rapid.T) {
-	if len(m.spoilt) == 0 {
+// restoreEntries lets the targets whose entries were written over write them again.
+func (m *model) restoreEntries(t *rapid.T) {
+	if len(m.malformed) == 0 {
 		t.Skip("no entry is spoilt")
 	}
-	for _, target := range m.spoilt {
+	for _, target := range m.malformed {
 		m.f.revision++
 		m.f.targets[target.ID] = target
 		if !target.Draining {
-			delete(m.drained, target.ID)
+			delete(m.drainedSince, target.ID)
 		}
 	}
-	m.spoilt = nil
+	m.malformed = nil
 	m.f.malformed = nil
 }
 
-// crowd lets a host see quick answers, then slow ones, so that feeds wait there.
-func (m *machine) crowd(t *rapid.T) {
+// congest lets a host see quick answers, then slow ones, so that feeds wait there.
+func (m *model) congest(t *rapid.T) {
 	name := m.host(t)
 	for n := range 35 {
 		took := 10 * time.Millisecond
 		if n > 22 {
 			took = 300 * time.Millisecond
 		}
-		m.next++
-		answerAfter(m.f, name, m.next, took)
+		m.lastCaller++
+		requestWithLatency(m.f, name, m.lastCaller, took)
 	}
-	m.noteTrouble()
+	m.recordDisturbance()
 }
 
-func (m *machine) add(t *rapid.T) {
+func (m *model) add(t *rapid.T) {
 	m.addTarget(rapid.SampledFrom([]string{"ledger", "intake"}).Draw(t, "service"), func(*steerer.Target) {})
 }
 
-func (m *machine) addTarget(service string, change func(*steerer.Target)) {
-	m.ids++
+func (m *model) addTarget(service string, change func(*steerer.Target)) {
+	m.lastTargetID++
 	prefix := "i-1"
 	if service == "intake" {
 		prefix = "i-2"
 	}
-	target := m.f.addTarget(fmt.Sprintf("%s%07x", prefix, 0x1000+m.ids), service, string(rune('a'+m.ids%3)))
+	target := m.f.addTarget(fmt.Sprintf("%s%07x", prefix, 0x1000+m.lastTargetID), service, string(rune('a'+m.lastTargetID%3)))
 	change(&target)
 	m.f.targets[target.ID] = target
 }
 
-func (m *machine) publish(_ *rapid.T) {
-	m.f.settings = settingsOf(m.f.settings.Version+3, objectiveRoutes())
+func (m *model) publish(_ *rapid.T) {
+	m.f.settings = newSettings(m.f.settings.Version+3, objectiveRoutes())
 }
 
-func (m *machine) wait(t *rapid.T) {
-	m.f.step(time.Duration(rapid.IntRange(1, 60).Draw(t, "ticks")) * steerer.TickEvery)
-	m.noteTrouble()
+func (m *model) wait(t *rapid.T) {
+	m.f.step(time.Duration(rapid.IntRange(1, 60).Draw(t, "ticks")) * steerer.TickInterval)
+	m.recordDisturbance()
 }
 
-// noteTrouble remembers that news are still kept from hosts, after time has passed.
-func (m *machine) noteTrouble() {
-	if m.f.down || len(m.f.turnedAway) > 0 && slices.ContainsFunc(m.f.names, func(name string) bool { return m.f.turnedAway[name] }) || len(m.f.cut) > 0 {
-		m.disturbed = m.f.now
+// recordDisturbance remembers that news are still kept from hosts, after time has passed.
+func (m *model) recordDisturbance() {
+	if m.f.down || len(m.f.deniedHosts) > 0 && slices.ContainsFunc(m.f.names, func(name string) bool { return m.f.deniedHosts[name] }) || len(m.f.cutLinks) > 0 {
+		m.lastDisturbance = m.f.now
 	}
 }
 
-// check holds what must be true after each step.
-func (m *machine) check(t *rapid.T) {
+// checkInvariants holds what must be true after each step.
+func (m *model) checkInvariants(t *rapid.T) {
 	for _, name := range m.f.names {
 		h := m.f.hosts[name]
 		if h.running {
@@ -354,13 +354,13 @@
 
 // checkReset allows resets of flows that never opened, and of flows that may run
 // again and whose target is gone.
-func (m *machine) checkReset(t *rapid.T, name string, reset steerer.ResetFlow) {
+func (m *model) checkReset(t *rapid.T, name string, reset steerer.ResetFlow) {
 	at := slices.IndexFunc(m.flows, func(c *oracleFlow) bool { return c.address == reset.Caller })
 	if at < 0 {
 		return
 	}
 	c := m.flows[at]
-	require.True(t, m.dead[c.target] || c.lost, "%s reset a flow of %s, which lives", name, c.target)
+	require.True(t, m.dead[c.target] || c.stateLost, "%s reset a flow of %s, which lives", name, c.target)
 	require.Equal(t, steerer.KindIdempotent, c.kind, "%s reset a flow that may have run", name)
 	m.flows = slices.Delete(m.flows, at, at+1)
 }
--- a/core/steerer/gone.go
+++ b/core/steerer/gone.go
@@ -10,33 +10,33 @@
 )
 
 const (
-	// goneSpan is how long after its start a host asks for targets that are gone. By
+	// missingTargetsSyncWindow is how long after its start a host asks for targets that are gone. By
 	// then it has heard those that ran before it.
-	goneSpan = 10 * time.Second
-	// maxGone bounds the targets in an answer, to some 50 KB. Those that vanished
+	missingTargetsSyncWindow = 10 * time.Second
+	// maxMissingTargetsSent bounds the targets in an answer, to some 50 KB. Those that vanished
 	// last are the likeliest to be named by open flows.
-	maxGone = 500
+	maxMissingTargetsSent = 500
 )
 
-// wantsGone reports whether this host still has to learn of targets that are gone.
+// needsMissingTargets reports whether this host still has to learn of targets that are gone.
 //
 // What goes wrong otherwise: a target crashes and vanishes from the list; a host
 // starts after that and gets the packets of flows at that target. It has never heard
 // of it, so it neither checks it nor tells the callers that wait for it. One notices by
 // flows that get no answer to any request, with a line for each dropped packet on
 // one host only.
-func (s *Steerer) wantsGone() bool {
-	return !s.asking.goneLearned && s.knows() && !s.config.Start.Add(goneSpan).Passed(s.now)
+func (s *Steerer) needsMissingTargets() bool {
+	return !s.asking.missingTargetsKnown && s.canRoute() && !s.config.Start.Add(missingTargetsSyncWindow).Passed(s.now)
 }
 
-// goneInformant picks one of the hosts that ran before this one; nil if there is none.
-func (s *Steerer) goneInformant() *peer {
-	if !s.wantsGone() {
+// pickMissingTargetsPeer picks one of the hosts that ran before this one; nil if there is none.
+func (s *Steerer) pickMissingTargetsPeer() *peer {
+	if !s.needsMissingTargets() {
 		return nil
 	}
 	var older []*peer
 	for _, p := range s.peers.recent {
-		if p.hears(s.now) && p.position.Known() && p.incarnation < s.config.Incarnation {
+		if p.reportedRecently(s.now) && p.position.Known() && p.incarnation < s.config.Incarnation {
 			older = append(older, p)
 		}
 	}
@@ -46,8 +46,8 @@
 	return older[s.random.IntN(len(older))]
 }
 
-// goneStates lists the targets that are gone, those that vanished last first.
-func (s *Steerer) goneStates() []messenger.TargetState {
+// missingTargetStates lists the targets that are gone, those that vanished last first.
+func (s *Steerer) missingTargetStates() []messenger.TargetState {
 	var gone []*target
 	for _, t := range s.targets.gone {
 		if t.missing {
@@ -56,18 +56,18 @@
 	}
 	slices.SortStableFunc(gone, func(x, y *target) int { return cmp.Compare(y.missingSince, x.missingSince) })
 	var states []messenger.TargetState
-	for _, t := range gone[:min(len(gone), maxGone)] {
-		states = append(states, s.state(t))
+	for _, t := range gone[:min(len(gone), maxMissingTargetsSent)] {
+		states = append(states, s.targetState(t))
 	}
 	return states
 }
 
-// takeGone takes in the targets that were gone before this host started. What another era
+// applyMissingTargets takes in the targets that were gone before this host started. What another era
 // says of them gives way to any word of this one.
-func (s *Steerer) takeGone(k *messenger.SyncResponse, from string) {
-	s.asking.goneLearned = true
+func (s *Steerer) applyMissingTargets(k *messenger.SyncResponse, from string) {
+	s.asking.missingTargetsKnown = true
 	for _, state := range k.MissingTargets {
-		number, valid := NumberOf(state.ID)
+		number, valid := ParseTargetNumber(state.ID)
 		if _, known := s.targets.byID[state.ID]; known || !valid {
 			continue
 		}
@@ -75,11 +75,11 @@
 		if k.TargetsEra == seen.Era {
 			seen = seen.WithRevision(state.Revision)
 		}
-		t, _ := s.targets.put(recordOf(state, number))
+		t, _ := s.targets.upsert(targetFromState(state, number))
 		t.missing = true
-		s.targets.noteState(t, seen)
-		s.targets.noteGone(t)
+		s.targets.recordState(t, seen)
+		s.targets.markGone(t)
 		t.missingSince = s.now
 	}
-	s.log("goneTargetsKnown", field("targets", itoa(len(k.MissingTargets))), field("from", from))
+	s.log("goneTargetsKnown", field("targets", formatInt(len(k.MissingTargets))), field("from", from))
 }
--- a/core/steerer/gone_test.go
+++ b/core/steerer/gone_test.go
@@ -8,11 +8,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// crashUnlisted lets a target fall silent and vanish from the list while a read is open
+// crashAndDelist lets a target fall silent and vanish from the list while a read is open
 // at it, and returns the read.
-func crashUnlisted(f *fleet) *caller {
+func crashAndDelist(f *fleet) *caller {
 	read := openOn(f, "a1", silentTarget, 0, true)
-	f.outcomes[silentTarget] = steerer.ProbeSilent
+	f.probeOutcomes[silentTarget] = steerer.ProbeConnectTimeout
 	f.step(time.Second)
 	f.remove(silentTarget)
 	f.step(4 * time.Second)
@@ -23,16 +23,16 @@
 // flow up. Sequence: a target crashes and vanishes from the list; a host starts
 // after that; the fabric hands it the packets of a flow at that target. Cause: the
 // host has never heard of the target, so it neither checks it nor tells the caller.
-func TestHostThatStartsLearnsOfTargetsThatAreGone(t *testing.T) {
+func TestStartingHostLearnsMissingTargets(t *testing.T) {
 	f := newFleet(t, 2)
-	read := crashUnlisted(f)
+	read := crashAndDelist(f)
 	f.kill("a2")
 	f.step(time.Second)
 	f.start("a2")
 	f.step(time.Second)
-	read.ask("a2")
+	read.sendRequest("a2")
 	f.step(200 * time.Millisecond)
-	read.repeat("a2")
+	read.retransmit("a2")
 	f.step(300 * time.Millisecond)
 	require.Len(t, f.hosts["a2"].resets, 1)
 
@@ -44,9 +44,9 @@
 // Symptom: hosts ask each other for ever. Sequence: all hosts start at once, so nobody
 // knows of targets that are gone. Cause: a question that ends with an answer only if
 // that names a target.
-func TestQuestionForGoneTargetsIsAskedOnce(t *testing.T) {
+func TestMissingTargetsAreRequestedOnce(t *testing.T) {
 	f := newFleet(t, 2)
-	asks := f.asks
+	asks := f.syncRequests
 	f.step(5 * time.Second)
-	require.Equal(t, asks, f.asks)
+	require.Equal(t, asks, f.syncRequests)
 }
--- a/core/steerer/growth_test.go
+++ b/core/steerer/growth_test.go
@@ -6,17 +6,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// secondsOfGrowth is for how long the hosts of different fleets are compared.
-const secondsOfGrowth = 10
+// measuredSeconds is for how long the hosts of different fleets are compared.
+const measuredSeconds = 10
 
-// visitsOf is how many entries of its lists of targets and of hosts a host goes through that
+// countVisits is how many entries of its lists of targets and of hosts a host goes through that
 // carries some flows while targets change.
-func visitsOf(l largeFleet) (targets, hosts uint64) {
+func countVisits(l largeFleet) (targets, hosts uint64) {
 	h, f := newLargeHost(l), &fleet{}
-	h.second(f, 20, 3)
+	h.runSecond(f, 20, 3)
 	targetsBefore, hostsBefore := h.steerer.Visits()
-	for range secondsOfGrowth {
-		h.second(f, 20, 3)
+	for range measuredSeconds {
+		h.runSecond(f, 20, 3)
 	}
 	targets, hosts = h.steerer.Visits()
 	return targets - targetsBefore, hosts - hostsBefore
@@ -24,13 +24,13 @@
 
 // Failure: a host of a large fleet has no processor time left for packets, because each
 // packet, report or tick goes through all targets or all hosts.
-func TestCostOfASecondDoesNotGrowWithTheFleet(t *testing.T) {
+func TestCostPerSecondDoesNotGrowWithFleet(t *testing.T) {
 	small, large := largeFleets[1], largeFleets[3]
-	smallTargets, smallHosts := visitsOf(small)
-	largeTargets, largeHosts := visitsOf(large)
+	smallTargets, smallHosts := countVisits(small)
+	largeTargets, largeHosts := countVisits(large)
 	t.Logf("targets %d, %d; hosts %d, %d", smallTargets, largeTargets, smallHosts, largeHosts)
 	require.LessOrEqual(t, float64(largeTargets), 1.1*float64(smallTargets))
 	// All hosts are counted some times a second, whatever comes.
 	const looks = 12
-	require.LessOrEqual(t, largeHosts-smallHosts, uint64(secondsOfGrowth*looks*(large.hosts-small.hosts)))
+	require.LessOrEqual(t, largeHosts-smallHosts, uint64(measuredSeconds*looks*(large.hosts-small.hosts)))
 }
--- a/core/steerer/health_test.go
+++ b/core/steerer/health_test.go
@@ -9,9 +9,9 @@
 )
 
 // openOn opens a flow that lands on a target of the caller's choice.
-func openOn(f *fleet, name, target string, from int, toRead bool) *caller {
+func openOn(f *fleet, name, target string, from int, idempotent bool) *caller {
 	route := readRoute
-	if !toRead {
+	if !idempotent {
 		route = checkRoute
 	}
 	for n := from; n < from+500; n++ {
@@ -30,18 +30,18 @@
 // Sequence: a target stops answering while a read and a check wait for it.
 // Cause: nobody tells the callers. The read may run again and is reset; the
 // check may have run, its caller would not repeat it, and it is left alone.
-func TestSilentTargetsReadsAreReset(t *testing.T) {
+func TestIdempotentRequestsToUnresponsiveTargetAreReset(t *testing.T) {
 	f := newFleet(t, 1)
 	const target = "i-10000001"
 	read := openOn(f, "a1", target, 0, true)
 	check := openOn(f, "a1", target, 1000, false)
 	f.step(time.Second)
-	f.outcomes[target] = steerer.ProbeSilent
-	read.ask("a1")
-	check.ask("a1")
+	f.probeOutcomes[target] = steerer.ProbeConnectTimeout
+	read.sendRequest("a1")
+	check.sendRequest("a1")
 	f.step(200 * time.Millisecond)
-	read.repeat("a1")
-	check.repeat("a1")
+	read.retransmit("a1")
+	check.retransmit("a1")
 	f.step(300 * time.Millisecond)
 	require.Len(t, f.hosts["a1"].resets, 1)
 	require.Equal(t, read.address, f.hosts["a1"].resets[0].Caller)
@@ -52,64 +52,64 @@
 		require.NotEqual(t, target, c.target, "new flows avoid it")
 	}
 	idle := read
-	idle.ask("a1")
+	idle.sendRequest("a1")
 	require.Len(t, f.hosts["a1"].resets, 2, "an idle flow's next request is told at once")
 }
 
 // Failure: open flows at a target that serves are reset, because the target holds all the
 // connections that it may and resets that of a check.
-func TestCheckThatIsResetBlamesNobody(t *testing.T) {
+func TestResetProbeDoesNotMakeTargetUnreachable(t *testing.T) {
 	f := newFleet(t, 1)
 	const target = "i-10000001"
 	read := openOn(f, "a1", target, 0, true)
 	f.step(time.Second)
-	f.outcomes[target] = steerer.ProbeReset
-	read.ask("a1")
+	f.probeOutcomes[target] = steerer.ProbeReset
+	read.sendRequest("a1")
 	f.step(200 * time.Millisecond)
-	read.repeat("a1")
+	read.retransmit("a1")
 	f.step(300 * time.Millisecond)
 	require.NotZero(t, f.probes)
 	require.Empty(t, f.hosts["a1"].resets)
 	for _, one := range f.hosts["a1"].steerer.TargetStatuses() {
-		require.NotContains(t, one.Avoided, "no answer", one.Target)
+		require.NotContains(t, one.AvoidReason, "no answer", one.Target)
 	}
 }
 
 // Symptom: a flow whose target lives is reset. Sequence: one flow stalls, for a
 // packet was lost; the target's check hangs, for its queue of connections is
 // full; other flows make progress. Cause: trust in the check alone.
-func TestTargetThatMakesProgressIsNotGivenUp(t *testing.T) {
+func TestTargetWithProgressIsNotUnreachable(t *testing.T) {
 	f := newFleet(t, 1)
 	const target = "i-10000001"
 	stalled := openOn(f, "a1", target, 0, true)
 	lively := openOn(f, "a1", target, 1000, true)
 	f.step(time.Second)
-	f.outcomes[target] = steerer.ProbeSilent
-	stalled.ask("a1")
+	f.probeOutcomes[target] = steerer.ProbeConnectTimeout
+	stalled.sendRequest("a1")
 	f.step(200 * time.Millisecond)
-	stalled.repeat("a1")
+	stalled.retransmit("a1")
 	f.step(100 * time.Millisecond)
-	lively.ask("a1")
+	lively.sendRequest("a1")
 	f.step(50 * time.Millisecond)
-	lively.thank("a1")
+	lively.ackResponse("a1")
 	f.step(200 * time.Millisecond)
-	stalled.repeat("a1")
+	stalled.retransmit("a1")
 	require.Empty(t, f.hosts["a1"].resets)
 }
 
 // Symptom: a host that wakes resets the flows of targets that are well.
 // Sequence: the host stands still for seconds; callers' repeats and the time-outs
 // of checks come out at once. Cause: silence that was only the host's own.
-func TestHostThatStoodStillBlamesNobody(t *testing.T) {
+func TestPausedHostDoesNotMakeTargetsUnreachable(t *testing.T) {
 	f := newFleet(t, 1)
 	const target = "i-10000001"
 	c := openOn(f, "a1", target, 0, true)
 	f.step(time.Second)
-	f.outcomes[target] = steerer.ProbeSilent
-	c.ask("a1")
+	f.probeOutcomes[target] = steerer.ProbeConnectTimeout
+	c.sendRequest("a1")
 	f.now = f.now.Add(3 * time.Second) // No tick comes meanwhile.
-	c.repeat("a1")
-	c.repeat("a1")
+	c.retransmit("a1")
+	c.retransmit("a1")
 	f.step(400 * time.Millisecond)
 	require.Empty(t, f.hosts["a1"].resets)
 	require.Zero(t, f.probes)
@@ -118,10 +118,10 @@
 // Symptom: flows of a crashed target wait although it refuses everyone.
 // Sequence: the target restarts within its address; it resets every opening
 // packet, straight to the caller. Cause: the host sees neither copy nor answer.
-func TestTargetThatRefusesFlowsIsNoticed(t *testing.T) {
+func TestTargetThatRefusesFlowsIsDetected(t *testing.T) {
 	f := newFleet(t, 1)
 	const target = "i-10000001"
-	f.outcomes[target] = steerer.ProbeRefused
+	f.probeOutcomes[target] = steerer.ProbeRefused
 	for n := 0; ; n++ {
 		c := f.caller(n, readRoute)
 		c.open("a1", 0)
@@ -145,7 +145,7 @@
 func TestCrashedTargetDoesNotAttractFlows(t *testing.T) {
 	f := newFleet(t, 1)
 	const target = "i-10000001"
-	f.outcomes[target] = steerer.ProbeRefused
+	f.probeOutcomes[target] = steerer.ProbeRefused
 	swallowed, open := 0, 0
 	for n := range 100 {
 		c := f.caller(n, checkRoute)
@@ -154,7 +154,7 @@
 			swallowed++
 		} else {
 			c.establish("a1")
-			c.ask("a1")
+			c.sendRequest("a1")
 			open++
 		}
 		f.step(2 * time.Millisecond)
@@ -164,41 +164,41 @@
 
 // A target that did not answer gets flows again once it does, and is asked so
 // rarely that checks stay few.
-func TestTargetComesBack(t *testing.T) {
+func TestUnreachableTargetRecovers(t *testing.T) {
 	f := newFleet(t, 1)
 	const target = "i-10000001"
 	c := openOn(f, "a1", target, 0, true)
 	f.step(time.Second)
-	f.outcomes[target] = steerer.ProbeSilent
-	c.ask("a1")
+	f.probeOutcomes[target] = steerer.ProbeConnectTimeout
+	c.sendRequest("a1")
 	f.step(200 * time.Millisecond)
-	c.repeat("a1")
+	c.retransmit("a1")
 	f.step(10 * time.Second)
 	require.Len(t, f.hosts["a1"].resets, 1)
 	require.LessOrEqual(t, f.probes, 6)
-	delete(f.outcomes, target)
+	delete(f.probeOutcomes, target)
 	f.step(3 * time.Second)
 	openOn(f, "a1", target, 3000, true)
 }
 
 // If no target of a service answers, flows are still tried: a flow that does not
 // open costs its caller no more than a refusal.
-func TestServiceIsNeverEmptiedByChecks(t *testing.T) {
+func TestServiceWithOnlyUnreachableTargetsStillGetsFlows(t *testing.T) {
 	f := newFleet(t, 1)
 	var callers []*caller
 	for id, target := range f.targets {
 		if target.Service == "ledger" {
-			f.outcomes[id] = steerer.ProbeSilent
+			f.probeOutcomes[id] = steerer.ProbeConnectTimeout
 			callers = append(callers, openOn(f, "a1", id, 500*len(callers), true))
 		}
 	}
 	f.step(time.Second)
 	for _, c := range callers {
-		c.ask("a1")
+		c.sendRequest("a1")
 	}
 	f.step(200 * time.Millisecond)
 	for _, c := range callers {
-		c.repeat("a1")
+		c.retransmit("a1")
 	}
 	f.step(time.Second)
 	c := f.caller(9000, readRoute)
@@ -210,7 +210,7 @@
 // Sequence: more flows are open than the host remembers; each packet of the others
 // begins a request that the host never sees end. Cause: load that is counted for
 // flows which are not remembered.
-func TestFlowsBeyondTheBoundLeaveNoLoad(t *testing.T) {
+func TestFlowsBeyondMaxFlowsAddNoLoad(t *testing.T) {
 	f := newFleet(t, 1)
 	f.hosts["a1"].maxFlows = 10
 	f.kill("a1")
@@ -226,8 +226,8 @@
 	}
 	for _, c := range unremembered {
 		c.establish("a1")
-		c.ask("a1")
-		require.Equal(t, c.target, f.last("a1"))
+		c.sendRequest("a1")
+		require.Equal(t, c.target, f.lastTarget("a1"))
 	}
 	f.step(20 * time.Second)
 	placed := map[string]int{}
--- a/core/steerer/herd_test.go
+++ b/core/steerer/herd_test.go
@@ -13,30 +13,30 @@
 // meanwhile. Sequence: a document of 400 KB, some 40 KB when compressed, takes longer
 // from host to host than a host waits before it asks the next. Cause: several answers
 // with the same document share one link.
-func TestOneQuestionIsUnderWayAtATime(t *testing.T) {
+func TestOnlyOneSyncRequestIsInFlight(t *testing.T) {
 	f := newFleet(t, 6, 6)
-	f.answerTakes = time.Second
+	f.answerDelay = time.Second
 	for _, name := range f.names[1:] {
-		f.turnedAway[name] = true
+		f.deniedHosts[name] = true
 	}
-	f.mostAsking = 0
-	f.settings = settingsOf(2, routes()[:2])
+	f.peakPendingSyncRequests = 0
+	f.settings = newSettings(2, routes()[:2])
 	f.step(4 * time.Second) // The host that reads is not the first in rank.
 	for _, name := range f.names {
 		require.Equal(t, uint64(2), f.hosts[name].steerer.Snapshot().Version, name)
 	}
-	require.Equal(t, 1, f.mostAsking)
+	require.Equal(t, 1, f.peakPendingSyncRequests)
 }
 
 // Symptom: after each change of the settings the platform sends the whole document to
 // every host of the fleet. Sequence: a version comes; answers between hosts take longer
 // than usual, since the document is large. Cause: a host that reads the platform as soon
 // as one question was not answered at once.
-func TestChangeIsAskedOfOtherHosts(t *testing.T) {
+func TestHostsFetchChangesFromOtherHosts(t *testing.T) {
 	f := newFleet(t, 10, 10, 10)
 	f.step(2 * time.Second)
-	f.answerTakes = 500 * time.Millisecond
-	f.settings = settingsOf(2, routes()[:2])
+	f.answerDelay = 500 * time.Millisecond
+	f.settings = newSettings(2, routes()[:2])
 	reads := f.reads
 	f.step(2500 * time.Millisecond)
 	for _, name := range f.names {
@@ -49,7 +49,7 @@
 // price on a day of a large fleet; they are in its way when it comes back. Sequence: the
 // platform goes down; every host tries again about once a second, for settings and
 // targets. Cause: pauses between tries that do not know how many others try.
-func TestOutageIsNotAskedAboutByAllHosts(t *testing.T) {
+func TestFleetLimitsReadsDuringPlatformOutage(t *testing.T) {
 	f := newFleet(t, 40, 40, 40)
 	f.step(3 * time.Second)
 	f.down = true
@@ -58,7 +58,7 @@
 	f.step(6 * time.Second)
 	require.Less(t, f.reads, 2*6*15, "ten tries a second for each of settings and targets")
 	f.down = false
-	f.settings = settingsOf(2, routes()[:2])
+	f.settings = newSettings(2, routes()[:2])
 	f.step(2500 * time.Millisecond)
 	for _, name := range f.names {
 		require.Equal(t, uint64(2), f.hosts[name].steerer.Snapshot().Version, name)
@@ -67,7 +67,7 @@
 
 // A host that hears nobody tries as often as a small fleet does, however large the fleet
 // was that it heard before.
-func TestHostThatIsAloneAsksOften(t *testing.T) {
+func TestIsolatedHostReadsOften(t *testing.T) {
 	f := newFleet(t, 40, 40)
 	for _, name := range f.names[1:] {
 		f.kill(name)
@@ -75,7 +75,7 @@
 	f.down = true
 	f.step(20 * time.Second)
 	f.down = false
-	f.settings = settingsOf(2, routes()[:2])
+	f.settings = newSettings(2, routes()[:2])
 	f.step(2 * time.Second)
 	require.Equal(t, uint64(2), f.hosts[f.names[0]].steerer.Snapshot().Version)
 }
@@ -84,7 +84,7 @@
 // that are ready wait for it. Sequence: all hosts start at once; each reads settings and
 // all pages of targets. Cause: calls that count, where an answer a few seconds old would
 // do until the first reader has told what changed since.
-func TestFirstReadsMayBeStaleAndOneHostBringsThemUpToDate(t *testing.T) {
+func TestFirstReadsMayBeStaleAndOneHostRefreshesThem(t *testing.T) {
 	f := newFleet(t, 30, 30)
 	for _, name := range f.names {
 		f.kill(name)
@@ -109,7 +109,7 @@
 // Symptom: on a host with a small link flows are reset whose targets work. Sequence: it
 // reads a large document; the answers of liveness checks wait behind it. Cause: the
 // host's own transfer taken for the targets' silence.
-func TestTransferOfTheHostItselfBlamesNobody(t *testing.T) {
+func TestOwnTransferDoesNotMakeTargetsUnreachable(t *testing.T) {
 	const rate = 250_000
 	f := newFleet(t, 1)
 	f.hosts["a1"].linkBytesPerSecond = rate
@@ -118,11 +118,11 @@
 	f.step(time.Second)
 	read := openOn(f, "a1", silentTarget, 0, true)
 	f.step(3 * time.Second)
-	f.reduce("a1", &steerer.Tick{TransfersReceived: int(rate * steerer.TickEvery.Seconds())})
-	stall(f, read)
+	f.reduce("a1", &steerer.Tick{TransfersReceived: int(rate * steerer.TickInterval.Seconds())})
+	stallRequest(f, read)
 	require.Empty(t, f.hosts["a1"].resets)
 	f.step(2 * time.Second)
-	stall(f, read)
+	stallRequest(f, read)
 	require.NotEmpty(t, f.hosts["a1"].resets, "the link is free again")
 }
 
@@ -130,13 +130,13 @@
 // hosts choose targets by loads of their zone that are seconds old. Sequence: a fleet of
 // five zones is quiet. Cause: each host tells all others in turn, of which four of five
 // are in other zones.
-func TestMostReportsOfALargeFleetStayInTheirZone(t *testing.T) {
+func TestMostReportsInALargeFleetStayWithinTheirZone(t *testing.T) {
 	f := newFleet(t, 12, 12, 12, 12, 12)
 	f.step(3 * time.Second)
-	f.reports, f.farReports = 0, 0
+	f.reports, f.crossZoneReports = 0, 0
 	f.step(5 * time.Second)
-	require.Less(t, float64(f.farReports), 0.25*float64(f.reports))
-	f.settings = settingsOf(2, routes()[:2])
+	require.Less(t, float64(f.crossZoneReports), 0.25*float64(f.reports))
+	f.settings = newSettings(2, routes()[:2])
 	f.step(2 * time.Second)
 	for _, name := range f.names {
 		require.Equal(t, uint64(2), f.hosts[name].steerer.Snapshot().Version, name)
@@ -146,7 +146,7 @@
 // Symptom: for three seconds after a loss of all hosts of a large fleet they tell each
 // other 23 KB a second each, and 8 KB later. Sequence: all hosts learn their targets from
 // the platform. Cause: what every host has just read told as news.
-func TestFirstListIsNoNews(t *testing.T) {
+func TestFirstTargetListIsNotReportedAsChanges(t *testing.T) {
 	f := newFleet(t, 8, 8, 8)
 	for n := range 300 {
 		f.addTarget(fmt.Sprintf("i-4%07x", n), "ledger", "a")
@@ -169,7 +169,7 @@
 // ones for long; the reader of the platform changes all the time. Sequence: most reports
 // come from the own zone. Cause: hosts are mentioned by those only who hear them, or with
 // no word of how long ago that was.
-func TestHostsOfOtherZonesAreKnownToLive(t *testing.T) {
+func TestHostsInOtherZonesCountAsLive(t *testing.T) {
 	f := newFleet(t, 20, 20, 20, 20)
 	f.step(20 * time.Second)
 	live := f.hosts["a1"].steerer.Snapshot().Live
@@ -183,7 +183,7 @@
 
 // Failure: dead hosts count as living for good where their zones live on, because word of a
 // host is passed on without how old it is.
-func TestHostsThatDieInLivingZonesAreKnownToBeGone(t *testing.T) {
+func TestDeadHostsInLiveZonesAreDetected(t *testing.T) {
 	f := newFleet(t, 20, 20, 20, 20)
 	f.step(20 * time.Second)
 	for n, name := range f.names {
@@ -204,7 +204,7 @@
 	open := f.caller(1, readRoute)
 	open.open("a1", 0)
 	open.establish("a1")
-	f.targetsTake = 200 * time.Millisecond
+	f.targetsReadTime = 200 * time.Millisecond
 	f.kill("a1")
 	f.step(time.Second)
 	f.hosts["a1"].sent = nil
@@ -212,7 +212,7 @@
 	f.start("a1")
 	f.step(100 * time.Millisecond)
 	require.Equal(t, reads+1, f.reads, "the settings wait")
-	open.ask("a1")
+	open.sendRequest("a1")
 	f.step(150 * time.Millisecond)
 	require.Greater(t, f.reads, reads+1)
 	require.Len(t, f.hosts["a1"].sent, 1)
@@ -222,7 +222,7 @@
 // take for ever. Cause: settings that wait for them without a bound.
 func TestSettingsDoNotWaitForTargetsForLong(t *testing.T) {
 	f := newFleet(t, 1)
-	f.targetsTake = time.Minute
+	f.targetsReadTime = time.Minute
 	f.kill("a1")
 	f.start("a1")
 	f.step(500 * time.Millisecond)
--- a/core/steerer/history_internal_test.go
+++ b/core/steerer/history_internal_test.go
@@ -11,44 +11,44 @@
 )
 
 // Failure: a host that asks what has changed is not told of a change, and never learns of it.
-func TestHistoryTellsEachChangeAfterAPosition(t *testing.T) {
+func TestHistoryListsEachChangeAfterPosition(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 3))
 	s := New(Config{Self: "a1", AvailabilityZone: "a"})
 	s.targetsPosition = sequencer.At(0, 1)
-	last, told := uint64(2), 0
-	for range 3 * maxHistory {
+	last, compared := uint64(2), 0
+	for range 3 * maxHistoryEntries {
 		last += random.Uint64N(3)
 		// News overtakes other news on its way from host to host.
-		changeSomething(s, random, sequencer.At(0, last-min(random.Uint64N(20), last-1)))
+		applyRandomChange(s, random, sequencer.At(0, last-min(random.Uint64N(20), last-1)))
 		since := sequencer.At(0, last-min(random.Uint64N(50), last-1))
-		if !s.targets.history.reaches(since) {
+		if !s.targets.history.covers(since) {
 			continue // A target that went has been forgotten, so nobody is told of it.
 		}
-		told++
-		require.ElementsMatch(t, s.seenAfter(since), slices.Compact(sortedByID(s.targets.seenAfter(since))))
+		compared++
+		require.ElementsMatch(t, s.changedSinceByScan(since), slices.Compact(sortedByID(s.targets.changedSince(since))))
 	}
-	require.Greater(t, told, maxHistory/2)
+	require.Greater(t, compared, maxHistoryEntries/2)
 }
 
 // Failure: a host is told what has changed since a position from which on not all is listed.
-func TestHistoryReachesAsFarAsItIsComplete(t *testing.T) {
+func TestHistoryCoversOnlyWhatIsComplete(t *testing.T) {
 	s := New(Config{Self: "a1", AvailabilityZone: "a"})
 	s.targetsPosition = sequencer.At(0, 1)
-	for n := range uint64(2 * maxHistory) {
-		s.takeRecord(Target{ID: "i-01", Number: 1, Service: "ledger", AvailabilityZone: "a", Draining: n%2 == 0}, sequencer.At(0, 2+n), "test")
-		s.takeRecord(Target{ID: "i-02", Number: 2, Service: "ledger", AvailabilityZone: "a"}, sequencer.At(0, 2), "test")
+	for n := range uint64(2 * maxHistoryEntries) {
+		s.applyTarget(Target{ID: "i-01", Number: 1, Service: "ledger", AvailabilityZone: "a", Draining: n%2 == 0}, sequencer.At(0, 2+n), "test")
+		s.applyTarget(Target{ID: "i-02", Number: 2, Service: "ledger", AvailabilityZone: "a"}, sequencer.At(0, 2), "test")
 	}
-	require.False(t, s.targets.history.reaches(sequencer.At(0, 1)), "i-02 is no longer listed")
-	begin := s.targets.history.begin
-	require.True(t, s.targets.history.reaches(begin))
-	require.ElementsMatch(t, s.seenAfter(begin), slices.Compact(s.targets.seenAfter(begin)))
+	require.False(t, s.targets.history.covers(sequencer.At(0, 1)), "i-02 is no longer listed")
+	begin := s.targets.history.completeSince
+	require.True(t, s.targets.history.covers(begin))
+	require.ElementsMatch(t, s.changedSinceByScan(begin), slices.Compact(s.targets.changedSince(begin)))
 }
 
-// seenAfter looks at all targets for those that were seen after a position.
-func (s *Steerer) seenAfter(position sequencer.Position) []*target {
+// changedSinceByScan looks at all targets for those that were seen after a position.
+func (s *Steerer) changedSinceByScan(position sequencer.Position) []*target {
 	var list []*target
 	for _, one := range s.targets.ordered() {
-		if position.Before(one.seen) {
+		if position.Before(one.seenPosition) {
 			list = append(list, one)
 		}
 	}
@@ -61,12 +61,12 @@
 }
 
 // Failure: each question of another host costs as much as there are targets.
-func TestAnswerGoesThroughWhatHasChanged(t *testing.T) {
-	s := serviceOf(12_000)
-	s.takeMissing(s.targets.byID["i-10000005"], sequencer.At(0, 2), "test")
+func TestSyncResponseCostFollowsChanges(t *testing.T) {
+	s := hostWithTargets(12_000)
+	s.markMissing(s.targets.byID["i-10000005"], sequencer.At(0, 2), "test")
 	s.targetsPosition = sequencer.At(0, 2)
-	before := s.targets.visits
-	k := s.Knowledge(&messenger.SyncRequest{IncludeTargets: true, TargetsSince: 1})
+	before := s.targets.entriesVisited
+	k := s.SyncResponse(&messenger.SyncRequest{IncludeTargets: true, TargetsSince: 1})
 	require.Len(t, k.Targets, 1)
-	require.LessOrEqual(t, s.targets.visits-before, uint64(maxHistory))
+	require.LessOrEqual(t, s.targets.entriesVisited-before, uint64(maxHistoryEntries))
 }
--- a/core/steerer/holding.go
+++ b/core/steerer/holding.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// holdSpan is how long a packet is kept for the first reads. A start takes 5 to
+	// heldPacketTimeout is how long a packet is kept for the first reads. A start takes 5 to
 	// 90 ms, and up to 200 ms while other hosts have to be asked; after the caller's
 	// next repeat there is little left to save.
-	holdSpan = 300 * time.Millisecond
-	// maxHeld bounds the packets that are kept, to 0.7 MB of the largest.
-	maxHeld = 512
+	heldPacketTimeout = 300 * time.Millisecond
+	// maxHeldPackets bounds the packets that are kept, to 0.7 MB of the largest.
+	maxHeldPackets = 512
 )
 
 // heldPacket is a packet that came before this host knew where packets go.
@@ -22,84 +22,84 @@
 	deadline timekeeper.Instant
 }
 
-// sameWork reports whether one packet is a repeat of another.
-func (p *Packet) sameWork(other *Packet) bool {
-	return p.Caller == other.Caller && p.Service == other.Service && p.opens() == other.opens() &&
+// retransmits reports whether one packet is a repeat of another.
+func (p *Packet) retransmits(other *Packet) bool {
+	return p.Caller == other.Caller && p.Service == other.Service && p.isOpening() == other.isOpening() &&
 		p.Sequence == other.Sequence && p.Length == other.Length
 }
 
-// knows reports whether this host has learned where packets go.
-func (s *Steerer) knows() bool { return s.settings != nil && s.targetsPosition.Known() }
+// canRoute reports whether this host has learned where packets go.
+func (s *Steerer) canRoute() bool { return s.settings != nil && s.targetsPosition.Known() }
 
-// passUnrouted passes on a packet of an open flow while this host knows targets and no
+// forwardByTag passes on a packet of an open flow while this host knows targets and no
 // settings yet, and reports whether it has. The tag alone says where the packet goes.
 //
 // What goes wrong if it waits for the settings: after a loss of all hosts a document of
 // 400 KB keeps hosts with links of 2 Mbit/s for two seconds, and every feed of callers
 // with it. Nothing is remembered of the flow: without its route nothing can be concluded
 // from it.
-func (s *Steerer) passUnrouted(p *Packet) bool {
+func (s *Steerer) forwardByTag(p *Packet) bool {
 	to, ok := s.targets.byTag[p.Tag]
-	if !ok || p.opens() || !s.targetsPosition.Known() {
+	if !ok || p.isOpening() || !s.targetsPosition.Known() {
 		return false
 	}
-	s.sendTarget(to, 0, p.Data)
+	s.forward(to, 0, p.Data)
 	return true
 }
 
-// hold keeps a packet until this host knows where it goes.
+// holdPacket keeps a packet until this host knows where it goes.
 //
 // What goes wrong if it is dropped: after a loss of all hosts callers have repeated
 // their packets already, and the next repeat comes after 0.4 to 1.6 s, while the
 // host needs some milliseconds to learn its targets. One notices by answers that are
 // late long after the hosts are back. A repeat takes the place of the packet that it
 // repeats: two at once would look like a target that is silent.
-func (s *Steerer) hold(p *Packet) {
+func (s *Steerer) holdPacket(p *Packet) {
 	kept := *p
 	kept.Data = slices.Clone(p.Data)
-	for i := range s.held {
-		if s.held[i].packet.sameWork(p) {
-			s.held[i].packet = kept
+	for i := range s.heldPackets {
+		if s.heldPackets[i].packet.retransmits(p) {
+			s.heldPackets[i].packet = kept
 			return
 		}
 	}
-	if len(s.held) == maxHeld {
-		s.dropUnknowing(p, "tooMany")
+	if len(s.heldPackets) == maxHeldPackets {
+		s.dropUnroutable(p, "tooMany")
 		return
 	}
-	s.held = append(s.held, heldPacket{packet: kept, deadline: s.now.Add(holdSpan)})
+	s.heldPackets = append(s.heldPackets, heldPacket{packet: kept, deadline: s.now.Add(heldPacketTimeout)})
 }
 
-// releaseHeld passes kept packets on as soon as this host knows where they go, and
+// releaseHeldPackets passes kept packets on as soon as this host knows where they go, and
 // drops those that have waited too long.
-func (s *Steerer) releaseHeld() {
-	if len(s.held) == 0 {
+func (s *Steerer) releaseHeldPackets() {
+	if len(s.heldPackets) == 0 {
 		return
 	}
-	if s.knows() {
-		held := s.held
-		s.held = nil
+	if s.canRoute() {
+		held := s.heldPackets
+		s.heldPackets = nil
 		for i := range held {
-			s.steer(&held[i].packet)
+			s.forwardPacket(&held[i].packet)
 		}
 		return
 	}
-	s.held = slices.DeleteFunc(s.held, func(h heldPacket) bool {
-		if s.passUnrouted(&h.packet) {
+	s.heldPackets = slices.DeleteFunc(s.heldPackets, func(h heldPacket) bool {
+		if s.forwardByTag(&h.packet) {
 			return true
 		}
-		late := h.deadline.Passed(s.now)
-		if late {
-			s.dropUnknowing(&h.packet, "tooLong")
+		expired := h.deadline.Passed(s.now)
+		if expired {
+			s.dropUnroutable(&h.packet, "tooLong")
 		}
-		return late
+		return expired
 	})
 }
 
-// dropUnknowing gives up a packet of which nobody knows where it goes. Its caller
+// dropUnroutable gives up a packet of which nobody knows where it goes. Its caller
 // repeats it.
-func (s *Steerer) dropUnknowing(p *Packet, reason string) {
-	s.counts.add(DropUnknowing)
+func (s *Steerer) dropUnroutable(p *Packet, reason string) {
+	s.counts.add(DropNotReady)
 	s.log("packetDropped", field("flow", p.Caller.String()), field("reason", reason),
-		field("version", utoa(s.version())), field("targetsAgeMillis", s.targetsAge()))
+		field("version", formatUint(s.version())), field("targetsAgeMillis", s.targetsAge()))
 }
--- a/core/steerer/holding_test.go
+++ b/core/steerer/holding_test.go
@@ -10,14 +10,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// startBlind restarts a host whose first reads take a while, and lets it take in
+// restartBeforeFirstRead restarts a host whose first reads take a while, and lets it take in
 // packets meanwhile.
-func startBlind(f *fleet, name string, meanwhile func()) {
+func restartBeforeFirstRead(f *fleet, name string, beforeFirstRead func()) {
 	f.kill(name)
 	f.step(100 * time.Millisecond)
 	f.hosts[name].sent = nil
 	f.start(name)
-	meanwhile()
+	beforeFirstRead()
 	require.Empty(f.t, f.hosts[name].sent, "nothing is known yet")
 }
 
@@ -26,17 +26,17 @@
 // fabric hands it packets that callers have already repeated; it drops them, and
 // the next repeat comes after 0.4 to 1.6 s. Cause: packets dropped that could be
 // passed on some milliseconds later.
-func TestPacketsThatComeBeforeTheFirstReadAreKept(t *testing.T) {
+func TestPacketsBeforeFirstReadAreHeld(t *testing.T) {
 	f := newFleet(t, 1)
 	open := f.caller(1, readRoute)
 	open.open("a1", 0)
 	open.establish("a1")
 	fresh := f.caller(2, checkRoute)
-	startBlind(f, "a1", func() {
-		open.ask("a1")
+	restartBeforeFirstRead(f, "a1", func() {
+		open.sendRequest("a1")
 		fresh.open("a1", 0)
 	})
-	f.step(steerer.TickEvery)
+	f.step(steerer.TickInterval)
 	require.Len(t, f.hosts["a1"].sent, 2)
 	require.Equal(t, open.target, f.hosts["a1"].sent[0].target)
 	require.NotZero(t, f.hosts["a1"].sent[1].tag)
@@ -46,17 +46,17 @@
 // hosts have small links, and read a large document of settings; their targets they know
 // after some milliseconds. Cause: packets of open flows that wait for settings, though
 // their tags say where they go.
-func TestOpenFlowsDoNotWaitForSettings(t *testing.T) {
+func TestEstablishedFlowsDoNotWaitForSettings(t *testing.T) {
 	f := newFleet(t, 1)
 	open, early := f.caller(1, readRoute), f.caller(2, checkRoute)
 	for _, c := range []*caller{open, early} {
 		c.open("a1", 0)
 		c.establish("a1")
 	}
-	f.settingsTake = 2 * time.Second
-	startBlind(f, "a1", func() { early.ask("a1") })
-	f.step(steerer.TickEvery)
-	open.ask("a1")
+	f.settingsReadTime = 2 * time.Second
+	restartBeforeFirstRead(f, "a1", func() { early.sendRequest("a1") })
+	f.step(steerer.TickInterval)
+	open.sendRequest("a1")
 	require.Len(t, f.hosts["a1"].sent, 2)
 	require.Equal(t, early.target, f.hosts["a1"].sent[0].target, "it came before the targets were known")
 	require.Equal(t, open.target, f.hosts["a1"].sent[1].target)
@@ -69,20 +69,20 @@
 // Symptom: targets get flows that nobody uses, and checks. Sequence: a caller's
 // packet and its repeat both wait for the host's first read; the repeat looks like
 // a sign that the first packet was lost. Cause: repeats kept beside the first.
-func TestRepeatsOfAKeptPacketAreNotKept(t *testing.T) {
+func TestRetransmissionsOfHeldPacketsAreNotHeld(t *testing.T) {
 	f := newFleet(t, 1)
 	open := f.caller(1, readRoute)
 	open.open("a1", 0)
 	open.establish("a1")
 	fresh := f.caller(2, checkRoute)
 	probes := f.probes
-	startBlind(f, "a1", func() {
-		open.ask("a1")
-		open.repeat("a1")
+	restartBeforeFirstRead(f, "a1", func() {
+		open.sendRequest("a1")
+		open.retransmit("a1")
 		fresh.open("a1", 0)
 		fresh.open("a1", 1)
 	})
-	f.step(steerer.TickEvery)
+	f.step(steerer.TickInterval)
 	require.Len(t, f.hosts["a1"].sent, 2)
 	require.Equal(t, probes, f.probes)
 }
@@ -90,24 +90,24 @@
 // Symptom: targets get packets that callers gave up on long ago. Sequence: a host
 // starts while neither the platform nor another host answers; it learns its targets
 // seconds later. Cause: packets kept without a bound of time, or of number.
-func TestPacketsAreNotKeptForLong(t *testing.T) {
+func TestHeldPacketsAreBounded(t *testing.T) {
 	f := newFleet(t, 1)
 	fresh := f.caller(1, checkRoute)
 	f.down = true
-	startBlind(f, "a1", func() { fresh.open("a1", 0) })
+	restartBeforeFirstRead(f, "a1", func() { fresh.open("a1", 0) })
 	f.step(3 * time.Second)
 	f.down = false
 	f.step(3 * time.Second)
 	require.True(t, f.hosts["a1"].steerer.Ready())
 	require.Empty(t, f.hosts["a1"].sent)
-	require.EqualValues(t, 1, f.hosts["a1"].steerer.Snapshot().Counts[steerer.DropUnknowing])
+	require.EqualValues(t, 1, f.hosts["a1"].steerer.Snapshot().Counters[steerer.DropNotReady])
 
-	startBlind(f, "a1", func() {
+	restartBeforeFirstRead(f, "a1", func() {
 		for n := range 5000 {
 			f.caller(n, checkRoute).open("a1", 0)
 		}
 	})
-	f.step(steerer.TickEvery)
+	f.step(steerer.TickInterval)
 	require.Less(t, len(f.hosts["a1"].sent), 1000)
 }
 
@@ -115,7 +115,7 @@
 // is late to take packets. Sequence: a host of a large fleet learns all targets at
 // once and writes a line for each; the bound on lines is used up. Cause: the first
 // list logged like changes.
-func TestFirstListIsLoggedInOneLine(t *testing.T) {
+func TestFirstTargetListIsLoggedInOneLine(t *testing.T) {
 	f := newFleet(t, 1)
 	for n := range 500 {
 		f.addTarget(fmt.Sprintf("i-3%07x", n+1), "ledger", "a")
--- a/core/steerer/inspecting.go
+++ b/core/steerer/inspecting.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// KnowledgeStatus is what a host knows of settings and targets, and from whom, for
+// SyncStatus is what a host knows of settings and targets, and from whom, for
 // operators.
-type KnowledgeStatus struct {
+type SyncStatus struct {
 	Host             string `json:"host"`
 	AvailabilityZone string `json:"availabilityZone"`
 	// Version is of the settings in force, 0 without any. SettingsFrom is where they
@@ -34,24 +34,24 @@
 	TargetsConfirmedBy string        `json:"targetsConfirmedBy,omitempty"`
 	// Rank is the host's place among those that read the platform, 0 the first, and Live
 	// how many others live as far as it knows.
-	Rank int `json:"rank"`
-	Live int `json:"live"`
+	Rank       int `json:"rank"`
+	AlivePeers int `json:"live"`
 	// PlatformLost says that the platform answers neither this host nor one that it
 	// hears of.
 	PlatformLost bool `json:"platformLost"`
 }
 
-// KnowledgeStatus returns what this host knows at present.
-func (s *Steerer) KnowledgeStatus() KnowledgeStatus {
+// SyncStatus returns what this host knows at present.
+func (s *Steerer) SyncStatus() SyncStatus {
 	settings, targets := &s.reading.settings, &s.reading.targets
-	return KnowledgeStatus{
+	return SyncStatus{
 		Host: s.config.Self, AvailabilityZone: s.config.AvailabilityZone,
 		Version: s.version(), SettingsFrom: s.settingsFrom,
 		SettingsAge: age(s.now, settings.confirmed), SettingsConfirmedBy: settings.confirmedBy,
 		Era: s.reading.era, OrdersRevision: s.evacuator.Orders().Position.Revision, Evacuated: s.evacuator.Zones(),
 		Revision: s.targetsPosition.Revision, TargetsEra: s.targetsPosition.Era,
 		TargetsAge: age(s.now, targets.confirmed), TargetsConfirmedBy: targets.confirmedBy,
-		Rank: s.rank(), Live: s.hostsHeardOf(), PlatformLost: s.reading.failedSince != 0,
+		Rank: s.rank(), AlivePeers: s.alivePeers(), PlatformLost: s.reading.failedSince != 0,
 	}
 }
 
@@ -75,54 +75,54 @@
 	// many it may; both are 0 unless its service is short of connections.
 	Connections      int `json:"connections,omitempty"`
 	ConnectionsBound int `json:"connectionsBound,omitempty"`
-	// Avoided says why new flows go elsewhere; empty if nothing speaks against the
+	// AvoidReason says why new flows go elsewhere; empty if nothing speaks against the
 	// target but its load.
-	Avoided string `json:"avoided,omitempty"`
+	AvoidReason string `json:"avoided,omitempty"`
 }
 
 // TargetStatuses lists all targets that this host knows, by ID.
 func (s *Steerer) TargetStatuses() []TargetStatus {
 	list := make([]TargetStatus, 0, len(s.targets.byID))
 	for _, t := range s.targets.ordered() {
-		flows, bound := s.connectionsOf(t)
+		flows, bound := s.connectionsAt(t)
 		list = append(list, TargetStatus{
 			Target: t.ID, Service: t.Service, AvailabilityZone: t.AvailabilityZone, Address: t.Address.String(), Slots: t.Slots,
-			Flows: t.flows, Busy: t.busy + t.opening, PeersBusy: t.peersBusy, Paced: t.line.Len(), Slowness: s.slowness(t), Avoided: s.avoided(t),
+			Flows: t.flows, Busy: t.pendingRequests + t.halfOpen, PeersBusy: t.peersBusy, Paced: t.queue.Len(), Slowness: s.slowdown(t), AvoidReason: s.avoidReason(t),
 			Connections: flows, ConnectionsBound: bound,
 		})
 	}
 	return list
 }
 
-// avoided says why new flows go elsewhere, the strongest reason first; see
+// avoidReason says why new flows go elsewhere, the strongest reason first; see
 // excluded and load.
-func (s *Steerer) avoided(t *target) string {
+func (s *Steerer) avoidReason(t *target) string {
 	switch {
 	case s.targets.byTag[t.tag] != t:
 		return "another target has its tag"
 	case t.Draining:
 		return "draining"
 	case t.missing:
-		return "no longer listed for " + ageText(s.now, t.missingSince) + " ms"
-	case s.doubtsRestored(t):
+		return "no longer listed for " + formatAge(s.now, t.missingSince) + " ms"
+	case s.avoidedAfterRestore(t):
 		return t.restored.String() + " before the platform was restored"
 	case s.evacuator.Evacuates(t.AvailabilityZone):
 		return "its zone is evacuated"
 	case t.health.unreachable():
-		return "no answer for " + ageText(s.now, t.health.silentSince) + " ms, last check " + t.health.outcome.String()
+		return "no answer for " + formatAge(s.now, t.health.unreachableSince) + " ms, last check " + t.health.lastOutcome.String()
 	case t.health.suspect:
-		return "suspected, last sign of life " + ageText(s.now, t.health.lastProgress) + " ms ago"
-	case t.full && s.connections.tight[t.Service] != nil:
+		return "suspected, last sign of life " + formatAge(s.now, t.health.lastProgress) + " ms ago"
+	case t.believedFull && s.connections.constrained[t.Service] != nil:
 		return "holds all the flows that it may"
-	case s.failsWork(t):
+	case s.failsFast(t):
 		return "answers more quickly than it can work"
-	case t.pace.Slow():
-		return fmt.Sprintf("takes %.1f times as long as usual", s.slowness(t))
-	case !s.admits(t):
+	case t.slowdownEstimate.Slow():
+		return fmt.Sprintf("takes %.1f times as long as usual", s.slowdown(t))
+	case !s.warmUpAllows(t):
 		return "cold, and other hosts share out what it bears"
 	case !t.warmUpDeadline.Passed(s.now):
-		return "slow for " + millis(t.warmUpDeadline.Until(s.now)) + " ms more after its start"
-	case s.cold(t):
+		return "slow for " + formatMillis(t.warmUpDeadline.Until(s.now)) + " ms more after its start"
+	case s.isCold(t):
 		return "cold after its zone was taken back"
 	case s.diagnoser.ZoneSuspect(t.AvailabilityZone, s.now):
 		return "its zone seems to have fallen silent"
--- a/core/steerer/inspecting_test.go
+++ b/core/steerer/inspecting_test.go
@@ -9,7 +9,7 @@
 )
 
 // Operators ask why a target gets no work; each reason has its words.
-func TestStatusTellsWhyTargetsAreAvoided(t *testing.T) {
+func TestTargetStatusGivesAvoidReason(t *testing.T) {
 	f := newFleet(t, 1)
 	f.drain("i-10000001")
 	f.remove("i-10000002")
@@ -19,16 +19,16 @@
 	f.step(2 * time.Second)
 	silent := f.caller(1, readRoute)
 	silent.open("a1", 0)
-	f.outcomes[silent.target] = steerer.ProbeSilent
+	f.probeOutcomes[silent.target] = steerer.ProbeConnectTimeout
 	silent.establish("a1")
-	silent.ask("a1")
+	silent.sendRequest("a1")
 	f.step(250 * time.Millisecond)
-	silent.repeat("a1")
+	silent.retransmit("a1")
 	f.step(400 * time.Millisecond)
 
 	avoided := map[string]string{}
 	for _, status := range f.hosts["a1"].steerer.TargetStatuses() {
-		avoided[status.Target] = status.Avoided
+		avoided[status.Target] = status.AvoidReason
 	}
 	require.Len(t, avoided, 9)
 	require.Equal(t, "draining", avoided["i-10000001"])
@@ -39,21 +39,21 @@
 }
 
 // Operators ask why a host is behind: what it knows, how old that is, and from whom.
-func TestStatusTellsFromWhomAHostKnows(t *testing.T) {
+func TestSyncStatusNamesSources(t *testing.T) {
 	f := newFleet(t, 2)
-	f.turnedAway["a2"] = true
-	f.settings = settingsOf(2, routes())
+	f.deniedHosts["a2"] = true
+	f.settings = newSettings(2, routes())
 	f.step(3 * time.Second)
-	reader, other := f.hosts["a1"].steerer.KnowledgeStatus(), f.hosts["a2"].steerer.KnowledgeStatus()
+	reader, other := f.hosts["a1"].steerer.SyncStatus(), f.hosts["a2"].steerer.SyncStatus()
 	require.Equal(t, uint64(2), other.Version)
 	require.Equal(t, "platform", reader.SettingsFrom)
 	require.Equal(t, "a1", other.SettingsFrom)
 	require.Equal(t, "platform", reader.TargetsConfirmedBy)
 	require.Equal(t, "a1", other.TargetsConfirmedBy)
 	require.Less(t, other.SettingsAge, 3*time.Second)
-	require.Equal(t, 1, other.Live)
+	require.Equal(t, 1, other.AlivePeers)
 	require.Equal(t, 1, reader.Rank+other.Rank)
-	f.turnedAway["a1"] = true
+	f.deniedHosts["a1"] = true
 	f.step(3 * time.Second)
-	require.True(t, f.hosts["a1"].steerer.KnowledgeStatus().PlatformLost)
+	require.True(t, f.hosts["a1"].steerer.SyncStatus().PlatformLost)
 }
--- a/core/steerer/large_bench_test.go
+++ b/core/steerer/large_bench_test.go
@@ -55,7 +55,7 @@
 	var list []steerer.Target
 	for n := range l.targets {
 		id := fmt.Sprintf("i-%08x", 0x10000000+n)
-		number, _ := steerer.NumberOf(id)
+		number, _ := steerer.ParseTargetNumber(id)
 		service := "ledger"
 		if n/l.zones%5 == 4 {
 			service = "intake"
@@ -73,13 +73,13 @@
 	sealer  *encoder.MessageCodec
 	now     timekeeper.Instant
 	// reports are one from each other host, those of the own zone first.
-	near    []*steerer.ReportReceived
-	far     []*steerer.ReportReceived
-	callers int
-	sent    []*steerer.SendReport
-	// asked are the questions to other hosts; asking says that the last is not answered.
-	asked  []*steerer.AskHost
-	asking bool
+	sameZone  []*steerer.ReportReceived
+	crossZone []*steerer.ReportReceived
+	callers   int
+	sent      []*steerer.SendReport
+	// syncRequests are the questions to other hosts; asking says that the last is not answered.
+	syncRequests       []*steerer.SendSyncRequest
+	syncRequestPending bool
 	// reports and changes count what came; revision is that of the last change.
 	reports  int
 	changes  int
@@ -90,14 +90,14 @@
 	h := &largeHost{fleet: l, targets: l.list(), now: timekeeper.Instant(2 * time.Second), revision: 1, sealer: encoder.New("a0", nil)}
 	h.steerer = steerer.New(steerer.Config{
 		Self: "a0", Address: netip.MustParseAddrPort("10.1.0.1:7000"), AvailabilityZone: "a", MaxFlows: 100_000,
-		SettingsWithin: 5 * time.Second, DrainingWithin: 5 * time.Second, LinkBytesPerSecond: 1_250_000, Start: timekeeper.Instant(time.Second),
+		SettingsPropagationLimit: 5 * time.Second, DrainingPropagationLimit: 5 * time.Second, LinkBytesPerSecond: 1_250_000, Start: timekeeper.Instant(time.Second),
 	})
 	h.steerer.Reduce(&steerer.SettingsRead{At: h.now, Started: h.now, Published: steerer.Published{Settings: l.settings()}})
 	h.steerer.Reduce(&steerer.TargetsRead{At: h.now, Started: h.now, List: steerer.TargetList{Position: sequencer.At(0, 1), Targets: h.targets}})
 	for n := 1; n < l.hosts; n++ {
 		h.addPeer(n)
 	}
-	for _, r := range append(h.near, h.far...) {
+	for _, r := range append(h.sameZone, h.crossZone...) {
 		h.receive(r)
 	}
 	return h
@@ -115,45 +115,45 @@
 	e := &steerer.ReportReceived{From: name, Report: r}
 	if zone != 0 {
 		r.ReceiverZoneHosts = h.fleet.hosts / h.fleet.zones
-		h.far = append(h.far, e)
+		h.crossZone = append(h.crossZone, e)
 		return
 	}
 	r.InFlight = map[uint32]uint16{}
 	for i := range busyTargets {
 		r.InFlight[uint32(h.targets[(n+i*100)%h.fleet.targets].Number)] = 1
 	}
-	h.near = append(h.near, e)
+	h.sameZone = append(h.sameZone, e)
 }
 
 func (h *largeHost) receive(e *steerer.ReportReceived) {
 	e.At = h.now
-	h.carryOut(h.steerer.Reduce(e))
+	h.perform(h.steerer.Reduce(e))
 }
 
 // tick lets a tick pass, and seals the reports that come of it.
 func (h *largeHost) tick() {
-	h.now = h.now.Add(steerer.TickEvery)
-	h.carryOut(h.steerer.Reduce(&steerer.Tick{At: h.now}))
+	h.now = h.now.Add(steerer.TickInterval)
+	h.perform(h.steerer.Reduce(&steerer.Tick{At: h.now}))
 }
 
-func (h *largeHost) carryOut(effects []steerer.Effect) {
+func (h *largeHost) perform(effects []steerer.Effect) {
 	for _, effect := range slices.Clone(effects) {
 		switch e := effect.(type) {
 		case *steerer.SendReport:
 			h.sent = append(h.sent, e)
-		case *steerer.AskHost:
-			h.asked = append(h.asked, e)
-			h.asking = true
+		case *steerer.SendSyncRequest:
+			h.syncRequests = append(h.syncRequests, e)
+			h.syncRequestPending = true
 		case *steerer.ReadSettings:
 			h.steerer.Reduce(&steerer.SettingsRead{At: h.now, Started: h.now, Published: steerer.Published{Settings: h.fleet.settings()}})
 		case *steerer.ReadTargets:
-			h.steerer.Reduce(&steerer.TargetsRead{At: h.now, Started: h.now, Err: errDown})
+			h.steerer.Reduce(&steerer.TargetsRead{At: h.now, Started: h.now, Err: errPlatformDown})
 		}
 	}
 }
 
-// flow is a request that opens a flow, is answered, and ends it.
-func (h *largeHost) flow(f *fleet) {
+// runFlow is a request that opens a flow, is answered, and ends it.
+func (h *largeHost) runFlow(f *fleet) {
 	h.callers++
 	c := f.caller(h.callers%50_000, checkRoute)
 	for step, p := range []steerer.Packet{c.packet(steerer.FlagOpen, 0, "open"), c.packet(steerer.FlagAck, 100, "ask"), c.packet(steerer.FlagAck, 0, "thank"), c.packet(steerer.FlagAck|steerer.FlagEnd, 0, "end")} {
@@ -168,7 +168,7 @@
 			p.Tag = c.tag
 		}
 		for _, effect := range h.steerer.Reduce(&steerer.CallerPacket{At: h.now, Packet: p}) {
-			if e, ok := effect.(*steerer.ToTarget); ok && step == 0 {
+			if e, ok := effect.(*steerer.ForwardPacket); ok && step == 0 {
 				c.tag = e.Tag
 			}
 		}
@@ -176,10 +176,10 @@
 	}
 }
 
-// change is a report of a host of the own zone that brings news of some targets: each begins
+// receiveChanges is a report of a host of the own zone that brings news of some targets: each begins
 // to drain, and the next time it is ready again.
-func (h *largeHost) change(count int) {
-	r := *h.near[h.reports%len(h.near)].Report
+func (h *largeHost) receiveChanges(count int) {
+	r := *h.sameZone[h.reports%len(h.sameZone)].Report
 	h.reports++
 	h.revision++
 	r.TargetsRevision = h.revision
@@ -192,28 +192,28 @@
 			AvailabilityZone: t.AvailabilityZone, Slots: t.Slots, Draining: t.Draining,
 		})
 	}
-	h.receive(&steerer.ReportReceived{From: h.near[(h.reports-1)%len(h.near)].From, Report: &r})
+	h.receive(&steerer.ReportReceived{From: h.sameZone[(h.reports-1)%len(h.sameZone)].From, Report: &r})
 }
 
-// second is a second of a host: 20 ticks, 12 reports of the own zone and 4 of others, and as
+// runSecond is a second of a host: 20 ticks, 12 reports of the own zone and 4 of others, and as
 // many flows. Each report of the own zone tells of some changes.
-func (h *largeHost) second(f *fleet, flows, changes int) {
+func (h *largeHost) runSecond(f *fleet, flows, changes int) {
 	for tick := range 20 {
 		for range flows / 20 {
-			h.flow(f)
+			h.runFlow(f)
 		}
 		if tick%5 == 0 {
-			h.receive(h.far[h.reports%len(h.far)])
+			h.receive(h.crossZone[h.reports%len(h.crossZone)])
 			h.reports++
 		} else {
-			h.change(changes)
+			h.receiveChanges(changes)
 		}
 		h.tick()
 	}
 }
 
-// quietSecond lets a second pass in which nothing comes.
-func (h *largeHost) quietSecond() {
+// runIdleSecond lets a second pass in which nothing comes.
+func (h *largeHost) runIdleSecond() {
 	for range 20 {
 		h.tick()
 	}
@@ -235,17 +235,17 @@
 // BenchmarkLargeReport takes in a report of a host of the own zone, or of another, of
 // which some come between two ticks.
 func BenchmarkLargeReport(b *testing.B) {
-	for _, near := range []bool{true, false} {
-		b.Run(fmt.Sprintf("near=%v", near), func(b *testing.B) {
+	for _, sameZone := range []bool{true, false} {
+		b.Run(fmt.Sprintf("near=%v", sameZone), func(b *testing.B) {
 			eachFleet(b, func(b *testing.B, h *largeHost) {
-				from := h.far
-				if near {
-					from = h.near
+				from := h.crossZone
+				if sameZone {
+					from = h.sameZone
 				}
 				for n := range b.N {
 					if n%16 == 0 {
 						b.StopTimer()
-						h.quietSecond()
+						h.runIdleSecond()
 						b.StartTimer()
 					}
 					h.receive(from[n%len(from)])
@@ -259,7 +259,7 @@
 func BenchmarkLargeTick(b *testing.B) {
 	eachFleet(b, func(b *testing.B, h *largeHost) {
 		for n := range b.N {
-			h.receive(h.near[n%len(h.near)])
+			h.receive(h.sameZone[n%len(h.sameZone)])
 			h.sent = h.sent[:0]
 			h.tick()
 		}
@@ -274,10 +274,10 @@
 		for n := range b.N {
 			if n%20 == 0 {
 				b.StopTimer()
-				h.quietSecond()
+				h.runIdleSecond()
 				b.StartTimer()
 			}
-			h.flow(f)
+			h.runFlow(f)
 		}
 	})
 }
@@ -287,17 +287,17 @@
 func BenchmarkLargeSecond(b *testing.B) {
 	for _, changes := range []int{0, 3} {
 		b.Run(fmt.Sprintf("changes=%d", 16*changes), func(b *testing.B) {
-			eachFleet(b, func(b *testing.B, h *largeHost) { h.seconds(b, changes) })
+			eachFleet(b, func(b *testing.B, h *largeHost) { h.benchSeconds(b, changes) })
 		})
 	}
 }
 
-func (h *largeHost) seconds(b *testing.B, changes int) {
+func (h *largeHost) benchSeconds(b *testing.B, changes int) {
 	f := &fleet{}
 	sealed := [2]int{}
 	reports := [2]int{}
 	for b.Loop() {
-		h.second(f, 20, changes)
+		h.runSecond(f, 20, changes)
 		for _, e := range h.sent {
 			data, err := h.sealer.Encode(e.Host, e.Report)
 			if err != nil {
--- a/core/steerer/life.go
+++ b/core/steerer/life.go
@@ -19,37 +19,37 @@
 // olderThan reports whether what is known of a target is older than a state of some
 // life as seen at a position. Lives go first: what an earlier life has written may
 // reach the platform, or this host, after the news of a later one.
-func (t *target) olderThan(born int64, seen sequencer.Position) bool {
-	if born != t.Born {
-		return t.Born < born
+func (t *target) olderThan(incarnation int64, position sequencer.Position) bool {
+	if incarnation != t.Incarnation {
+		return t.Incarnation < incarnation
 	}
-	return t.seen.Before(seen)
+	return t.seenPosition.Before(position)
 }
 
-// beginLife drops what this host believes of a target's earlier life.
-func (s *Steerer) beginLife(t *target, from string) {
-	s.log("targetReborn", field("target", t.ID), field("born", itoa(int(t.Born))), field("revision", t.seen.String()),
-		field("flows", itoa(t.flows)), field("from", from))
-	t.bornAt = t.seen
+// resetForRestart drops what this host believes of a target's earlier life.
+func (s *Steerer) resetForRestart(t *target, from string) {
+	s.log("targetReborn", field("target", t.ID), field("born", formatInt(int(t.Incarnation))), field("revision", t.seenPosition.String()),
+		field("flows", formatInt(t.flows)), field("from", from))
+	t.incarnationPosition = t.seenPosition
 	for _, key := range s.flowsTo(t) {
 		f := s.flows[key]
-		s.askAgain(f, t)
-		s.forget(key, f)
+		s.resendRequest(f, t)
+		s.forgetFlow(key, f)
 	}
 	t.health = health{}
-	t.full = false
+	t.believedFull = false
 	t.foundFullAt = 0
 	s.connections.limiter.Forget(uint32(t.tag))
-	t.toldSilentDeadline = 0
+	t.reportedUnresponsiveDeadline = 0
 	t.failures = estimator.FastFailures{}
-	t.pace = estimator.Target{}
+	t.slowdownEstimate = estimator.Target{}
 	for _, p := range s.peers.loaded {
 		delete(p.busy, uint32(t.tag))
 	}
 	t.peersBusy = 0
 }
 
-// askAgain repeats a request that waits to a target that has started again, or passes
+// resendRequest repeats a request that waits to a target that has started again, or passes
 // on one that waits at this host.
 //
 // A target answers packets of flows that it does not hold with a reset, so that the
@@ -57,26 +57,26 @@
 // acknowledged the request, so its caller repeats nothing, and waits until its
 // deadline. A reset by this host would be a guess: the flow may have opened at the new
 // life, before the news of it came, and then the repeat does no harm.
-func (s *Steerer) askAgain(f *flow, t *target) {
+func (s *Steerer) resendRequest(f *flow, t *target) {
 	if f.paced != nil {
 		for _, data := range f.paced.packets {
-			s.sendTarget(t, 0, data)
+			s.forward(t, 0, data)
 		}
 		return
 	}
-	if f.waiting && len(f.request) > 0 {
-		s.sendTarget(t, 0, f.request)
+	if f.awaitingResponse && len(f.bufferedRequest) > 0 {
+		s.forward(t, 0, f.bufferedRequest)
 	}
 }
 
-// keepRequest keeps a request that has begun, if it may run more than once and fits a
-// packet; see askAgain.
-func (f *flow) keepRequest(data []byte) {
-	if f.route.Kind.repeatable() && len(data) <= maxKeptRequest {
-		f.request = slices.Clone(data)
+// bufferRequest keeps a request that has begun, if it may run more than once and fits a
+// packet; see resendRequest.
+func (f *flow) bufferRequest(data []byte) {
+	if f.route.Kind.retryable() && len(data) <= maxBufferedRequestBytes {
+		f.bufferedRequest = slices.Clone(data)
 	}
 }
 
-// maxKeptRequest bounds a request that is kept while it waits, in bytes: requests
+// maxBufferedRequestBytes bounds a request that is kept while it waits, in bytes: requests
 // without a body take some 300.
-const maxKeptRequest = 600
+const maxBufferedRequestBytes = 600
