--- a/core/steerer/listing.go
+++ b/core/steerer/listing.go
@@ -9,180 +9,180 @@
 )
 
 const (
-	// lapseProgress is how recent the sign of life must be of a target that vanished from
+	// recentProgressWindow is how recent the sign of life must be of a target that vanished from
 	// the list without draining, and still gets flows for sequencer.RewriteTime.
-	lapseProgress = time.Second
-	// missingMemory is how long a target is remembered after it vanished: open
+	recentProgressWindow = time.Second
+	// missingTargetRetention is how long a target is remembered after it vanished: open
 	// flows still name it, for as long as a flow may last.
-	missingMemory = 70 * time.Second
-	// targetSweepEvery is how often targets are looked for that are to be checked again or
+	missingTargetRetention = 70 * time.Second
+	// targetSweepInterval is how often targets are looked for that are to be checked again or
 	// forgotten, which are due after seconds.
-	targetSweepEvery = 250 * time.Millisecond
+	targetSweepInterval = 250 * time.Millisecond
 )
 
-// takeList takes in what the platform lists.
-func (s *Steerer) takeList(list TargetList) {
+// applyTargetList takes in what the platform lists.
+func (s *Steerer) applyTargetList(list TargetList) {
 	if list.Since.Known() {
-		s.takeChanges(list)
+		s.applyTargetChanges(list)
 		return
 	}
-	s.takeWholeList(list)
+	s.applyFullTargetList(list)
 }
 
-// takeChanges takes in what has changed since a position that this host has reached. The
+// applyTargetChanges takes in what has changed since a position that this host has reached. The
 // work follows what has changed, not how many targets there are.
-func (s *Steerer) takeChanges(list TargetList) {
+func (s *Steerer) applyTargetChanges(list TargetList) {
 	if !s.targetsPosition.ContinuesFrom(list.Since) || s.targetsPosition.Before(list.Since) {
 		return // This host has turned to another era since it asked.
 	}
-	s.noteMalformed(list.Malformed, list.Position)
+	s.recordMalformed(list.Malformed, list.Position)
 	for _, record := range list.Targets {
-		s.takeRecord(record, list.Position, fromPlatform)
+		s.applyTarget(record, list.Position, fromPlatform)
 	}
-	for _, id := range list.Gone {
-		if t, known := s.targets.byID[id]; known && !t.missing && t.seen.Before(list.Position) {
-			s.takeMissing(t, list.Position, fromPlatform)
+	for _, id := range list.MissingIDs {
+		if t, known := s.targets.byID[id]; known && !t.missing && t.seenPosition.Before(list.Position) {
+			s.markMissing(t, list.Position, fromPlatform)
 		}
 	}
 	s.targetsPosition = s.targetsPosition.Later(list.Position)
 }
 
-// takeWholeList takes in a complete list of targets. One without a revision says nothing to a
+// applyFullTargetList takes in a complete list of targets. One without a revision says nothing to a
 // host that has one.
-func (s *Steerer) takeWholeList(list TargetList) {
+func (s *Steerer) applyFullTargetList(list TargetList) {
 	if list.Position.Before(s.targetsPosition) || (s.targetsPosition.Known() && !list.Position.Known()) {
 		return
 	}
-	s.malformed = s.stillMalformed(list.Malformed)
-	s.noteMalformed(list.Malformed, list.Position)
+	s.loggedMalformed = s.retainMalformed(list.Malformed)
+	s.recordMalformed(list.Malformed, list.Position)
 	listed := make(map[string]bool, len(list.Targets))
 	for _, record := range list.Targets {
 		listed[record.ID] = true
-		s.takeRecord(record, list.Position, fromPlatform)
+		s.applyTarget(record, list.Position, fromPlatform)
 	}
-	s.endList(listed, list.Position, fromPlatform)
+	s.completeTargetList(listed, list.Position, fromPlatform)
 }
 
-// endList takes in that a list is complete as of a position: what it lacks is missing.
-func (s *Steerer) endList(listed map[string]bool, position sequencer.Position, from string) {
+// completeTargetList takes in that a list is complete as of a position: what it lacks is missing.
+func (s *Steerer) completeTargetList(listed map[string]bool, position sequencer.Position, from string) {
 	missing := 0
 	for _, t := range s.targets.ordered() {
-		if !listed[t.ID] && !t.missing && t.seen.Before(position) {
-			s.takeMissing(t, position, from)
+		if !listed[t.ID] && !t.missing && t.seenPosition.Before(position) {
+			s.markMissing(t, position, from)
 			missing++
 		}
 	}
 	earlier := s.targetsPosition
 	s.targetsPosition = position
-	s.noteListed(earlier, missing, from)
+	s.recordCompleteList(earlier, missing, from)
 }
 
-// logFirstTargets logs the first list of targets in one line.
+// logInitialTargets logs the first list of targets in one line.
 //
 // What goes wrong with a line for each target: after its start a host of a large
 // fleet writes nothing else. The bound on lines leaves out how its first flows were
 // placed, and a small host spends its share of the processor on lines before it
 // takes packets.
-func (s *Steerer) logFirstTargets(from string) {
+func (s *Steerer) logInitialTargets(from string) {
 	draining := 0
 	for _, t := range s.targets.byID {
 		if t.Draining {
 			draining++
 		}
 	}
-	s.log("targetsKnown", field("targets", itoa(len(s.targets.byID))), field("draining", itoa(draining)),
+	s.log("targetsKnown", field("targets", formatInt(len(s.targets.byID))), field("draining", formatInt(draining)),
 		field("revision", s.targetsPosition.String()), field("from", from))
 }
 
-// takeRecord takes in the state of a target as seen at a position. The first list is no
+// applyTarget takes in the state of a target as seen at a position. The first list is no
 // news to others: told like changes, it would fill the reports of each host that starts
-// for changeMemory, and all of them after a loss of all hosts.
-func (s *Steerer) takeRecord(record Target, seen sequencer.Position, from string) {
+// for changeRetention, and all of them after a loss of all hosts.
+func (s *Steerer) applyTarget(record Target, seen sequencer.Position, from string) {
 	known, ok := s.targets.byID[record.ID]
-	if ok && !known.missing && known.same(record) {
-		s.takeWarmUp(known, record.WarmUp, from)
+	if ok && !known.missing && known.equalIgnoringWarmUp(record) {
+		s.applyWarmUp(known, record.WarmUp, from)
 		return
 	}
-	if ok && !known.olderThan(record.Born, seen) {
+	if ok && !known.olderThan(record.Incarnation, seen) {
 		return
 	}
-	reborn := ok && record.Born != known.Born
-	restored := s.forgottenByRestore(known, record, seen)
-	t, shared := s.targets.put(record)
+	restarted := ok && record.Incarnation != known.Incarnation
+	restored := s.restoreConflictOf(known, record, seen)
+	t, tagTaken := s.targets.upsert(record)
 	t.restored = restored
 	if s.targetsPosition.Known() {
 		s.diagnoser.ObserveActivity(t.AvailabilityZone, s.now) // It has started, or changed, just now.
 	}
 	t.missing = false
-	t.unreadable = false
-	s.targets.noteState(t, seen)
-	if reborn {
-		s.beginLife(t, from)
+	t.malformed = false
+	s.targets.recordState(t, seen)
+	if restarted {
+		s.resetForRestart(t, from)
 	}
 	t.warmUpDeadline = s.now.Add(record.WarmUp)
 	if s.targetsPosition.Known() {
-		s.noteChange(t)
+		s.queueChange(t)
 		s.log("targetChanged", field("target", t.ID), field("service", t.Service), field("address", t.Address.String()),
-			field("draining", btoa(t.Draining)), field("revision", seen.String()), field("from", from))
+			field("draining", formatBool(t.Draining)), field("revision", seen.String()), field("from", from))
 	}
-	if shared {
+	if tagTaken {
 		s.log("targetUnused", field("target", t.ID), field("reason", "tagTaken"), field("tag", t.tag.String()))
 	}
 }
 
-// takeWarmUp takes in for how much longer a known target is cold.
+// applyWarmUp takes in for how much longer a known target is cold.
 //
 // What goes wrong if other hosts are not told: a target turns cold without a restart,
 // and only the host that reads the platform spares it. What goes wrong if any word of
 // another host holds: one that has not learned of it yet ends the warm-up.
-func (s *Steerer) takeWarmUp(t *target, warmUp time.Duration, from string) {
+func (s *Steerer) applyWarmUp(t *target, warmUp time.Duration, from string) {
 	deadline := s.now.Add(warmUp)
 	if from != fromPlatform {
 		deadline = max(deadline, t.warmUpDeadline)
 	}
 	// Less than a round of reports is what is left of a warm-up that all know.
-	if turnedCold := warmUp > reportEvery && t.warmUpDeadline.Passed(s.now); turnedCold {
-		s.noteChange(t)
-		s.log("targetCold", field("target", t.ID), field("millis", millis(warmUp)), field("from", from))
+	if turnedCold := warmUp > reportInterval && t.warmUpDeadline.Passed(s.now); turnedCold {
+		s.queueChange(t)
+		s.log("targetCold", field("target", t.ID), field("millis", formatMillis(warmUp)), field("from", from))
 	}
 	t.warmUpDeadline = deadline
 }
 
-// takeMissing takes in that a target is no longer listed, as seen at a position.
-func (s *Steerer) takeMissing(t *target, seen sequencer.Position, from string) {
-	if s.crosses(seen) && !t.Draining && !s.drainedBeforeRestore(t) {
-		t.restored = restoredState{lacked: true, deadline: s.now.Add(sequencer.RewriteGracePeriod)}
+// markMissing takes in that a target is no longer listed, as seen at a position.
+func (s *Steerer) markMissing(t *target, seen sequencer.Position, from string) {
+	if s.inLaterEra(seen) && !t.Draining && !s.wasDrainingBeforeRestore(t) {
+		t.restored = restoreConflict{absentFromBackup: true, deadline: s.now.Add(sequencer.RewriteGracePeriod)}
 	}
 	t.missing = true
-	s.targets.noteState(t, seen)
-	s.targets.noteGone(t)
-	s.targets.passTag(t)
+	s.targets.recordState(t, seen)
+	s.targets.markGone(t)
+	s.targets.handOverTag(t)
 	t.missingSince = s.now
-	s.noteChange(t)
-	s.logTarget("targetMissing", t, field("draining", btoa(t.Draining)), field("revision", seen.String()), field("from", from))
+	s.queueChange(t)
+	s.logTarget("targetMissing", t, field("draining", formatBool(t.Draining)), field("revision", seen.String()), field("from", from))
 }
 
-// gone reports whether a target may get no new flows because it is not listed.
+// excludedAsMissing reports whether a target may get no new flows because it is not listed.
 //
 // What goes wrong if a missing target is dropped at once: while the platform is
 // in trouble entries of live targets vanish, at worst all of them, and callers
 // are refused although every target works.
-func (s *Steerer) gone(t *target) bool {
-	if !t.missing || t.unreadable {
-		return t.unreadable
+func (s *Steerer) excludedAsMissing(t *target) bool {
+	if !t.missing || t.malformed {
+		return t.malformed
 	}
-	if s.lackedByCopy(t) {
+	if s.missingFromBackup(t) {
 		return false
 	}
-	since := max(t.missingSince, s.reading.returnedAt)
-	lapsing := !since.Add(sequencer.RewriteGracePeriod).Passed(s.now) || s.reading.failedSince != 0
-	lives := s.livesNow(t)
-	return !lapsing || !lives
+	since := max(t.missingSince, s.reading.recoveredAt)
+	inGracePeriod := !since.Add(sequencer.RewriteGracePeriod).Passed(s.now) || s.reading.failedSince != 0
+	alive := s.hasRecentProgress(t)
+	return !inGracePeriod || !alive
 }
 
-// livesNow reports whether flows show that a target lives.
-func (s *Steerer) livesNow(t *target) bool {
-	return t.health.lastProgress != 0 && s.now.Since(t.health.lastProgress) < lapseProgress
+// hasRecentProgress reports whether flows show that a target lives.
+func (s *Steerer) hasRecentProgress(t *target) bool {
+	return t.health.lastProgress != 0 && s.now.Since(t.health.lastProgress) < recentProgressWindow
 }
 
 // targetsTick does what is due for targets, whether or not flows use them.
@@ -190,11 +190,11 @@
 	if !s.targetSweepDeadline.Passed(s.now) {
 		return
 	}
-	s.targetSweepDeadline = s.now.Add(targetSweepEvery)
-	s.sweepGone()
-	s.noteZoneHosts()
-	s.checkUnreachable()
-	s.sweepInUse()
+	s.targetSweepDeadline = s.now.Add(targetSweepInterval)
+	s.removeExpiredTargets()
+	s.updateWarmerHosts()
+	s.probeUnreachable()
+	s.removeUnusedFromInUse()
 }
 
 // flowsTo lists the flows to a target in a fixed order.
@@ -215,14 +215,14 @@
 }
 
 // targetsAge tells how old the knowledge of targets is, for logs.
-func (s *Steerer) targetsAge() string { return ageText(s.now, s.reading.targets.confirmed) }
+func (s *Steerer) targetsAge() string { return formatAge(s.now, s.reading.targets.confirmed) }
 
-// ageText writes how long ago a moment was, in milliseconds, for logs.
-func ageText(now, moment timekeeper.Instant) string {
+// formatAge writes how long ago a moment was, in milliseconds, for logs.
+func formatAge(now, moment timekeeper.Instant) string {
 	if moment == 0 {
 		return "never"
 	}
-	return millis(now.Since(moment))
+	return formatMillis(now.Since(moment))
 }
 
 // age is how old a confirmation is; unknownAge if there is none.
--- a/core/steerer/listing_internal_test.go
+++ b/core/steerer/listing_internal_test.go
@@ -8,13 +8,13 @@
 )
 
 // Failure: the host that reads the platform for all goes through all targets for each change.
-func TestReadOfChangesCostsWhatHasChanged(t *testing.T) {
-	s := serviceOf(12_000)
+func TestCostOfIncrementalListFollowsChanges(t *testing.T) {
+	s := hostWithTargets(12_000)
 	drained := s.targets.byID["i-10000005"].Target
 	drained.Draining = true
-	before := s.targets.visits
-	s.takeList(TargetList{Since: sequencer.At(0, 1), Position: sequencer.At(0, 3), Targets: []Target{drained}, Gone: []string{"i-10000007"}})
-	require.Equal(t, before, s.targets.visits)
+	before := s.targets.entriesVisited
+	s.applyTargetList(TargetList{Since: sequencer.At(0, 1), Position: sequencer.At(0, 3), Targets: []Target{drained}, MissingIDs: []string{"i-10000007"}})
+	require.Equal(t, before, s.targets.entriesVisited)
 	require.True(t, s.targets.byID["i-10000005"].Draining)
 	require.True(t, s.targets.byID["i-10000007"].missing)
 	require.Equal(t, sequencer.At(0, 3), s.targetsPosition)
@@ -22,10 +22,10 @@
 
 // Failure: changes of a history that a restore has ended are put upon the list of the new one,
 // or changes upon a list that lacks those before them.
-func TestChangesAreTakenOnlyUponWhatTheyFollow(t *testing.T) {
+func TestIncrementalListIsAppliedOnlyToItsBase(t *testing.T) {
 	for _, since := range []sequencer.Position{sequencer.At(0, 2), sequencer.At(1, 1)} {
-		s := serviceOf(10)
-		s.takeList(TargetList{Since: since, Position: sequencer.At(since.Era, 5), Gone: []string{"i-10000007"}})
+		s := hostWithTargets(10)
+		s.applyTargetList(TargetList{Since: since, Position: sequencer.At(since.Era, 5), MissingIDs: []string{"i-10000007"}})
 		require.False(t, s.targets.byID["i-10000007"].missing, since)
 		require.Equal(t, sequencer.At(0, 1), s.targetsPosition, since)
 	}
@@ -33,13 +33,13 @@
 
 // Failure: a target that waits for a tag which another held gets no flows for good once that
 // one has gone, since its own entry never changes.
-func TestTagOfATargetThatHasGonePassesOn(t *testing.T) {
-	s := serviceOf(10)
+func TestTagOfMissingTargetIsReassigned(t *testing.T) {
+	s := hostWithTargets(10)
 	first := s.targets.byID["i-10000007"]
-	twin := first.Target
-	twin.ID = "x-10000007"
-	s.takeList(TargetList{Since: sequencer.At(0, 1), Position: sequencer.At(0, 2), Targets: []Target{twin}})
-	require.Empty(t, s.targets.byID[twin.ID].listedUnder)
-	s.takeList(TargetList{Since: sequencer.At(0, 2), Position: sequencer.At(0, 3), Gone: []string{first.ID}})
-	require.Equal(t, "ledger", s.targets.byID[twin.ID].listedUnder)
+	duplicate := first.Target
+	duplicate.ID = "x-10000007"
+	s.applyTargetList(TargetList{Since: sequencer.At(0, 1), Position: sequencer.At(0, 2), Targets: []Target{duplicate}})
+	require.Empty(t, s.targets.byID[duplicate.ID].listedUnder)
+	s.applyTargetList(TargetList{Since: sequencer.At(0, 2), Position: sequencer.At(0, 3), MissingIDs: []string{first.ID}})
+	require.Equal(t, "ledger", s.targets.byID[duplicate.ID].listedUnder)
 }
--- a/core/steerer/living_test.go
+++ b/core/steerer/living_test.go
@@ -10,7 +10,7 @@
 
 // Failure: a zone is lost, and for as long as its hosts count as living, which takes longer
 // the larger the fleet is, nobody reads the platform in time in their place.
-func TestHostsOfALostZoneAreNotWaitedFor(t *testing.T) {
+func TestHostsOfLostZoneDoNotCountForRank(t *testing.T) {
 	f := newFleet(t, 12, 12, 12)
 	f.step(3 * time.Second)
 	lost := f.zoneOfFirstReader()
@@ -21,7 +21,7 @@
 	}
 	f.step(4300 * time.Millisecond)
 	first := f.firstReader(func(name string) bool { return name[:1] != lost })
-	require.Zero(t, f.hosts[first].steerer.KnowledgeStatus().Rank)
+	require.Zero(t, f.hosts[first].steerer.SyncStatus().Rank)
 }
 
 // firstReader is the host of the lowest rank among some.
@@ -39,6 +39,6 @@
 	return f.firstReader(func(string) bool { return true })[:1]
 }
 
-func (f *fleet) status(name string) steerer.KnowledgeStatus {
-	return f.hosts[name].steerer.KnowledgeStatus()
+func (f *fleet) status(name string) steerer.SyncStatus {
+	return f.hosts[name].steerer.SyncStatus()
 }
--- a/core/steerer/news_test.go
+++ b/core/steerer/news_test.go
@@ -8,25 +8,25 @@
 
 // Failure: while targets are replaced each tick of each host brings news, and hosts have no
 // processor time left but for reports.
-func TestStreamOfNewsIsToldAtTheUsualPace(t *testing.T) {
+func TestSteadyChangesDoNotRaiseReportRate(t *testing.T) {
 	h, f := newLargeHost(largeFleets[0]), &fleet{}
-	h.second(f, 0, 3)
+	h.runSecond(f, 0, 3)
 	h.sent = nil
 	for range 5 {
-		h.second(f, 0, 3)
+		h.runSecond(f, 0, 3)
 	}
 	require.LessOrEqual(t, len(h.sent), 5*16+3*4, "four rounds a second, and those that news may begin early")
 }
 
 // Failure: the crash of a target is told only with the next round of reports.
-func TestSinglePieceOfNewsIsToldAtOnce(t *testing.T) {
+func TestSingleChangeIsReportedImmediately(t *testing.T) {
 	h := newLargeHost(largeFleets[0])
-	h.quietSecond()
+	h.runIdleSecond()
 	for len(h.sent) == 0 {
 		h.tick()
 	}
 	h.sent = nil // The next round is not due for a while.
-	h.change(1)
+	h.receiveChanges(1)
 	h.tick()
 	require.NotEmpty(t, h.sent)
 }
--- a/core/steerer/orders.go
+++ b/core/steerer/orders.go
@@ -19,56 +19,56 @@
 // Orders come with the settings, in one read of the platform, and with each report of
 // another host, since they are small. So they reach whoever hears anybody.
 
-// takeOrders puts orders in force unless newer ones are.
-func (s *Steerer) takeOrders(orders evacuator.Orders, from string) {
-	s.noteOrders(s.evacuator.Apply(orders, s.now), orders.Position, from)
+// applyOrders puts orders in force unless newer ones are.
+func (s *Steerer) applyOrders(orders evacuator.Orders, from string) {
+	s.recordOrderChanges(s.evacuator.Apply(orders, s.now), orders.Position, from)
 }
 
 // expireOrders ends the orders that nobody has given again after a restore.
 func (s *Steerer) expireOrders() {
-	s.noteOrders(s.evacuator.Expire(s.now), s.evacuator.Orders().Position, "notGivenAgain")
+	s.recordOrderChanges(s.evacuator.Expire(s.now), s.evacuator.Orders().Position, "notGivenAgain")
 }
 
-// noteOrders logs orders that came into force or ended, and tells others.
-func (s *Steerer) noteOrders(changes []evacuator.Change, position sequencer.Position, from string) {
+// recordOrderChanges logs orders that came into force or ended, and tells others.
+func (s *Steerer) recordOrderChanges(changes []evacuator.Change, position sequencer.Position, from string) {
 	for _, change := range changes {
 		event := "zoneReturned"
 		if change.Active {
 			event = "zoneEvacuated"
 		}
 		s.log(event, field("zone", change.Zone), field("revision", position.String()), field("from", from))
-		s.peers.news = true
+		s.peers.reportNow = true
 	}
 }
 
-// publishedWithin is the time within which this host has to know what operators publish:
+// settingsPropagationLimit is the time within which this host has to know what operators publish:
 // orders come with the settings.
-func (s *Steerer) publishedWithin() time.Duration {
-	if s.config.EvacuatedWithin > 0 {
-		return min(s.config.SettingsWithin, s.config.EvacuatedWithin)
+func (s *Steerer) settingsPropagationLimit() time.Duration {
+	if s.config.EvacuationPropagationLimit > 0 {
+		return min(s.config.SettingsPropagationLimit, s.config.EvacuationPropagationLimit)
 	}
-	return s.config.SettingsWithin
+	return s.config.SettingsPropagationLimit
 }
 
-// evacuatedLoad puts a target of an evacuated zone behind all that may answer, and before
+// evacuatedZonePenalty puts a target of an evacuated zone behind all that may answer, and before
 // those that do not. It counts for a host that is out of touch only.
-const evacuatedLoad = 5 * suspectLoad
+const evacuatedZonePenalty = 5 * suspectPenalty
 
-// outOfTouch reports whether this host's orders may be out of date, since nobody has
+// ordersStale reports whether this host's orders may be out of date, since nobody has
 // confirmed them for longer than they may take to arrive. An order still holds then, but
 // not against a flow that nobody else could take.
-func (s *Steerer) outOfTouch() bool {
-	return age(s.now, s.reading.settings.confirmed) > s.publishedWithin()
+func (s *Steerer) ordersStale() bool {
+	return age(s.now, s.reading.settings.confirmed) > s.settingsPropagationLimit()
 }
 
-// evacuatesAll reports whether the orders leave no zone that has targets. Then those that
+// allZonesEvacuated reports whether the orders leave no zone that has targets. Then those that
 // came back with a restore of the platform, beside one that it has undone, are a last resort
 // only; see evacuator.Doubtful.
 //
 // What goes wrong otherwise: operators move an order from one zone to another, and the copy is
 // from before that. The one counts as the copy has it, the other until it would have been
 // given again, and every caller is refused. One notices by "zoneEvacuated" for all zones.
-func (s *Steerer) evacuatesAll() bool {
+func (s *Steerer) allZonesEvacuated() bool {
 	for _, zone := range s.targets.zones {
 		if !s.evacuator.Evacuates(zone) {
 			return false
@@ -77,7 +77,7 @@
 	return true
 }
 
-// cutOff reports whether this host's zone seems to be cut off from all others. It then
+// partitioned reports whether this host's zone seems to be cut off from all others. It then
 // serves what it reaches, also in an evacuated zone.
 //
 // What goes wrong otherwise: a zone is evacuated, and then cut off. Its callers still
@@ -88,8 +88,8 @@
 // A zone at a time is lost. So where all of two or more other zones fall silent at once,
 // their hosts like their targets, it is this one that is cut off. With one other zone
 // nobody can tell, and the order holds.
-func (s *Steerer) cutOff() bool {
-	others := 0
+func (s *Steerer) partitioned() bool {
+	otherZones := 0
 	for _, zone := range s.targets.zones {
 		if zone == s.config.AvailabilityZone {
 			continue
@@ -97,15 +97,15 @@
 		if !s.diagnoser.ZoneSuspect(zone, s.now) {
 			return false
 		}
-		others++
+		otherZones++
 	}
-	return others >= 2 && !s.hearsOtherZones()
+	return otherZones >= 2 && !s.otherZonesReporting()
 }
 
-// hearsOtherZones reports whether any host of another zone has reported of late.
-func (s *Steerer) hearsOtherZones() bool {
+// otherZonesReporting reports whether any host of another zone has reported of late.
+func (s *Steerer) otherZonesReporting() bool {
 	for _, p := range s.peers.recent {
-		if p.zone != s.config.AvailabilityZone && p.hears(s.now) {
+		if p.zone != s.config.AvailabilityZone && p.reportedRecently(s.now) {
 			return true
 		}
 	}
--- a/core/steerer/orders_test.go
+++ b/core/steerer/orders_test.go
@@ -9,11 +9,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// zoneOf returns the zone of the target that the last packet through a host reached.
-func (f *fleet) zoneOf(id string) string { return f.targets[id].AvailabilityZone }
+// targetZone returns the zone of the target that the last packet through a host reached.
+func (f *fleet) targetZone(id string) string { return f.targets[id].AvailabilityZone }
 
-// openEverywhere opens a flow through each host and returns the zones that got one.
-func (f *fleet) openEverywhere(first int) map[string]int {
+// openOnAllHosts opens a flow through each host and returns the zones that got one.
+func (f *fleet) openOnAllHosts(first int) map[string]int {
 	zones := map[string]int{}
 	for i, name := range f.names {
 		if !f.hosts[name].running || !f.hosts[name].steerer.Ready() {
@@ -22,7 +22,7 @@
 		c := f.caller(first+i, checkRoute)
 		c.open(name, 0)
 		if c.target != "" {
-			zones[f.zoneOf(c.target)]++
+			zones[f.targetZone(c.target)]++
 		}
 	}
 	return zones
@@ -33,13 +33,13 @@
 // flows; the order is taken back. Cause: nobody reads orders.
 func TestEvacuatedZoneGetsNoNewFlows(t *testing.T) {
 	f := newFleet(t, 2, 2, 2)
-	require.Contains(t, f.openEverywhere(0), "a")
+	require.Contains(t, f.openOnAllHosts(0), "a")
 	f.evacuate("a")
 	f.step(2 * time.Second)
-	require.NotContains(t, f.openEverywhere(100), "a")
-	f.takeBack("a")
+	require.NotContains(t, f.openOnAllHosts(100), "a")
+	f.withdrawEvacuation("a")
 	f.step(2 * time.Second)
-	require.Contains(t, f.openEverywhere(200), "a")
+	require.Contains(t, f.openOnAllHosts(200), "a")
 }
 
 // Symptom: dashboards and uploads are cut by an order that was to save them. Sequence: a
@@ -49,12 +49,12 @@
 	f := newFleet(t, 1, 1)
 	c := f.caller(1, readRoute)
 	c.open("a1", 0)
-	require.Equal(t, "a", f.zoneOf(c.target))
+	require.Equal(t, "a", f.targetZone(c.target))
 	c.establish("a1")
 	f.evacuate("a")
 	f.step(2 * time.Second)
-	c.ask("a1")
-	require.Equal(t, c.target, f.last("a1"))
+	c.sendRequest("a1")
+	require.Equal(t, c.target, f.lastTarget("a1"))
 	require.Empty(t, f.hosts["a1"].resets)
 }
 
@@ -62,7 +62,7 @@
 // opening packet. Sequence: a flow opens, the order comes, the caller repeats its opening
 // packet; the target has shown life to others. Cause: copies follow the first packet
 // whatever has become of its target.
-func TestCopiesObeyOrders(t *testing.T) {
+func TestRetransmittedSYNAvoidsEvacuatedZone(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	var others []*caller
 	for n := range 6 {
@@ -72,17 +72,17 @@
 	}
 	c := f.caller(1, checkRoute)
 	c.open("a1", 0)
-	require.Equal(t, "a", f.zoneOf(c.target))
+	require.Equal(t, "a", f.targetZone(c.target))
 	f.step(50 * time.Millisecond)
 	for _, other := range others {
-		other.ask("a1")
-		other.thank("a1")
+		other.sendRequest("a1")
+		other.ackResponse("a1")
 	}
 	f.evacuate("a")
 	f.reduce("a1", &steerer.SettingsRead{Started: f.now, Published: steerer.Published{Settings: f.settings, Orders: f.orders}})
 	f.step(150 * time.Millisecond)
 	c.open("a1", 1)
-	require.Equal(t, "b", f.zoneOf(c.target))
+	require.Equal(t, "b", f.targetZone(c.target))
 }
 
 // Symptom: a zone under evacuation goes on getting liveness checks. Sequence: a target does
@@ -93,10 +93,10 @@
 	c := f.caller(1, readRoute)
 	c.open("a1", 0)
 	c.establish("a1")
-	f.outcomes[c.target] = steerer.ProbeSilent
-	c.ask("a1")
+	f.probeOutcomes[c.target] = steerer.ProbeConnectTimeout
+	c.sendRequest("a1")
 	f.step(time.Second)
-	c.repeat("a1")
+	c.retransmit("a1")
 	f.step(3 * time.Second)
 	require.NotZero(t, f.probes)
 	f.evacuate("a")
@@ -104,7 +104,7 @@
 	f.probes = 0
 	f.step(10 * time.Second)
 	require.Zero(t, f.probes)
-	f.takeBack("a")
+	f.withdrawEvacuation("a")
 	f.step(5 * time.Second)
 	require.NotZero(t, f.probes, "the target may be back, so it is checked again")
 }
@@ -112,25 +112,25 @@
 // Symptom: feeds fail at their deadline though other zones work. Sequence: a zone is
 // evacuated, then its targets crash. Cause: open flows stay there, and nobody checks
 // whether their targets live.
-func TestEvacuatedZoneThatCrashesIsFoundOut(t *testing.T) {
+func TestCrashOfEvacuatedZoneResetsOpenFlows(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	c := f.caller(1, readRoute)
 	c.open("a1", 0)
 	c.establish("a1")
-	require.Equal(t, "a", f.zoneOf(c.target))
+	require.Equal(t, "a", f.targetZone(c.target))
 	f.evacuate("a")
 	f.step(2 * time.Second)
-	f.outcomes[c.target] = steerer.ProbeSilent
-	c.ask("a1")
+	f.probeOutcomes[c.target] = steerer.ProbeConnectTimeout
+	c.sendRequest("a1")
 	f.step(200 * time.Millisecond)
-	c.repeat("a1")
+	c.retransmit("a1")
 	f.step(300 * time.Millisecond)
 	require.Len(t, f.hosts["a1"].resets, 1)
 }
 
 // Symptom: callers wait for an answer that never comes. Sequence: all zones are
 // evacuated. Cause: a flow without a target is dropped; it has to be refused at once.
-func TestAllZonesEvacuatedRefusesAtOnce(t *testing.T) {
+func TestFlowsAreRefusedIfAllZonesAreEvacuated(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	f.evacuate("a")
 	f.evacuate("b")
@@ -148,15 +148,15 @@
 // it is evacuated, then cut off from all other zones and from the platform. Cause: an
 // order that may have been taken back long ago is obeyed for ever. While the order is
 // known to hold it is obeyed.
-func TestHostOutOfTouchServesWhatItCan(t *testing.T) {
+func TestPartitionedHostServesItsEvacuatedZone(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	f.evacuate("a")
 	f.step(2 * time.Second)
-	f.split("a")
-	f.turnedAway["a1"] = true
+	f.splitZone("a")
+	f.deniedHosts["a1"] = true
 	for id, target := range f.targets {
 		if target.AvailabilityZone == "b" {
-			f.outcomes[id] = steerer.ProbeSilent
+			f.probeOutcomes[id] = steerer.ProbeConnectTimeout
 		}
 	}
 	n := 0
@@ -167,7 +167,7 @@
 		f.step(200 * time.Millisecond)
 		c.open("a1", 1)
 		f.step(300 * time.Millisecond)
-		return f.zoneOf(c.target)
+		return f.targetZone(c.target)
 	}
 	for range 3 {
 		require.NotEqual(t, "a", open(), "the order is known to be new")
@@ -181,13 +181,13 @@
 // Symptom: an evacuated zone gets flows again while the platform is away, though other zones
 // have room. Sequence: an order is known, the platform falls silent for longer than news may
 // take. Cause: an order that nobody confirms counts as taken back.
-func TestOutageOfThePlatformDoesNotEndOrders(t *testing.T) {
+func TestOrdersOutlastPlatformOutage(t *testing.T) {
 	f := newFleet(t, 2, 2)
 	f.evacuate("a")
 	f.step(2 * time.Second)
 	f.down = true
 	f.step(10 * time.Second)
-	zones := f.openEverywhere(0)
+	zones := f.openOnAllHosts(0)
 	require.NotContains(t, zones, "a")
 	require.NotEmpty(t, zones)
 }
@@ -195,7 +195,7 @@
 // Symptom: hosts that start while the store is away send to an evacuated zone. Sequence:
 // an order is written, the store goes silent, a host starts. Cause: orders are learned
 // from the store alone.
-func TestHostThatStartsInAnOutageLearnsOrders(t *testing.T) {
+func TestHostStartedDuringPlatformOutageLearnsOrders(t *testing.T) {
 	f := newFleet(t, 2, 2)
 	f.evacuate("a")
 	f.step(2 * time.Second)
@@ -207,13 +207,13 @@
 	require.True(t, f.hosts["a1"].steerer.Ready())
 	c := f.caller(1, checkRoute)
 	c.open("a1", 0)
-	require.Equal(t, "b", f.zoneOf(c.target))
+	require.Equal(t, "b", f.targetZone(c.target))
 }
 
 // Symptom: an order is forgotten with a loss of all hosts. Sequence: it is written, all
 // hosts lose power in the same moment and start again. Cause: orders are told as changes
 // only, and the first read does not bring them.
-func TestOrdersOutlastALossOfAllHosts(t *testing.T) {
+func TestOrdersOutlastLossOfAllHosts(t *testing.T) {
 	f := newFleet(t, 2, 2)
 	f.evacuate("a")
 	for _, name := range f.names {
@@ -224,22 +224,22 @@
 		f.start(name)
 	}
 	f.step(500 * time.Millisecond)
-	zones := f.openEverywhere(0)
+	zones := f.openOnAllHosts(0)
 	require.NotContains(t, zones, "a")
 	require.NotEmpty(t, zones)
 }
 
 // A host that the platform turns away learns orders from the others in time.
-func TestHostThatIsTurnedAwayLearnsOrders(t *testing.T) {
+func TestDeniedHostLearnsOrdersFromPeers(t *testing.T) {
 	f := newFleet(t, 2, 2, 2)
-	f.turnedAway["b1"] = true
+	f.deniedHosts["b1"] = true
 	f.evacuate("b")
 	f.step(2 * time.Second)
-	require.Equal(t, []string{"b"}, f.hosts["b1"].steerer.KnowledgeStatus().Evacuated)
+	require.Equal(t, []string{"b"}, f.hosts["b1"].steerer.SyncStatus().Evacuated)
 }
 
 // Orders may have to be known sooner than settings.
-func TestOrdersAreReadAsOftenAsTheyNeed(t *testing.T) {
+func TestOrdersAreReadWithinPropagationLimit(t *testing.T) {
 	f := newFleet(t, 1)
 	f.evacuatedWithin = time.Second
 	f.kill("a1")
@@ -247,7 +247,7 @@
 	f.step(2 * time.Second)
 	f.evacuate("a")
 	f.step(600 * time.Millisecond)
-	require.NotEmpty(t, f.hosts["a1"].steerer.KnowledgeStatus().Evacuated)
+	require.NotEmpty(t, f.hosts["a1"].steerer.SyncStatus().Evacuated)
 }
 
 // Whatever happens to hosts, links and the platform, a host that has been in touch for
@@ -259,44 +259,44 @@
 	for seed := range uint64(12) {
 		random := rand.New(rand.NewPCG(seed, 0))
 		f := newFleet(t, 3, 3, 3)
-		given := map[string]time.Duration{}
-		calm := map[string]time.Duration{} // Since when a host has run and reached all.
+		evacuatedAt := map[string]time.Duration{}
+		calmSince := map[string]time.Duration{} // Since when a host has run and reached all.
 		clock := time.Duration(0)
 		for step := range 120 {
 			zone, name := zones[random.IntN(3)], f.names[random.IntN(len(f.names))]
 			switch random.IntN(12) {
 			case 0:
-				if _, ok := given[zone]; !ok {
+				if _, ok := evacuatedAt[zone]; !ok {
 					f.evacuate(zone)
-					given[zone] = clock
+					evacuatedAt[zone] = clock
 				}
 			case 1:
-				if _, ok := given[zone]; ok {
-					f.takeBack(zone)
-					delete(given, zone)
+				if _, ok := evacuatedAt[zone]; ok {
+					f.withdrawEvacuation(zone)
+					delete(evacuatedAt, zone)
 				}
 			case 2:
 				f.kill(name)
 				f.start(name)
-				calm[name] = clock
+				calmSince[name] = clock
 			case 3:
-				f.turnedAway[name] = !f.turnedAway[name]
+				f.deniedHosts[name] = !f.deniedHosts[name]
 			case 4:
-				f.split(zone)
+				f.splitZone(zone)
 				for _, one := range f.names {
-					calm[one] = clock + time.Second
+					calmSince[one] = clock + time.Second
 				}
 				f.step(time.Second)
 				clock += time.Second
-				clear(f.cut)
+				clear(f.cutLinks)
 			}
 			f.step(250 * time.Millisecond)
 			clock += 250 * time.Millisecond
 			for i, one := range f.names {
 				c := f.caller(1000+step*len(f.names)+i, checkRoute)
 				c.open(one, 0)
-				since, evacuated := given[f.zoneOf(c.target)]
-				if evacuated && clock-since > within && clock-calm[one] > within && !f.turnedAway[one] {
+				since, evacuated := evacuatedAt[f.targetZone(c.target)]
+				if evacuated && clock-since > within && clock-calmSince[one] > within && !f.deniedHosts[one] {
 					require.Failf(t, "a new flow in an evacuated zone", "seed %d, step %d, host %s, target %s, evacuated for %v", seed, step, one, c.target, clock-since)
 				}
 			}
--- a/core/steerer/pacing.go
+++ b/core/steerer/pacing.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// maxPaced bounds the requests that wait at a host, to some 5 MB of the largest.
-	maxPaced = 4096
-	// maxPacedPackets bounds the packets of one of them: what a caller sends at most
+	// maxQueuedRequests bounds the requests that wait at a host, to some 5 MB of the largest.
+	maxQueuedRequests = 4096
+	// maxQueuedPackets bounds the packets of one of them: what a caller sends at most
 	// without acknowledgement.
-	maxPacedPackets = windowBytes / 1200
-	// spareShare is the part of a target's slots below which it has some to spare for
+	maxQueuedPackets = windowBytes / 1200
+	// spareLoad is the part of a target's slots below which it has some to spare for
 	// requests that will be late.
-	spareShare = 2.0 / 3
+	spareLoad = 2.0 / 3
 )
 
-// pacedRequest is a request of an open flow that waits at this host.
-type pacedRequest struct {
+// queuedRequest is a request of an open flow that waits at this host.
+type queuedRequest struct {
 	key     flowKey
 	flow    *flow
 	service *service
@@ -29,164 +29,164 @@
 	arrived timekeeper.Instant
 }
 
-// mayPace reports whether a request that begins in an open flow may wait here.
+// mayQueue reports whether a request that begins in an open flow may wait here.
 //
 // Only requests that may run again do: their callers ask again if this host dies with
 // them. Checks and uploads open a flow each, and are passed on at once, so that they
 // meet short queues at the targets.
-func (s *Steerer) mayPace(f *flow, v *service) bool {
-	if !f.route.Kind.repeatable() || f.route.Timeout <= 0 {
+func (s *Steerer) mayQueue(f *flow, v *service) bool {
+	if !f.route.Kind.retryable() || f.route.Timeout <= 0 {
 		return false
 	}
-	if s.leaving.begun || f.target.health.unreachable() || s.paced >= maxPaced {
+	if s.leaving.started || f.target.health.unreachable() || s.paced >= maxQueuedRequests {
 		return false
 	}
-	return v.load.Congested() && (f.target.line.Len() > 0 || !v.load.HasCapacity(v.underWay))
+	return v.load.Congested() && (f.target.queue.Len() > 0 || !v.load.HasCapacity(v.inFlight))
 }
 
-// pace lets a request wait if its service has no room for it, and reports whether it
+// enqueue lets a request wait if its service has no room for it, and reports whether it
 // does.
-func (s *Steerer) pace(key flowKey, f *flow, p *Packet) bool {
+func (s *Steerer) enqueue(key flowKey, f *flow, p *Packet) bool {
 	v := s.service(f.target.Service)
-	if !s.mayPace(f, v) {
+	if !s.mayQueue(f, v) {
 		return false
 	}
-	f.paced = &pacedRequest{key: key, flow: f, service: v, packets: [][]byte{slices.Clone(p.Data)}, arrived: s.now}
-	if f.target.line.Len() == 0 {
-		v.lines = append(v.lines, f.target)
+	f.paced = &queuedRequest{key: key, flow: f, service: v, packets: [][]byte{slices.Clone(p.Data)}, arrived: s.now}
+	if f.target.queue.Len() == 0 {
+		v.queuingTargets = append(v.queuingTargets, f.target)
 	}
-	f.target.line.Add(f.paced, s.now, s.limits(f.route))
+	f.target.queue.Add(f.paced, s.now, s.queueLimits(f.route))
 	v.paced++
 	s.paced++
-	s.counts.add(RequestPaced)
+	s.counts.add(RequestQueued)
 	return true
 }
 
-// limits says what the callers of a route hope for.
-func (s *Steerer) limits(route Route) pacer.RouteParams {
+// queueLimits says what the callers of a route hope for.
+func (s *Steerer) queueLimits(route Route) pacer.RouteParams {
 	limits := pacer.RouteParams{Objective: route.LatencyObjective, Timeout: route.Timeout, Priority: route.Priority}
-	if u, ok := s.usual[route.Name]; ok {
+	if u, ok := s.baselines[route.Name]; ok {
 		limits.BaselineLatency = u.median
 	}
 	return limits
 }
 
-// pacedPacket takes in a later packet of a flow whose request waits, and reports
+// queuePacket takes in a later packet of a flow whose request waits, and reports
 // whether the packet has to wait, too. Repeats are of no use: what they repeat is here.
-func (s *Steerer) pacedPacket(f *flow, p *Packet) bool {
+func (s *Steerer) queuePacket(f *flow, p *Packet) bool {
 	switch {
 	case p.Flags.Has(FlagReset):
 		return false // Nobody waits for the answer any more: the flow is closed.
-	case p.Flags.Has(FlagEnd) || len(f.paced.packets) == maxPacedPackets:
-		s.passPaced(f.paced, "more")
+	case p.Flags.Has(FlagEnd) || len(f.paced.packets) == maxQueuedPackets:
+		s.forwardQueued(f.paced, "more")
 		return false
 	}
-	if end := p.Sequence + p.Length; after(end, f.sentEnd) {
+	if end := p.Sequence + p.Length; sequenceAfter(end, f.sentEnd) {
 		f.sentEnd = end
 		f.paced.packets = append(f.paced.packets, slices.Clone(p.Data))
 	}
 	return true
 }
 
-// passPaced passes on a request that waits.
-func (s *Steerer) passPaced(r *pacedRequest, reason string) {
+// forwardQueued passes on a request that waits.
+func (s *Steerer) forwardQueued(r *queuedRequest, reason string) {
 	f := r.flow
-	s.unline(f)
-	if s.removed[r.key.service] {
+	s.dequeue(f)
+	if s.removedRoutes[r.key.service] {
 		p := Packet{Caller: r.key.caller, Service: r.key.service, Acknowledged: f.acknowledged}
 		s.resetFlow(&p, f, f.target, "routeRemoved")
 		return
 	}
 	f.pacedFor = s.now.Since(r.arrived)
 	s.log("requestPaced", field("flow", r.key.caller.String()), field("route", f.route.Name), field("target", f.target.ID),
-		field("heldMillis", millis(f.pacedFor)), field("reason", reason), field("underWay", itoa(r.service.underWay)),
+		field("heldMillis", formatMillis(f.pacedFor)), field("reason", reason), field("underWay", formatInt(r.service.inFlight)),
 		field("window", fmt.Sprintf("%.1f", r.service.load.Window())), field("pressure", fmt.Sprintf("%.2f", r.service.load.Pressure())))
 	s.beginRequest(r.key, f, r.packets[0])
 	for _, data := range r.packets {
-		s.sendTarget(f.target, 0, data)
+		s.forward(f.target, 0, data)
 	}
 }
 
-// dropPaced forgets the request of a flow that waits here.
-func (s *Steerer) dropPaced(f *flow) {
+// discardQueued forgets the request of a flow that waits here.
+func (s *Steerer) discardQueued(f *flow) {
 	if f.paced != nil {
-		s.unline(f)
+		s.dequeue(f)
 	}
 }
 
-// unline takes a flow's request out of the line of its target.
-func (s *Steerer) unline(f *flow) {
+// dequeue takes a flow's request out of the line of its target.
+func (s *Steerer) dequeue(f *flow) {
 	r, t := f.paced, f.target
-	t.line.Remove(r)
+	t.queue.Remove(r)
 	f.paced = nil
 	r.service.paced--
 	s.paced--
-	if t.line.Len() == 0 {
-		r.service.lines = slices.DeleteFunc(r.service.lines, func(other *target) bool { return other == t })
+	if t.queue.Len() == 0 {
+		r.service.queuingTargets = slices.DeleteFunc(r.service.queuingTargets, func(other *target) bool { return other == t })
 	}
 }
 
-// passAllPaced passes on all that waits for a target.
-func (s *Steerer) passAllPaced(t *target, reason string) {
-	for r, waits := t.line.Oldest(); waits; r, waits = t.line.Oldest() {
-		s.passPaced(r, reason)
+// forwardAllQueued passes on all that waits for a target.
+func (s *Steerer) forwardAllQueued(t *target, reason string) {
+	for r, waits := t.queue.Oldest(); waits; r, waits = t.queue.Oldest() {
+		s.forwardQueued(r, reason)
 	}
 }
 
-// passOn passes on the requests of a service for which there is room, those for the
+// forwardWithinWindow passes on the requests of a service for which there is room, those for the
 // least busy targets first.
-func (s *Steerer) passOn(v *service) {
-	for v.paced > 0 && v.load.HasCapacity(v.underWay) {
-		r := s.nextPaced(v)
+func (s *Steerer) forwardWithinWindow(v *service) {
+	for v.paced > 0 && v.load.HasCapacity(v.inFlight) {
+		r := s.nextToForward(v)
 		if r == nil {
 			return
 		}
-		s.passPaced(r, "room")
+		s.forwardQueued(r, "room")
 	}
 }
 
-// nextPaced picks the request that goes next: for the least busy of the targets for
+// nextToForward picks the request that goes next: for the least busy of the targets for
 // which one may go now; nil if there is none.
-func (s *Steerer) nextPaced(v *service) *pacedRequest {
-	var best *pacedRequest
+func (s *Steerer) nextToForward(v *service) *queuedRequest {
+	var best *queuedRequest
 	var least float64
-	for _, t := range v.lines {
-		load := t.underWayPerSlot()
+	for _, t := range v.queuingTargets {
+		load := t.inFlightPerSlot()
 		if best != nil && load >= least {
 			continue
 		}
-		if r, ok := t.line.Next(s.now, load < spareShare); ok {
+		if r, ok := t.queue.Next(s.now, load < spareLoad); ok {
 			best, least = r, load
 		}
 	}
 	return best
 }
 
-// underWayPerSlot is how many requests each of a target's slots has.
-func (t *target) underWayPerSlot() float64 {
-	return float64(t.underWay()) / float64(max(t.Slots, 1))
+// inFlightPerSlot is how many requests each of a target's slots has.
+func (t *target) inFlightPerSlot() float64 {
+	return float64(t.inFlight()) / float64(max(t.Slots, 1))
 }
 
-// pacingTick passes on what has waited long enough, and what there is room for.
-func (s *Steerer) pacingTick() {
-	s.checkUnderWay()
+// queueTick passes on what has waited long enough, and what there is room for.
+func (s *Steerer) queueTick() {
+	s.expireInFlight()
 	if s.paced == 0 {
 		return
 	}
-	for _, name := range s.serviceNames() {
+	for _, name := range s.servicesWithQueue() {
 		v := s.services[name]
-		for _, t := range slices.Clone(v.lines) {
-			for r, due := t.line.Overdue(s.now); due; r, due = t.line.Overdue(s.now) {
-				s.passPaced(r, "overdue")
+		for _, t := range slices.Clone(v.queuingTargets) {
+			for r, due := t.queue.Overdue(s.now); due; r, due = t.queue.Overdue(s.now) {
+				s.forwardQueued(r, "overdue")
 			}
 		}
-		s.passOn(v)
+		s.forwardWithinWindow(v)
 	}
 }
 
-// serviceNames lists the services with requests that wait, so that equal events give
+// servicesWithQueue lists the services with requests that wait, so that equal events give
 // equal effects.
-func (s *Steerer) serviceNames() []string {
+func (s *Steerer) servicesWithQueue() []string {
 	var names []string
 	for name, v := range s.services {
 		if v.paced > 0 {
--- a/core/steerer/pacing_test.go
+++ b/core/steerer/pacing_test.go
@@ -19,28 +19,28 @@
 	return all
 }
 
-// pressedHost is a host whose ledger is pressed: answers take 100 ms as usual, then 400.
-func pressedHost(t *testing.T) *fleet {
+// congestedHost is a host whose ledger is pressed: answers take 100 ms as usual, then 400.
+func congestedHost(t *testing.T) *fleet {
 	f := newFleet(t, 1)
-	f.settings = settingsOf(2, objectiveRoutes())
+	f.settings = newSettings(2, objectiveRoutes())
 	f.step(2 * time.Second)
 	for n := range 60 {
-		answerAfter(f, "a1", 20_000+n, 100*time.Millisecond)
+		requestWithLatency(f, "a1", 20_000+n, 100*time.Millisecond)
 	}
-	press(f, 21_000)
-	require.Equal(t, 1, f.hosts["a1"].steerer.Snapshot().Pressed)
+	congest(f, 21_000)
+	require.Equal(t, 1, f.hosts["a1"].steerer.Snapshot().Congested)
 	return f
 }
 
-// press lets answers take so long that the service is pressed, with a window of one.
-func press(f *fleet, from int) {
+// congest lets answers take so long that the service is pressed, with a window of one.
+func congest(f *fleet, from int) {
 	for n := range 40 {
-		answerAfter(f, "a1", from+n, 400*time.Millisecond)
+		requestWithLatency(f, "a1", from+n, 400*time.Millisecond)
 	}
 }
 
-// feed opens a flow to read from before the crowd.
-func feed(f *fleet, n int) *caller {
+// openReadFlow opens a flow to read from before the crowd.
+func openReadFlow(f *fleet, n int) *caller {
 	c := f.caller(n, readRoute)
 	c.open("a1", 0)
 	c.establish("a1")
@@ -54,77 +54,77 @@
 		c := f.caller(from+n, checkRoute)
 		c.open("a1", 0)
 		c.establish("a1")
-		c.ask("a1")
+		c.sendRequest("a1")
 		all = append(all, c)
 	}
 	return all
 }
 
-// waitingFeed is a pressed host where a feed's request waits behind checks.
-func waitingFeed(t *testing.T) (*fleet, *caller, []*caller) {
-	f := pressedHost(t)
-	c := feed(f, 1)
+// hostWithQueuedRead is a pressed host where a feed's request waits behind checks.
+func hostWithQueuedRead(t *testing.T) (*fleet, *caller, []*caller) {
+	f := congestedHost(t)
+	c := openReadFlow(f, 1)
 	checks := fillWindow(f, 100)
-	c.ask("a1")
-	require.Equal(t, 1, paced(f))
+	c.sendRequest("a1")
+	require.Equal(t, 1, queuedRequests(f))
 	return f, c, checks
 }
 
-func paced(f *fleet) int { return f.hosts["a1"].steerer.Snapshot().Paced }
+func queuedRequests(f *fleet) int { return f.hosts["a1"].steerer.Snapshot().Queued }
 
 // requireReset demands that nothing waits any more and that only a caller was reset.
 func requireReset(t *testing.T, f *fleet, c *caller) {
 	t.Helper()
-	require.Zero(t, paced(f))
+	require.Zero(t, queuedRequests(f))
 	require.Len(t, f.hosts["a1"].resets, 1)
 	require.Equal(t, c.address, f.hosts["a1"].resets[0].Caller)
 }
 
 // Symptom: in a crowd checks are as late as feeds. Sequence: a service is pressed; a feed
 // asks in its open flow, then a check comes. Cause: whatever comes first goes first.
-func TestFeedWaitsWhileItsServiceIsPressed(t *testing.T) {
-	f := pressedHost(t)
-	c := feed(f, 1)
+func TestReadIsQueuedWhileServiceIsCongested(t *testing.T) {
+	f := congestedHost(t)
+	c := openReadFlow(f, 1)
 	checks := fillWindow(f, 100)
 	sentBefore := len(f.hosts["a1"].sent)
-	c.ask("a1")
-	require.Equal(t, 1, paced(f))
+	c.sendRequest("a1")
+	require.Equal(t, 1, queuedRequests(f))
 	require.Len(t, f.hosts["a1"].sent, sentBefore, "the feed waits")
 	check := f.caller(200, checkRoute)
 	check.open("a1", 0)
 	require.NotEmpty(t, check.target, "a check is placed at once")
 	f.step(50 * time.Millisecond)
 	for _, one := range checks {
-		one.thank("a1")
-		one.finish("a1")
+		one.ackResponse("a1")
+		one.close("a1")
 	}
-	require.Zero(t, paced(f))
-	require.Contains(t, f.hosts["a1"].sent[sentBefore:], sent{target: c.target, data: "ask", flow: c.address.String()}, "it goes to its own target")
+	require.Zero(t, queuedRequests(f))
+	require.Contains(t, f.hosts["a1"].sent[sentBefore:], sentPacket{target: c.target, data: "ask", flow: c.address.String()}, "it goes to its own target")
 }
 
 // Symptom: a caller is held until it gives up. Sequence: a feed waits, and no room comes.
 // Cause: a wait without a bound.
-func TestPacedRequestIsPassedOnWhileItsCallerHasTime(t *testing.T) {
-	f, _, _ := waitingFeed(t)
+func TestQueuedRequestIsForwardedBeforeItsCallerTimesOut(t *testing.T) {
+	f, _, _ := hostWithQueuedRead(t)
 	f.step(500 * time.Millisecond)
 	fillWindow(f, 300)
-	require.Equal(t, 1, paced(f))
+	require.Equal(t, 1, queuedRequests(f))
 	f.step(700 * time.Millisecond)
-	require.Zero(t, paced(f), "within half of the 2.5 s that its caller waits")
-	require.NotEqual(t, 0, f.hosts["a1"].steerer.Snapshot().Counts[steerer.RequestPaced])
+	require.Zero(t, queuedRequests(f), "within half of the 2.5 s that its caller waits")
+	require.NotEqual(t, 0, f.hosts["a1"].steerer.Snapshot().Counters[steerer.RequestQueued])
 }
 
 // Symptom: a target gets a request twice, or counts as silent. Sequence: a feed waits at
 // the host, and its caller repeats the packet. Cause: a repeat that passes what waits.
-func TestRepeatsOfAPacedRequestAreNotPassedOn(t *testing.T) {
-	f, c, checks := waitingFeed(t)
+func TestRetransmitsOfAQueuedRequestAreNotForwarded(t *testing.T) {
+	f, c, checks := hostWithQueuedRead(t)
 	before := len(f.hosts["a1"].sent)
 	f.step(200 * time.Millisecond)
-	c.repeat("a1")
+	c.retransmit("a1")
 	require.Len(t, f.hosts["a1"].sent, before)
 	require.Zero(t, f.probes)
 	for _, one := range checks {
-		one.thank("a1")
+		one.ackResponse("a1")
 	}
 	asks := 0
 	for _, s := range f.hosts["a1"].sent[before:] {
@@ -137,11 +137,11 @@
 
 // Symptom: targets work for callers that have gone. Sequence: a feed waits, its caller
 // gives up and resets the flow. Cause: a request that outlives its caller.
-func TestPacedRequestOfACallerThatHasGoneIsDropped(t *testing.T) {
-	f, c, _ := waitingFeed(t)
+func TestQueuedRequestIsDiscardedWhenItsCallerResets(t *testing.T) {
+	f, c, _ := hostWithQueuedRead(t)
 	before := len(f.hosts["a1"].sent)
 	f.reduce("a1", &steerer.CallerPacket{Packet: c.packet(steerer.FlagReset|steerer.FlagAck, 0, "reset")})
-	require.Zero(t, paced(f))
+	require.Zero(t, queuedRequests(f))
 	require.Equal(t, "reset", f.hosts["a1"].sent[before].data)
 	f.step(2 * time.Second)
 	for _, s := range f.hosts["a1"].sent[before:] {
@@ -152,14 +152,14 @@
 // Symptom: new callers wait as long as those before them, and make all later. Sequence: a
 // service is pressed and feeds wait; a new flow opens. Cause: flows that are taken though
 // their requests can't be in time. Checks, which are worth more, are not refused.
-func TestNewFeedIsRefusedWhileOthersWait(t *testing.T) {
-	f := pressedHost(t)
-	c := feed(f, 1)
+func TestNewReadFlowIsRefusedWhileRequestsAreQueued(t *testing.T) {
+	f := congestedHost(t)
+	c := openReadFlow(f, 1)
 	fillWindow(f, 100)
 	other := f.caller(2, readRoute)
 	other.open("a1", 0)
 	require.NotEmpty(t, other.target, "nobody waits yet")
-	c.ask("a1")
+	c.sendRequest("a1")
 	late := f.caller(3, readRoute)
 	late.open("a1", 0)
 	require.Empty(t, late.target)
@@ -171,31 +171,31 @@
 
 // Symptom: callers wait for a host that ends. Sequence: SIGTERM comes while feeds wait.
 // Cause: what waits is forgotten with the process.
-func TestLeavingHostPassesOnWhatWaits(t *testing.T) {
-	f, c, _ := waitingFeed(t)
+func TestLeavingHostForwardsQueuedRequests(t *testing.T) {
+	f, c, _ := hostWithQueuedRead(t)
 	f.reduce("a1", &steerer.Shutdown{})
-	require.Zero(t, paced(f))
-	require.Equal(t, c.target, f.last("a1"))
-	c.thank("a1")
-	c.ask("a1")
-	require.Zero(t, paced(f), "nothing waits at a host that leaves")
+	require.Zero(t, queuedRequests(f))
+	require.Equal(t, c.target, f.lastTarget("a1"))
+	c.ackResponse("a1")
+	c.sendRequest("a1")
+	require.Zero(t, queuedRequests(f), "nothing waits at a host that leaves")
 }
 
 // Symptom: a feed waits at its host for a target that is silent. Sequence: the target
 // crashes; a check of it fails. Cause: only requests that were passed on are given up.
-func TestPacedRequestOfASilentTargetIsReset(t *testing.T) {
-	f, c, _ := waitingFeed(t)
-	f.outcomes[c.target] = steerer.ProbeRefused
+func TestQueuedRequestOfAnUnresponsiveTargetIsReset(t *testing.T) {
+	f, c, _ := hostWithQueuedRead(t)
+	f.probeOutcomes[c.target] = steerer.ProbeRefused
 	f.step(200 * time.Millisecond)
-	f.reduce("a1", &steerer.Probed{Target: c.target, Outcome: steerer.ProbeRefused, Took: hop})
+	f.reduce("a1", &steerer.ProbeCompleted{Target: c.target, Outcome: steerer.ProbeRefused, Took: linkDelay})
 	requireReset(t, f, c)
 }
 
 // Symptom: a request reaches a service that its route no longer names. Sequence: a feed
 // waits; a version drops its route. Cause: what waits is passed on unseen.
-func TestPacedRequestOfARemovedRouteIsReset(t *testing.T) {
-	f, c, _ := waitingFeed(t)
-	f.settings = settingsOf(3, objectiveRoutes()[1:])
+func TestQueuedRequestOfARemovedRouteIsReset(t *testing.T) {
+	f, c, _ := hostWithQueuedRead(t)
+	f.settings = newSettings(3, objectiveRoutes()[1:])
 	f.step(1500 * time.Millisecond)
 	requireReset(t, f, c)
 }
@@ -203,40 +203,40 @@
 // Symptom: a service is throttled for seconds after its targets reset flows. Sequence:
 // targets that are full reset flows, which tells only their callers. Cause: requests
 // whose answers nobody sees count as under way until their timeout.
-func TestUnseenResetsDoNotHoldUpOthers(t *testing.T) {
-	f, _, _ := waitingFeed(t)
+func TestUnseenResetsDoNotBlockTheQueue(t *testing.T) {
+	f, _, _ := hostWithQueuedRead(t)
 	f.step(time.Second)
-	require.Zero(t, paced(f), "eight times the usual 100 ms, and before the wait's own bound")
+	require.Zero(t, queuedRequests(f), "eight times the usual 100 ms, and before the wait's own bound")
 }
 
 // Symptom: full targets are avoided as faulty, and work is pushed from one to the next.
 // Sequence: a service is pressed; a target refuses at once. Cause: a refusal that is taken
 // for a failure.
-func TestRefusalsOfAPressedServiceAreNoFailures(t *testing.T) {
-	f := pressedHost(t)
+func TestRefusalsOfACongestedServiceAreNotFailures(t *testing.T) {
+	f := congestedHost(t)
 	for n := range 3 {
-		failAtOnce(f, "a1", failing, 30_000+1000*n)
+		failFast(f, "a1", failingTarget, 30_000+1000*n)
 	}
-	require.Empty(t, statusOf(f, "a1", failing).Avoided)
-	require.Zero(t, f.hosts["a1"].steerer.Snapshot().Counts[steerer.QuickAnswer])
+	require.Empty(t, statusOf(f, "a1", failingTarget).AvoidReason)
+	require.Zero(t, f.hosts["a1"].steerer.Snapshot().Counters[steerer.FastFailure])
 }
 
 // Symptom: after a moment in which a host stood still, feeds wait there although targets
 // are idle. Sequence: requests are under way; the host stands still for 0.7 s; their
 // answers are acknowledged. Cause: the host's own delay is taken for load.
-func TestPausedHostDoesNotTakeItsOwnDelayForLoad(t *testing.T) {
+func TestHostPauseIsNotTakenForCongestion(t *testing.T) {
 	f := newFleet(t, 1)
-	f.settings = settingsOf(2, objectiveRoutes())
+	f.settings = newSettings(2, objectiveRoutes())
 	f.step(2 * time.Second)
 	for n := range 60 {
-		answerAfter(f, "a1", 20_000+n, 100*time.Millisecond)
+		requestWithLatency(f, "a1", 20_000+n, 100*time.Millisecond)
 	}
 	checks := fillWindow(f, 100)
 	checks = append(checks, fillWindow(f, 200)...)
 	f.now = f.now.Add(700 * time.Millisecond)
-	f.step(steerer.TickEvery)
+	f.step(steerer.TickInterval)
 	for _, c := range checks {
-		c.thank("a1")
+		c.ackResponse("a1")
 	}
-	require.Zero(t, f.hosts["a1"].steerer.Snapshot().Pressed)
+	require.Zero(t, f.hosts["a1"].steerer.Snapshot().Congested)
 }
--- a/core/steerer/packet.go
+++ b/core/steerer/packet.go
@@ -40,8 +40,8 @@
 	Data []byte
 }
 
-// opens reports whether the packet opens a flow.
-func (p *Packet) opens() bool { return p.Flags.Has(FlagOpen) && !p.Flags.Has(FlagAck) }
+// isOpening reports whether the packet opens a flow.
+func (p *Packet) isOpening() bool { return p.Flags.Has(FlagOpen) && !p.Flags.Has(FlagAck) }
 
 // flowKey names a flow.
 type flowKey struct {
@@ -49,5 +49,5 @@
 	service netip.AddrPort
 }
 
-// after reports whether sequence number a lies behind b; numbers wrap around.
-func after(a, b uint32) bool { return int32(a-b) > 0 }
+// sequenceAfter reports whether sequence number a lies behind b; numbers wrap around.
+func sequenceAfter(a, b uint32) bool { return int32(a-b) > 0 }
--- a/core/steerer/path.go
+++ b/core/steerer/path.go
@@ -7,36 +7,36 @@
 )
 
 const (
-	// slowOpening is how long a flow may take to open, from its opening packet to the
+	// minSlowHandshake is how long a flow may take to open, from its opening packet to the
 	// caller's next one, on a path that can be trusted. Callers, hosts and targets
 	// are some milliseconds apart; a third of a check's patience leaves the check
 	// room.
-	slowOpening = 50 * time.Millisecond
-	// openingGrowth times the usual is slow where callers are further away, but
-	// slowestOpening always is: a check is given up after 150 ms.
-	openingGrowth  = 3
-	slowestOpening = 120 * time.Millisecond
-	// slowMemory is how long a slow opening counts: some openings come each second.
-	slowMemory = 2 * time.Second
-	// loadSpan is over what time the bytes on the host's link are added up, and
-	// loadShare the part of what the link can carry in it that makes the link busy.
-	loadSpan  = 100 * time.Millisecond
-	loadShare = 0.5
-	// longQueue is how long packets wait at most in a link that does not harm: as long
+	minSlowHandshake = 50 * time.Millisecond
+	// slowHandshakeFactor times the usual is slow where callers are further away, but
+	// maxNormalHandshake always is: a check is given up after 150 ms.
+	slowHandshakeFactor = 3
+	maxNormalHandshake  = 120 * time.Millisecond
+	// slowHandshakeHold is how long a slow opening counts: some openings come each second.
+	slowHandshakeHold = 2 * time.Second
+	// linkLoadWindow is over what time the bytes on the host's link are added up, and
+	// busyLinkShare the part of what the link can carry in it that makes the link busy.
+	linkLoadWindow = 100 * time.Millisecond
+	busyLinkShare  = 0.5
+	// maxHarmlessQueueDelay is how long packets wait at most in a link that does not harm: as long
 	// as a slow opening. A queue holds at most a window of each flow that sends much.
-	longQueue = slowOpening
-	// bulkBytes tells packets of large requests, which come in full packets.
-	bulkBytes = 1000
-	// bulkShare is the part of what the link can carry that reads of the platform and
+	maxHarmlessQueueDelay = minSlowHandshake
+	// bulkPacketBytes tells packets of large requests, which come in full packets.
+	bulkPacketBytes = 1000
+	// bulkTransferShare is the part of what the link can carry that reads of the platform and
 	// answers between hosts take while they hold up packets of flows: such a transfer
 	// takes all that the flows leave.
-	bulkShare = 0.3
-	// loadMemory is how long a full link counts: longer than a caller's first repeat
+	bulkTransferShare = 0.3
+	// fullLinkHold is how long a full link counts: longer than a caller's first repeat
 	// and the check that follows it.
-	loadMemory = 600 * time.Millisecond
-	// packetOverhead is what a packet takes on the link beside itself: the heads of
+	fullLinkHold = 600 * time.Millisecond
+	// packetOverheadBytes is what a packet takes on the link beside itself: the heads of
 	// IP, UDP and the frame.
-	packetOverhead = 46
+	packetOverheadBytes = 46
 )
 
 // path is what a host knows of the way between itself and everybody else.
@@ -49,82 +49,82 @@
 type path struct {
 	// slowDeadline is until when silence means nothing.
 	slowDeadline timekeeper.Instant
-	// spanDeadline is when received and sent start from zero again.
-	spanDeadline timekeeper.Instant
-	received     int
-	sent         int
-	// senders counts the flows that have sent much since then.
-	senders int
-	// opening is how long flows usually take to open.
-	opening usualTime
+	// windowDeadline is when received and sent start from zero again.
+	windowDeadline timekeeper.Instant
+	receivedBytes  int
+	sentBytes      int
+	// bulkFlows counts the flows that have sent much since then.
+	bulkFlows int
+	// handshake is how long flows usually take to open.
+	handshake medianEstimator
 }
 
 // slow reports whether packets may wait on the path.
 func (p *path) slow(now timekeeper.Instant) bool { return !p.slowDeadline.Passed(now) }
 
-// noteOpened learns from a flow's first packet after its opening packet. A copy of
+// recordHandshake learns from a flow's first packet after its opening packet. A copy of
 // that says that the first was lost, or its target silent, and nothing of the path.
-func (s *Steerer) noteOpened(f *flow) {
-	if f.copied {
+func (s *Steerer) recordHandshake(f *flow) {
+	if f.openingResent {
 		return
 	}
-	took := s.now.Since(f.openedAt)
-	limit := min(max(slowOpening, openingGrowth*s.path.opening.median), slowestOpening)
+	took := s.now.Since(f.openingSentAt)
+	limit := min(max(minSlowHandshake, slowHandshakeFactor*s.path.handshake.median), maxNormalHandshake)
 	if took > limit {
-		s.pathSlow("openingTook", took, slowMemory)
+		s.markPathSlow("openingTook", took, slowHandshakeHold)
 	}
-	s.path.opening.add(took, false)
+	s.path.handshake.add(took, false)
 	s.diagnoser.ObserveRoundTrip(f.target.AvailabilityZone, took)
 }
 
-// noteBytes adds up what a packet puts on the host's link, which carries it in and
+// recordLinkBytes adds up what a packet puts on the host's link, which carries it in and
 // out again.
-func (s *Steerer) noteBytes(received, sent int) {
+func (s *Steerer) recordLinkBytes(received, sent int) {
 	if s.config.LinkBytesPerSecond <= 0 {
 		return
 	}
 	p := &s.path
-	if p.spanDeadline.Passed(s.now) {
-		p.spanDeadline = s.now.Add(loadSpan)
-		p.received, p.sent, p.senders = 0, 0, 0
+	if p.windowDeadline.Passed(s.now) {
+		p.windowDeadline = s.now.Add(linkLoadWindow)
+		p.receivedBytes, p.sentBytes, p.bulkFlows = 0, 0, 0
 	}
-	p.received += received
-	p.sent += sent
+	p.receivedBytes += received
+	p.sentBytes += sent
 	rate := float64(s.config.LinkBytesPerSecond)
-	if float64(max(p.received, p.sent)) <= rate*loadSpan.Seconds()*loadShare {
+	if float64(max(p.receivedBytes, p.sentBytes)) <= rate*linkLoadWindow.Seconds()*busyLinkShare {
 		return
 	}
-	queue := time.Duration(float64(p.senders*windowBytes) / rate * float64(time.Second))
-	if queue > longQueue {
-		s.pathSlow("linkFull", queue, loadMemory)
+	queueDelay := time.Duration(float64(p.bulkFlows*windowBytes) / rate * float64(time.Second))
+	if queueDelay > maxHarmlessQueueDelay {
+		s.markPathSlow("linkFull", queueDelay, fullLinkHold)
 	}
 }
 
-// noteTransfers takes in what reads of the platform and answers between hosts have put
+// recordTransfers takes in what reads of the platform and answers between hosts have put
 // on the link since the last tick.
 //
 // What goes wrong without it: a host with a small link reads a large document of
 // settings. The answers of liveness checks wait behind it, targets that work look
 // silent, and their flows are reset.
-func (s *Steerer) noteTransfers(received, sent int) {
+func (s *Steerer) recordTransfers(received, sent int) {
 	rate := float64(s.config.LinkBytesPerSecond)
-	if rate > 0 && float64(max(received, sent)) > rate*TickEvery.Seconds()*bulkShare {
-		s.pathSlow("transfer", TickEvery, loadMemory)
+	if rate > 0 && float64(max(received, sent)) > rate*TickInterval.Seconds()*bulkTransferShare {
+		s.markPathSlow("transfer", TickInterval, fullLinkHold)
 	}
 }
 
-// noteBulk counts the flows that send much at the same time.
-func (s *Steerer) noteBulk(f *flow, p *Packet) {
-	if p.Length >= bulkBytes && f.bulkSpan != s.path.spanDeadline {
-		f.bulkSpan = s.path.spanDeadline
-		s.path.senders++
+// recordBulkFlow counts the flows that send much at the same time.
+func (s *Steerer) recordBulkFlow(f *flow, p *Packet) {
+	if p.Length >= bulkPacketBytes && f.bulkWindow != s.path.windowDeadline {
+		f.bulkWindow = s.path.windowDeadline
+		s.path.bulkFlows++
 	}
 }
 
-// pathSlow distrusts silence for a while.
-func (s *Steerer) pathSlow(cause string, took, memory time.Duration) {
+// markPathSlow distrusts silence for a while.
+func (s *Steerer) markPathSlow(cause string, took, hold time.Duration) {
 	if !s.path.slow(s.now) {
-		s.log("pathSlow", field("cause", cause), field("millis", millis(took)))
+		s.log("pathSlow", field("cause", cause), field("millis", formatMillis(took)))
 	}
-	s.path.slowDeadline = max(s.path.slowDeadline, s.now.Add(memory))
+	s.path.slowDeadline = max(s.path.slowDeadline, s.now.Add(hold))
 }
--- a/core/steerer/path_test.go
+++ b/core/steerer/path_test.go
@@ -10,13 +10,13 @@
 
 const silentTarget = "i-10000001"
 
-// stall lets a flow's request be repeated once while its target's check gets no
+// stallRequest lets a flow's request be repeated once while its target's check gets no
 // answer.
-func stall(f *fleet, read *caller) {
-	f.outcomes[silentTarget] = steerer.ProbeSilent
-	read.ask("a1")
+func stallRequest(f *fleet, read *caller) {
+	f.probeOutcomes[silentTarget] = steerer.ProbeConnectTimeout
+	read.sendRequest("a1")
 	f.step(200 * time.Millisecond)
-	read.repeat("a1")
+	read.retransmit("a1")
 	f.step(300 * time.Millisecond)
 }
 
@@ -24,7 +24,7 @@
 // a minute. Sequence: packets wait in the host's link; a caller repeats its request;
 // the check of the target waits in the same link and is given up.
 // Cause: the host's own delay taken for the target's silence.
-func TestSlowPathBlamesNobody(t *testing.T) {
+func TestSlowPathDoesNotMakeTargetsUnreachable(t *testing.T) {
 	f := newFleet(t, 1)
 	read := openOn(f, "a1", silentTarget, 0, true)
 	f.step(3 * time.Second)
@@ -32,18 +32,18 @@
 	late.open("a1", 0)
 	f.step(100 * time.Millisecond)
 	late.establish("a1")
-	stall(f, read)
+	stallRequest(f, read)
 	require.Empty(t, f.hosts["a1"].resets)
 
 	f.step(4 * time.Second)
-	stall(f, read)
+	stallRequest(f, read)
 	require.NotEmpty(t, f.hosts["a1"].resets, "the path is good again")
 }
 
 // Symptom: where callers are far away, callers of silent targets are never told.
 // Sequence: each flow takes 70 ms to open, since its caller is 30 ms away; a target
 // falls silent. Cause: a path that is called slow for what is usual on it.
-func TestFarCallersDoNotMakeThePathSlow(t *testing.T) {
+func TestDistantCallersDoNotMakeThePathSlow(t *testing.T) {
 	f := newFleet(t, 1)
 	read := openOn(f, "a1", silentTarget, 0, true)
 	f.kill("a1")
@@ -60,13 +60,13 @@
 	c.open("a1", 0)
 	f.step(70 * time.Millisecond)
 	c.establish("a1")
-	stall(f, read)
+	stallRequest(f, read)
 	require.NotEmpty(t, f.hosts["a1"].resets)
 }
 
-// uploadDuringStall starts a host with a link of some bytes a second, and lets an upload
+// uploadDuringStalledRequest starts a host with a link of some bytes a second, and lets an upload
 // send some packets while a read stalls at a target that does not answer its check.
-func uploadDuringStall(t *testing.T, linkBytesPerSecond, packets int) (*fleet, *caller) {
+func uploadDuringStalledRequest(t *testing.T, linkBytesPerSecond, packets int) (*fleet, *caller) {
 	t.Helper()
 	f := newFleet(t, 1)
 	f.hosts["a1"].linkBytesPerSecond = linkBytesPerSecond
@@ -78,26 +78,26 @@
 	upload.open("a1", 0)
 	upload.establish("a1")
 	f.step(3 * time.Second)
-	f.outcomes[silentTarget] = steerer.ProbeSilent
-	read.ask("a1")
+	f.probeOutcomes[silentTarget] = steerer.ProbeConnectTimeout
+	read.sendRequest("a1")
 	f.step(150 * time.Millisecond)
 	for range packets {
-		upload.send("a1", 1200)
+		upload.sendPart("a1", 1200)
 	}
 	f.step(50 * time.Millisecond)
-	read.repeat("a1")
+	read.retransmit("a1")
 	f.step(300 * time.Millisecond)
 	return f, read
 }
 
 // Symptom: as above, but no flow has opened meanwhile that could tell. Sequence: an
 // upload sends a window of packets into a link of 2 Mbit/s. Cause: as above.
-func TestFullLinkBlamesNobody(t *testing.T) {
-	f, read := uploadDuringStall(t, 250_000, 16)
+func TestFullLinkDoesNotMakeTargetsUnreachable(t *testing.T) {
+	f, read := uploadDuringStalledRequest(t, 250_000, 16)
 	require.Empty(t, f.hosts["a1"].resets)
 
 	f.step(2 * time.Second)
-	stall(f, read)
+	stallRequest(f, read)
 	require.NotEmpty(t, f.hosts["a1"].resets, "the link is free again")
 }
 
@@ -107,7 +107,7 @@
 // packets wait: one flow has at most a window of packets under way, which a link of
 // 10 Mbit/s carries in 15 ms.
 func TestOneUploadDoesNotMakeAFastLinkSlow(t *testing.T) {
-	f, _ := uploadDuringStall(t, 1_250_000, 100)
+	f, _ := uploadDuringStalledRequest(t, 1_250_000, 100)
 	require.NotEmpty(t, f.hosts["a1"].resets)
 }
 
@@ -115,7 +115,7 @@
 // trouble is taken for a slow path. Sequence: the opening packet of one flow gets no
 // answer from the silent target; its copy, 200 ms later, opens the flow elsewhere.
 // Cause: the time from the first opening packet counted for the path.
-func TestCopiesOfOpeningPacketsDoNotMakeThePathSlow(t *testing.T) {
+func TestResentOpeningsDoNotMakeThePathSlow(t *testing.T) {
 	f := newFleet(t, 1)
 	read := openOn(f, "a1", silentTarget, 0, true)
 	f.step(3 * time.Second)
@@ -124,6 +124,6 @@
 	f.step(200 * time.Millisecond)
 	fresh.open("a1", 1)
 	fresh.establish("a1")
-	stall(f, read)
+	stallRequest(f, read)
 	require.NotEmpty(t, f.hosts["a1"].resets)
 }
--- a/core/steerer/pause_test.go
+++ b/core/steerer/pause_test.go
@@ -11,7 +11,7 @@
 // Symptom: targets are full just after a host wakes, and run requests whose callers have
 // given up. Sequence: a host stands still for 5 s while packets come; it wakes and reads
 // them all. Cause: nothing tells old packets from new ones.
-func TestHostThatStoodStillPassesNothingOldOn(t *testing.T) {
+func TestPausedHostDropsStalePackets(t *testing.T) {
 	f := newFleet(t, 1)
 	f.now = f.now.Add(5 * time.Second)
 	old := f.caller(1, checkRoute)
@@ -23,8 +23,8 @@
 	upload := f.caller(3, uploadRoute)
 	upload.open("a1", 0)
 	require.NotEmpty(t, upload.target, "its caller waits for 5 s")
-	require.Equal(t, uint64(2), f.hosts["a1"].steerer.Snapshot().Counts[steerer.DropStale])
-	f.step(steerer.TickEvery)
+	require.Equal(t, uint64(2), f.hosts["a1"].steerer.Snapshot().Counters[steerer.DropStale])
+	f.step(steerer.TickInterval)
 	fresh := f.caller(2, checkRoute)
 	fresh.open("a1", 0)
 	require.NotEmpty(t, fresh.target)
@@ -32,7 +32,7 @@
 
 // Symptom: callers that wait for long get no answer. Sequence: a host stands still for
 // 2 s, less than callers wait. Cause: what came in a pause is dropped though it is of use.
-func TestPauseShorterThanCallersWaitLosesNothing(t *testing.T) {
+func TestPauseShorterThanTimeoutDropsNothing(t *testing.T) {
 	f := newFleet(t, 1)
 	f.now = f.now.Add(2 * time.Second)
 	c := f.caller(1, checkRoute)
--- a/core/steerer/places.go
+++ b/core/steerer/places.go
@@ -9,150 +9,150 @@
 )
 
 const (
-	// checkPlaces are left free at each target, for liveness checks and for routes whose flows
+	// probeReserve are left free at each target, for liveness checks and for routes whose flows
 	// end soon.
-	checkPlaces = 1
-	// reservedShare of a target's places is kept from each class of flows for those of
+	probeReserve = 1
+	// priorityReserveShare of a target's places is kept from each class of flows for those of
 	// higher priority: as many as come while a host's news is on its way.
-	reservedShare = 0.05
-	// briefSpan is within what time of its opening packet a brief flow leaves its place: that
+	priorityReserveShare = 0.05
+	// shortLivedLimit is within what time of its opening packet a brief flow leaves its place: that
 	// of a request or two, and far less than flows idle.
-	briefSpan = 2 * time.Second
-	// briefShare is the part of a route's flows that have to be brief for all to count so.
-	briefShare = 0.5
-	// manyBriefShare is the part of the flows asked for beyond which places are reserved for
+	shortLivedLimit = 2 * time.Second
+	// shortLivedShare is the part of a route's flows that have to be brief for all to count so.
+	shortLivedShare = 0.5
+	// shortLivedReserveShare is the part of the flows asked for beyond which places are reserved for
 	// brief ones.
-	manyBriefShare = 0.1
-	// useMemory is the part of a route's counts that is kept from one look to the next, so
+	shortLivedReserveShare = 0.1
+	// routeUsageDecay is the part of a route's counts that is kept from one look to the next, so
 	// that they tell of the last seconds.
-	useMemory = 0.95
-	// reservedDivisor bounds what is kept back: a quarter of the places, or one for checks
+	routeUsageDecay = 0.95
+	// maxReserveDivisor bounds what is kept back: a quarter of the places, or one for checks
 	// where there are fewer than four.
-	reservedDivisor = 4
+	maxReserveDivisor = 4
 )
 
-// routeUse is what a route's callers do with a service through this host.
-type routeUse struct {
+// routeUsage is what a route's callers do with a service through this host.
+type routeUsage struct {
 	priority int
-	// held counts their flows that hold places.
-	held int
-	// asked counts the flows that they have asked for of late; it fades with each look, as
+	// openFlows counts their flows that hold places.
+	openFlows int
+	// requestedFlows counts the flows that they have asked for of late; it fades with each look, as
 	// the next two do.
-	asked float64
-	// opened counts those that opened.
-	opened float64
-	// left counts those that opened and left their places within briefSpan.
-	left float64
+	requestedFlows float64
+	// establishedFlows counts those that opened.
+	establishedFlows float64
+	// shortLivedFlows counts those that opened and left their places within shortLivedLimit.
+	shortLivedFlows float64
 }
 
-// takePlace counts a flow at its target until releasePlace takes it back.
-func (s *Steerer) takePlace(f *flow) {
-	if f.place != nil {
+// countConnection counts a flow at its target until uncountConnection takes it back.
+func (s *Steerer) countConnection(f *flow) {
+	if f.connectionCount != nil {
 		return
 	}
-	f.place = s.connections.limiter.Target(uint32(f.target.tag))
-	f.placed = !f.opened
-	if f.placed {
-		f.place.AddOpened(s.now)
+	f.connectionCount = s.connections.limiter.Target(uint32(f.target.tag))
+	f.placedHere = !f.established
+	if f.placedHere {
+		f.connectionCount.AddOpened(s.now)
 	} else {
-		f.place.AddDiscovered()
+		f.connectionCount.AddDiscovered()
 	}
-	s.use(f.target.Service, &f.route).held++
+	s.usageOf(f.target.Service, &f.route).openFlows++
 }
 
-// releasePlace takes back what takePlace counted, if it has.
-func (s *Steerer) releasePlace(f *flow) {
-	if f.place == nil {
+// uncountConnection takes back what countConnection counted, if it has.
+func (s *Steerer) uncountConnection(f *flow) {
+	if f.connectionCount == nil {
 		return
 	}
 	switch {
-	case !f.opened:
-		f.place.CancelOpened() // No place comes free: most likely it had none.
-	case f.placed:
-		f.place.RemoveOpened(s.now)
+	case !f.established:
+		f.connectionCount.CancelOpened() // No place comes free: most likely it had none.
+	case f.placedHere:
+		f.connectionCount.RemoveOpened(s.now)
 	default:
-		f.place.RemoveDiscovered(s.now)
+		f.connectionCount.RemoveDiscovered(s.now)
 	}
-	f.place = nil
-	use := s.use(f.target.Service, &f.route)
-	use.held = max(use.held-1, 0) // Flows are older than the bound, if it has just been set.
-	if f.opened && s.now.Since(f.openedAt) < briefSpan {
-		use.left++
+	f.connectionCount = nil
+	use := s.usageOf(f.target.Service, &f.route)
+	use.openFlows = max(use.openFlows-1, 0) // Flows are older than the bound, if it has just been set.
+	if f.established && s.now.Since(f.openingSentAt) < shortLivedLimit {
+		use.shortLivedFlows++
 	}
 }
 
-// use is what a route's callers do with a service. Nothing is kept for services without a
+// usageOf is what a route's callers do with a service. Nothing is kept for services without a
 // bound: nobody asks, and routes come and go.
-func (s *Steerer) use(service string, route *Route) *routeUse {
+func (s *Steerer) usageOf(service string, route *Route) *routeUsage {
 	if s.settings.service(service).MaxConnections <= 0 {
-		return &s.connections.unbounded
+		return &s.connections.unlimitedUsage
 	}
-	routes := s.connections.uses[service]
+	routes := s.connections.routeUsage[service]
 	if routes == nil {
-		routes = map[string]*routeUse{}
-		s.connections.uses[service] = routes
+		routes = map[string]*routeUsage{}
+		s.connections.routeUsage[service] = routes
 	}
 	use := routes[route.Name]
 	if use == nil {
-		use = &routeUse{}
+		use = &routeUsage{}
 		routes[route.Name] = use
 	}
 	use.priority = route.Priority
 	return use
 }
 
-// boundFor is what a target of the service holds, as a flow of a route asks for it.
+// limitFor is what a target of the service holds, as a flow of a route asks for it.
 //
 // What goes wrong if all flows are alike: those that last collect at the targets until there
 // is room for nothing else, and callers with short flows, or with more urgent ones, find
 // every place taken by flows that idle. Short flows may use the place that is kept for
 // checks, since both leave it at once.
-func (v *tightService) boundFor(route *Route) limiter.FlowLimit {
-	if v.brief[route.Name] {
-		return limiter.FlowLimit{MaxFlows: v.bound, ShortLived: true}
+func (v *constrainedService) limitFor(route *Route) limiter.FlowLimit {
+	if v.shortLivedRoutes[route.Name] {
+		return limiter.FlowLimit{MaxFlows: v.limit, ShortLived: true}
 	}
 	rank := 0
-	if v.manyBrief {
+	if v.reserveForShortLived {
 		rank++
 	}
-	for at := 0; at < len(v.priorities) && v.priorities[at] < route.Priority; at++ {
+	for at := 0; at < len(v.longLivedPriorities) && v.longLivedPriorities[at] < route.Priority; at++ {
 		rank++
 	}
-	step := int(reservedShare*float64(v.bound) + 0.5)
-	return limiter.FlowLimit{MaxFlows: v.bound, Reserved: min(checkPlaces+rank*step, max(v.bound/reservedDivisor, checkPlaces), v.bound-1)}
+	step := int(priorityReserveShare*float64(v.limit) + 0.5)
+	return limiter.FlowLimit{MaxFlows: v.limit, Reserved: min(probeReserve+rank*step, max(v.limit/maxReserveDivisor, probeReserve), v.limit-1)}
 }
 
 // classifyRoutes tells the routes whose flows last from those whose flows are brief, by what
 // this host's callers do.
-func (s *Steerer) classifyRoutes(v *tightService) {
-	v.brief = map[string]bool{}
+func (s *Steerer) classifyRoutes(v *constrainedService) {
+	v.shortLivedRoutes = map[string]bool{}
 	asked, brief := 0.0, 0.0
-	uses := s.connections.uses[v.name]
+	uses := s.connections.routeUsage[v.name]
 	for _, route := range slices.Sorted(maps.Keys(uses)) {
 		use := uses[route]
-		if use.idle() {
+		if use.unused() {
 			delete(uses, route)
 			continue
 		}
-		asked += use.asked
+		asked += use.requestedFlows
 		switch {
-		case use.brief():
-			v.brief[route] = true
-			brief += use.asked
-		case !slices.Contains(v.priorities, use.priority):
-			v.priorities = append(v.priorities, use.priority)
+		case use.shortLived():
+			v.shortLivedRoutes[route] = true
+			brief += use.requestedFlows
+		case !slices.Contains(v.longLivedPriorities, use.priority):
+			v.longLivedPriorities = append(v.longLivedPriorities, use.priority)
 		}
-		use.asked *= useMemory
-		use.opened *= useMemory
-		use.left *= useMemory
+		use.requestedFlows *= routeUsageDecay
+		use.establishedFlows *= routeUsageDecay
+		use.shortLivedFlows *= routeUsageDecay
 	}
-	slices.Sort(v.priorities)
-	v.manyBrief = brief > manyBriefShare*asked
+	slices.Sort(v.longLivedPriorities)
+	v.reserveForShortLived = brief > shortLivedReserveShare*asked
 }
 
-// brief reports whether most of a route's flows leave their places soon. It stays true while
+// shortLived reports whether most of a route's flows leave their places soon. It stays true while
 // none opens: what they did fades alike.
-func (u *routeUse) brief() bool { return u.left > briefShare*u.opened }
+func (u *routeUsage) shortLived() bool { return u.shortLivedFlows > shortLivedShare*u.establishedFlows }
 
-// idle reports whether a route's callers have not used a service of late.
-func (u *routeUse) idle() bool { return u.held == 0 && u.asked < 1 }
+// unused reports whether a route's callers have not used a service of late.
+func (u *routeUsage) unused() bool { return u.openFlows == 0 && u.requestedFlows < 1 }
--- a/core/steerer/plenty_internal_test.go
+++ b/core/steerer/plenty_internal_test.go
@@ -11,28 +11,28 @@
 
 // Failure: several times a second a host looks at each of its targets for whether they run
 // out of connections, though hardly any is used.
-func TestTargetsWithPlentyOfConnectionsAreNotLookedAt(t *testing.T) {
-	s := serviceOf(12_000)
+func TestTargetsAreNotScannedWhenConnectionsAreNotScarce(t *testing.T) {
+	s := hostWithTargets(12_000)
 	s.settings = NewSettings(2, nil, []Service{{Name: "ledger", MaxConnections: 2000}}, 15*time.Second)
 	s.openFlows(t, 100)
-	before := s.targets.visits
+	before := s.targets.entriesVisited
 	for range 20 {
-		s.now = s.now.Add(connectionsEvery)
-		s.connectionsTick()
+		s.now = s.now.Add(connectionCheckInterval)
+		s.connectionTick()
 	}
-	require.Equal(t, before, s.targets.visits)
-	require.Empty(t, s.connections.tight)
+	require.Equal(t, before, s.targets.entriesVisited)
+	require.Empty(t, s.connections.constrained)
 }
 
 // Failure: a service that runs out of connections goes unnoticed because its targets are not
 // looked at.
-func TestServiceThatFillsIsLookedAt(t *testing.T) {
-	s := serviceOf(100)
+func TestServiceRunningOutOfConnectionsIsScanned(t *testing.T) {
+	s := hostWithTargets(100)
 	s.settings = NewSettings(2, nil, []Service{{Name: "ledger", MaxConnections: 3}}, 15*time.Second)
 	s.openFlows(t, 110)
-	s.now = s.now.Add(connectionsEvery)
-	s.connectionsTick()
-	require.Contains(t, s.connections.tight, "ledger")
+	s.now = s.now.Add(connectionCheckInterval)
+	s.connectionTick()
+	require.Contains(t, s.connections.constrained, "ledger")
 }
 
 // openFlows has flows at the targets of ledger, one at each by turns.
@@ -41,7 +41,7 @@
 	all := s.targets.byService["ledger"]
 	for n := range count {
 		caller := netip.MustParseAddrPort(fmt.Sprintf("100.64.%d.%d:40000", n/250, 1+n%250))
-		f := &flow{target: all[n%len(all)], route: Route{Name: "read"}, opened: true, openedAt: s.now, lastPacket: s.now}
-		require.True(t, s.remember(flowKey{caller: caller}, f))
+		f := &flow{target: all[n%len(all)], route: Route{Name: "read"}, established: true, openingSentAt: s.now, lastPacket: s.now}
+		require.True(t, s.rememberFlow(flowKey{caller: caller}, f))
 	}
 }
--- a/core/steerer/questions_test.go
+++ b/core/steerer/questions_test.go
@@ -11,25 +11,25 @@
 
 // Failure: while targets change without a pause no two hosts agree, and each asks another
 // several times a second.
-func TestTargetsThatChangeWithoutAPauseAreNotAskedForAllTheTime(t *testing.T) {
+func TestSyncRequestRateIsBoundedWhileTargetsChange(t *testing.T) {
 	h := newLargeHost(largeFleets[0])
-	h.asked = nil
-	for range 10 * int(time.Second/steerer.TickEvery) {
-		h.change(1)
+	h.syncRequests = nil
+	for range 10 * int(time.Second/steerer.TickInterval) {
+		h.receiveChanges(1)
 		h.tick()
-		h.answerAsked()
+		h.answerSyncRequest()
 	}
-	require.GreaterOrEqual(t, len(h.asked), 5)
-	require.LessOrEqual(t, len(h.asked), 20, "two a second")
+	require.GreaterOrEqual(t, len(h.syncRequests), 5)
+	require.LessOrEqual(t, len(h.syncRequests), 20, "two a second")
 }
 
-// answerAsked answers a question that the host has asked since the last tick, as a host that
+// answerSyncRequest answers a question that the host has asked since the last tick, as a host that
 // knows all but the newest change.
-func (h *largeHost) answerAsked() {
-	if !h.asking {
+func (h *largeHost) answerSyncRequest() {
+	if !h.syncRequestPending {
 		return
 	}
-	h.asking = false
-	at := h.asked[len(h.asked)-1]
-	h.steerer.Reduce(&steerer.HostAnswered{At: h.now, From: at.Host, Knowledge: &messenger.SyncResponse{SettingsRevision: 1, Scope: messenger.ScopeDelta, TargetsRevision: h.revision - 1}})
+	h.syncRequestPending = false
+	at := h.syncRequests[len(h.syncRequests)-1]
+	h.steerer.Reduce(&steerer.SyncResponseReceived{At: h.now, From: at.Host, Knowledge: &messenger.SyncResponse{SettingsRevision: 1, Scope: messenger.ScopeDelta, TargetsRevision: h.revision - 1}})
 }
--- a/core/steerer/quickness_test.go
+++ b/core/steerer/quickness_test.go
@@ -8,35 +8,35 @@
 	"github.com/stretchr/testify/require"
 )
 
-// answerAfter opens a flow, asks, and acknowledges the answer after a while.
-func answerAfter(f *fleet, name string, n int, d time.Duration) {
+// requestWithLatency opens a flow, asks, and acknowledges the answer after a while.
+func requestWithLatency(f *fleet, name string, n int, d time.Duration) {
 	c := f.caller(n, checkRoute)
 	c.open(name, 0)
 	c.establish(name)
-	c.ask(name)
+	c.sendRequest(name)
 	f.step(d)
-	c.thank(name)
-	c.finish(name)
+	c.ackResponse(name)
+	c.close(name)
 }
 
-// usualWork lets a host learn that answers take 100 ms.
-func usualWork(f *fleet, name string) {
+// learnBaselineLatency lets a host learn that answers take 100 ms.
+func learnBaselineLatency(f *fleet, name string) {
 	for n := range 30 {
-		answerAfter(f, name, 5000+n, 100*time.Millisecond)
+		requestWithLatency(f, name, 5000+n, 100*time.Millisecond)
 	}
 }
 
-// failAtOnce lets a target answer one request at once.
-func failAtOnce(f *fleet, name, target string, from int) {
+// failFast lets a target answer one request at once.
+func failFast(f *fleet, name, target string, from int) {
 	c := openOn(f, name, target, from, false)
-	c.ask(name)
+	c.sendRequest(name)
 	f.step(2 * time.Millisecond)
-	c.thank(name)
-	c.finish(name)
+	c.ackResponse(name)
+	c.close(name)
 }
 
-// share counts the new flows of a host that land on a target, of ten for each.
-func share(f *fleet, name, target string, from int) int {
+// countPlacements counts the new flows of a host that land on a target, of ten for each.
+func countPlacements(f *fleet, name, target string, from int) int {
 	landed := 0
 	for n := range 60 {
 		c := f.caller(from+n, checkRoute)
@@ -45,78 +45,78 @@
 			landed++
 		}
 		c.establish(name)
-		c.finish(name)
+		c.close(name)
 	}
 	return landed
 }
 
-const failing = "i-10000001"
+const failingTarget = "i-10000001"
 
 // Symptom: callers fail again and again at one target, whose liveness check is good.
 // Sequence: a target answers a part of its requests at once, with a failure; it has
 // less to do than its siblings. Cause: the least busy target gets the next flow,
 // whatever became of the last.
-func TestTargetThatFailsAtOnceGetsFewFlows(t *testing.T) {
+func TestTargetThatFailsFastGetsFewFlows(t *testing.T) {
 	f := newFleet(t, 1)
-	usualWork(f, "a1")
-	require.NotZero(t, share(f, "a1", failing, 1000))
-	failAtOnce(f, "a1", failing, 2000)
-	require.NotZero(t, share(f, "a1", failing, 3000), "one quick answer may be chance")
-	failAtOnce(f, "a1", failing, 4000)
-	require.Zero(t, share(f, "a1", failing, 6000))
+	learnBaselineLatency(f, "a1")
+	require.NotZero(t, countPlacements(f, "a1", failingTarget, 1000))
+	failFast(f, "a1", failingTarget, 2000)
+	require.NotZero(t, countPlacements(f, "a1", failingTarget, 3000), "one quick answer may be chance")
+	failFast(f, "a1", failingTarget, 4000)
+	require.Zero(t, countPlacements(f, "a1", failingTarget, 6000))
 	for _, status := range f.hosts["a1"].steerer.TargetStatuses() {
-		if status.Target == failing {
-			require.Equal(t, "answers more quickly than it can work", status.Avoided)
+		if status.Target == failingTarget {
+			require.Equal(t, "answers more quickly than it can work", status.AvoidReason)
 		}
 	}
 	f.step(4 * time.Second)
-	require.NotZero(t, share(f, "a1", failing, 7000), "it is given another chance")
+	require.NotZero(t, countPlacements(f, "a1", failingTarget, 7000), "it is given another chance")
 }
 
 // Symptom: after a crowd targets that work are avoided. Sequence: for two seconds all
 // answers take ten times as long; then they come as before. Cause: what is usual
 // follows a crowd.
-func TestCrowdDoesNotMakeOrdinaryAnswersQuick(t *testing.T) {
+func TestLoadPeakDoesNotMakeNormalResponsesLookFast(t *testing.T) {
 	f := newFleet(t, 1)
 	for n := range 300 {
-		answerAfter(f, "a1", 5000+n, 100*time.Millisecond)
+		requestWithLatency(f, "a1", 5000+n, 100*time.Millisecond)
 	}
 	for n := range 100 {
-		answerAfter(f, "a1", 6000+n, time.Second)
+		requestWithLatency(f, "a1", 6000+n, time.Second)
 	}
 	for n := range 30 {
-		answerAfter(f, "a1", 7000+n, 60*time.Millisecond)
+		requestWithLatency(f, "a1", 7000+n, 60*time.Millisecond)
 	}
-	require.Zero(t, f.hosts["a1"].steerer.Snapshot().Counts[steerer.QuickAnswer])
+	require.Zero(t, f.hosts["a1"].steerer.Snapshot().Counters[steerer.FastFailure])
 }
 
 // Symptom: in a large zone each host has to be failed twice before it avoids a target.
 // Sequence: two hosts see one quick answer each. Cause: hosts that keep it to
 // themselves.
-func TestQuickAnswersAreToldToTheZonesHosts(t *testing.T) {
+func TestFastFailuresAreReportedWithinTheZone(t *testing.T) {
 	f := newFleet(t, 3)
-	usualWork(f, "a1")
-	usualWork(f, "a2")
-	failAtOnce(f, "a1", failing, 2000)
-	failAtOnce(f, "a2", failing, 2500)
+	learnBaselineLatency(f, "a1")
+	learnBaselineLatency(f, "a2")
+	failFast(f, "a1", failingTarget, 2000)
+	failFast(f, "a2", failingTarget, 2500)
 	f.step(time.Second)
 	for _, name := range f.names {
-		require.Zero(t, share(f, name, failing, 3000), name)
+		require.Zero(t, countPlacements(f, name, failingTarget, 3000), name)
 	}
 }
 
 // Symptom: a service is refused although its targets work. Sequence: all its answers
 // come quickly, for the work has changed. Cause: targets that are shut out on
 // suspicion.
-func TestServiceIsNotEmptiedByQuickAnswers(t *testing.T) {
+func TestServiceIsNotEmptiedByFastResponses(t *testing.T) {
 	f := newFleet(t, 1)
-	usualWork(f, "a1")
+	learnBaselineLatency(f, "a1")
 	for n := range 20 {
-		answerAfter(f, "a1", 2000+n, 2*time.Millisecond)
+		requestWithLatency(f, "a1", 2000+n, 2*time.Millisecond)
 	}
 	c := f.caller(4000, checkRoute)
 	c.open("a1", 0)
 	require.NotEmpty(t, c.target)
 	require.Empty(t, f.hosts["a1"].resets)
-	require.NotZero(t, f.hosts["a1"].steerer.Snapshot().Counts[steerer.QuickAnswer])
+	require.NotZero(t, f.hosts["a1"].steerer.Snapshot().Counters[steerer.FastFailure])
 }
--- a/core/steerer/reading_test.go
+++ b/core/steerer/reading_test.go
@@ -16,9 +16,9 @@
 // one. Cause: the latest read wins over the highest version.
 func TestSettingsNeverGoBack(t *testing.T) {
 	f := newFleet(t, 1)
-	f.settings = settingsOf(5, routes()[:2])
+	f.settings = newSettings(5, routes()[:2])
 	f.step(2 * time.Second)
-	f.settings = settingsOf(4, routes())
+	f.settings = newSettings(4, routes())
 	f.step(2 * time.Second)
 	c := f.caller(1, uploadRoute)
 	c.open("a1", 0)
@@ -28,11 +28,11 @@
 // Symptom: settings come into force late while the platform is in trouble.
 // Sequence: a version is published; one host is turned away by the platform.
 // Cause: each host depends on its own reads.
-func TestVersionReachesHostsThatAreTurnedAway(t *testing.T) {
+func TestSettingsReachDeniedHosts(t *testing.T) {
 	f := newFleet(t, 3, 3, 2)
-	f.turnedAway["a1"], f.turnedAway["b2"], f.turnedAway["c1"] = true, true, true
+	f.deniedHosts["a1"], f.deniedHosts["b2"], f.deniedHosts["c1"] = true, true, true
 	f.step(time.Second)
-	f.settings = settingsOf(2, routes()[:2])
+	f.settings = newSettings(2, routes()[:2])
 	f.step(2500 * time.Millisecond)
 	for _, name := range f.names {
 		c := f.caller(1, uploadRoute)
@@ -44,7 +44,7 @@
 // Symptom: after a crash of hosts during an outage of the platform nobody is
 // served until it is back. Sequence: the platform goes down; all hosts but one
 // are killed and start again. Cause: hosts that can learn from the platform only.
-func TestHostsThatStartWhileThePlatformIsDown(t *testing.T) {
+func TestHostsStartedDuringPlatformOutageAreReady(t *testing.T) {
 	f := newFleet(t, 3, 3, 2)
 	f.down = true
 	f.step(time.Second)
@@ -66,7 +66,7 @@
 
 // Symptom: the platform turns everybody away. Sequence: the fleet grows. Cause:
 // each host reads for itself, so that calls grow with the fleet.
-func TestReadsDoNotGrowWithTheFleet(t *testing.T) {
+func TestPlatformReadsDoNotGrowWithFleet(t *testing.T) {
 	reads := map[int]int{}
 	for _, perZone := range []int{3, 30} {
 		f := newFleet(t, perZone, perZone, perZone)
@@ -83,7 +83,7 @@
 // with links of 2 and of 200 Mbit/s form a fleet; one of the small ones reads settings
 // and targets for all, which takes its link for a third of a second each time.
 // Cause: a reader that is chosen by its name alone.
-func TestHostsWithLargeLinksRead(t *testing.T) {
+func TestHostsWithFastestLinksReadPlatform(t *testing.T) {
 	f := newFleet(t, 3, 3, 3)
 	for _, name := range f.names {
 		f.hosts[name].linkBytesPerSecond = 250_000
@@ -105,7 +105,7 @@
 	}
 	f.kill("a2")
 	f.kill("c3")
-	f.settings = settingsOf(2, routes()[:2])
+	f.settings = newSettings(2, routes()[:2])
 	f.step(3 * time.Second)
 	c := f.caller(1, uploadRoute)
 	c.open("b1", 0)
@@ -115,10 +115,10 @@
 // Symptom: a cut-off zone goes on with old settings though it reaches the
 // platform. Sequence: the zone with the reader is cut off; a version comes.
 // Cause: hosts that wait for a reader that they no longer hear.
-func TestEachSideOfACutReads(t *testing.T) {
+func TestEachSideOfPartitionReadsPlatform(t *testing.T) {
 	f := newFleet(t, 2, 2)
-	f.split("a")
-	f.settings = settingsOf(2, routes()[:2])
+	f.splitZone("a")
+	f.settings = newSettings(2, routes()[:2])
 	f.step(3 * time.Second)
 	for _, name := range f.names {
 		c := f.caller(1, uploadRoute)
@@ -130,7 +130,7 @@
 // Symptom: callers are refused although every target works. Sequence: the
 // platform is in trouble and the entries of all targets vanish for two seconds.
 // Cause: a list that is believed more than the flows.
-func TestVanishedEntriesOfLiveTargetsStillGetFlows(t *testing.T) {
+func TestMissingTargetsWithRecentProgressStillGetFlows(t *testing.T) {
 	f := newFleet(t, 1)
 	var callers []*caller
 	for n := range 30 {
@@ -139,20 +139,20 @@
 		c.establish("a1")
 		callers = append(callers, c)
 	}
-	saved := f.targets
+	before := f.targets
 	f.targets = nil
 	f.revision++
 	for range 10 {
 		f.step(200 * time.Millisecond)
 		for _, c := range callers {
-			c.ask("a1")
-			c.thank("a1")
+			c.sendRequest("a1")
+			c.ackResponse("a1")
 		}
 	}
 	fresh := f.caller(500, readRoute)
 	fresh.open("a1", 0)
 	require.NotEmpty(t, fresh.target)
-	f.targets = saved
+	f.targets = before
 	f.revision++
 	f.step(2 * time.Second)
 	fresh = f.caller(501, readRoute)
@@ -161,15 +161,15 @@
 }
 
 // A target that is still missing after its time is gone, however lively.
-func TestTargetThatStaysMissingIsGone(t *testing.T) {
+func TestTargetThatStaysMissingGetsNoFlows(t *testing.T) {
 	f := newFleet(t, 1)
 	const target = "i-10000001"
 	c := openOn(f, "a1", target, 0, true)
 	f.remove(target)
 	for range 30 {
 		f.step(200 * time.Millisecond)
-		c.ask("a1")
-		c.thank("a1")
+		c.sendRequest("a1")
+		c.ackResponse("a1")
 	}
 	for n := range 100 {
 		fresh := f.caller(2000+n, readRoute)
@@ -182,7 +182,7 @@
 // jumps back, it restarts, and its incarnation is lower than before; another host
 // is turned away by the platform and could learn from it.
 // Cause: reports of lower incarnations that are dropped for good.
-func TestHostWhoseClockSteppedBackIsHeard(t *testing.T) {
+func TestReportsAreAcceptedAfterClockStepsBack(t *testing.T) {
 	f := newFleet(t, 2)
 	h := f.hosts["a2"]
 	h.starts = 100
@@ -192,9 +192,9 @@
 	h.starts = 10
 	f.kill("a2")
 	f.start("a2")
-	f.turnedAway["a1"] = true
+	f.deniedHosts["a1"] = true
 	f.step(3 * time.Second)
-	f.settings = settingsOf(2, routes()[:2])
+	f.settings = newSettings(2, routes()[:2])
 	f.step(3 * time.Second)
 	require.Equal(t, uint64(2), f.hosts["a1"].steerer.Snapshot().Version)
 }
@@ -203,7 +203,7 @@
 // platform is down and back; one host reads again, the others learn from it; later
 // a target that lives vanishes from the list for good. Cause: a host that has not
 // read itself since the outage still believes in it, and in entries that lapse.
-func TestOutageIsOverForHostsThatLearnFromOthers(t *testing.T) {
+func TestPlatformOutageEndsForHostsThatSyncFromPeers(t *testing.T) {
 	f := newFleet(t, 3)
 	f.down = true
 	f.step(5 * time.Second)
@@ -215,8 +215,8 @@
 		f.remove(target)
 		for range 25 {
 			f.step(200 * time.Millisecond)
-			c.ask(name)
-			c.thank(name)
+			c.sendRequest(name)
+			c.ackResponse(name)
 		}
 		for n := range 100 {
 			fresh := f.caller(2000+n, readRoute)
@@ -231,13 +231,13 @@
 // Symptom: many hosts read the platform, or ask each other for everything, after a
 // crash of many targets. Sequence: more targets change at once than a report holds.
 // Cause: reports that tell the latest changes only.
-func TestManyChangesAtOnceSpreadInReports(t *testing.T) {
+func TestManyChangesSpreadThroughReports(t *testing.T) {
 	f := newFleet(t, 10, 10, 10)
 	for n := range 60 {
 		f.addTarget(fmt.Sprintf("i-4%07x", n), "ledger", "a")
 	}
 	f.step(4 * time.Second)
-	f.reads, f.asks = 0, 0
+	f.reads, f.syncRequests = 0, 0
 	for n := range 40 {
 		f.drain(fmt.Sprintf("i-4%07x", n))
 	}
@@ -249,14 +249,14 @@
 			require.False(t, f.targets[c.target].Draining, "%s does not know that %s drains", name, c.target)
 		}
 	}
-	require.Less(t, f.reads+f.asks, 14, "reads and questions of 30 hosts in 3 s; 9 when nothing changes")
+	require.Less(t, f.reads+f.syncRequests, 14, "reads and questions of 30 hosts in 3 s; 9 when nothing changes")
 }
 
 // Symptom: after a loss of all hosts but one of a large fleet most wait long for
 // settings and targets. Sequence: the platform turns everybody away; all ask the
 // one that knows. Cause: questions that all go to one host, though others know by
 // then.
-func TestQuestionsAreSpreadOverThoseWhoKnow(t *testing.T) {
+func TestSyncRequestsAreSpreadOverPeers(t *testing.T) {
 	f := newFleet(t, 60, 60)
 	f.down = true
 	f.step(time.Second)
@@ -267,23 +267,23 @@
 	for _, name := range f.names[1:] {
 		f.start(name)
 	}
-	f.maxAnswers = 1 // At once, by each host.
+	f.maxConcurrentAnswers = 1 // At once, by each host.
 	started := f.now
 	for slices.ContainsFunc(f.names, func(name string) bool { return !f.hosts[name].steerer.Ready() }) {
-		f.step(steerer.TickEvery)
+		f.step(steerer.TickInterval)
 		require.Less(t, f.now.Since(started), 1600*time.Millisecond, "1.2 s with questions at random, 1.9 s with all to one")
 	}
 }
 
 // A host that knows all up to a revision is told only what came after it.
-func TestOnlyWhatChangedIsTold(t *testing.T) {
+func TestSyncResponseListsOnlyChanges(t *testing.T) {
 	f := newFleet(t, 1)
 	s := f.hosts["a1"].steerer
-	all := s.Knowledge(&messenger.SyncRequest{IncludeTargets: true})
+	all := s.SyncResponse(&messenger.SyncRequest{IncludeTargets: true})
 	require.Len(t, all.Targets, 9)
 	f.drain("i-10000001")
 	f.step(2 * time.Second)
-	later := s.Knowledge(&messenger.SyncRequest{IncludeTargets: true, TargetsSince: all.TargetsRevision})
+	later := s.SyncResponse(&messenger.SyncRequest{IncludeTargets: true, TargetsSince: all.TargetsRevision})
 	require.Len(t, later.Targets, 1)
 	require.True(t, later.Targets[0].Draining)
 }
@@ -291,16 +291,16 @@
 // Symptom: flows of a route are refused, and its open ones reset, though operators
 // only changed a detail of it. Sequence: the new version has the route in a form that
 // hosts can't read. Cause: what can't be read is taken for removed.
-func TestRouteThatCannotBeReadStaysAsItWas(t *testing.T) {
+func TestMalformedRouteKeepsPreviousVersion(t *testing.T) {
 	f := newFleet(t, 1)
-	fault := steerer.RouteFault{Route: "upload", Err: errDown}
-	f.settings = settingsOf(2, routes()[:2]).WithFaults([]steerer.RouteFault{fault})
+	fault := steerer.RouteProblem{Route: "upload", Err: errPlatformDown}
+	f.settings = newSettings(2, routes()[:2]).WithRouteProblems([]steerer.RouteProblem{fault})
 	f.step(2 * time.Second)
 	c := f.caller(1, uploadRoute)
 	c.open("a1", 0)
 	require.NotEmpty(t, c.target)
 	require.Equal(t, uint64(2), f.hosts["a1"].steerer.Snapshot().Version)
-	f.settings = settingsOf(3, routes()[:2])
+	f.settings = newSettings(3, routes()[:2])
 	f.step(2 * time.Second)
 	late := f.caller(2, uploadRoute)
 	late.open("a1", 0)
@@ -311,10 +311,10 @@
 // late on all hosts. Sequence: hosts tell each other how old their knowledge is; each
 // report is on its way for a while, most when hosts and links are busy. Cause: what comes
 // back from another looks newer by the time on the way, and is told again.
-func TestKnowledgeAgesWhileNobodyReads(t *testing.T) {
+func TestTargetsAgeGrowsWithoutPlatformReads(t *testing.T) {
 	f := newFleet(t, 8, 8)
 	f.step(3 * time.Second)
-	f.reportTakes = 60 * time.Millisecond
+	f.reportDelay = 60 * time.Millisecond
 	f.down = true
 	f.step(20 * time.Second)
 	for _, name := range f.names {
@@ -331,10 +331,10 @@
 // Grounds of the bounds: what operators allow is 6 s. Hosts that others can tell it have
 // it with a third of that to spare; one that nobody can answer, and that is late to take
 // in whatever comes, within all of it.
-func TestNewSettingsReachSmallLinksInTime(t *testing.T) {
+func TestSettingsReachSlowLinksInTime(t *testing.T) {
 	f := newFleet(t, 5, 5, 5, 4, 4)
-	f.settingsWithin, f.documentBytes, f.settingsTake = 6*time.Second, 300_000, 1600*time.Millisecond
-	f.maxAnswers, f.answerTakes = 1, 200*time.Millisecond
+	f.settingsWithin, f.documentBytes, f.settingsReadTime = 6*time.Second, 300_000, 1600*time.Millisecond
+	f.maxConcurrentAnswers, f.answerDelay = 1, 200*time.Millisecond
 	for _, name := range f.names {
 		f.kill(name)
 		f.hosts[name].linkBytesPerSecond = 250_000
@@ -343,23 +343,23 @@
 	f.step(15 * time.Second)
 	for version := uint64(2); version < 94; version++ {
 		deaf := f.names[int(version)%len(f.names)]
-		f.deaf, f.late = map[string]bool{deaf: true}, map[string]time.Duration{deaf: 100 * time.Millisecond}
-		f.settings = settingsOf(version, routes())
+		f.unansweredHosts, f.inboundDelay = map[string]bool{deaf: true}, map[string]time.Duration{deaf: 100 * time.Millisecond}
+		f.settings = newSettings(version, routes())
 		took := map[string]time.Duration{}
-		for clock := time.Duration(0); len(took) < len(f.names); clock += steerer.TickEvery {
+		for clock := time.Duration(0); len(took) < len(f.names); clock += steerer.TickInterval {
 			require.LessOrEqual(t, clock, 6*time.Second, "version %d is known to %d hosts only", version, len(took))
 			for _, name := range f.names {
 				if _, known := took[name]; !known && f.hosts[name].steerer.Snapshot().Version == version {
 					took[name] = clock
 				}
 			}
-			f.step(steerer.TickEvery)
+			f.step(steerer.TickInterval)
 		}
 		for _, name := range f.names {
-			if !f.deaf[name] {
+			if !f.unansweredHosts[name] {
 				require.LessOrEqual(t, took[name], 4*time.Second, name)
 			}
 		}
-		f.step(2*time.Second + time.Duration(version*version%40)*steerer.TickEvery)
+		f.step(2*time.Second + time.Duration(version*version%40)*steerer.TickInterval)
 	}
 }
--- a/core/steerer/release_test.go
+++ b/core/steerer/release_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// releaseZone and releaseChanges are the size of the fleet of TestReleaseIsKnownToAllInTime,
+// releaseZone and releaseChanges are the size of the fleet of TestReleaseReachesAllHostsInTime,
 // which takes minutes at the size of the largest fleets.
 var (
 	releaseZone    = flag.Int("releaseZone", 8, "hosts of each of five zones during a release")
@@ -24,31 +24,31 @@
 
 // Failure: many targets begin to drain at once, and some hosts go on sending them new flows
 // for longer than they may.
-func TestReleaseIsKnownToAllInTime(t *testing.T) {
+func TestReleaseReachesAllHostsInTime(t *testing.T) {
 	f := newFleet(t, *releaseZone, *releaseZone, *releaseZone, *releaseZone, *releaseZone)
 	for n := range 10*len(f.names) - len(f.targets) {
 		f.addTarget(fmt.Sprintf("i-%08x", 0x30000000+n), "ledger", string(rune('a'+n%5)))
 	}
 	f.step(10 * time.Second)
-	f.reportBytes, f.answerBytes, f.asks = 0, 0, 0
-	const ticks = int(time.Second / steerer.TickEvery)
+	f.reportBytes, f.answerBytes, f.syncRequests = 0, 0, 0
+	const ticks = int(time.Second / steerer.TickInterval)
 	done := 0
 	for tick := range ticks {
 		for ; done < *releaseChanges*(tick+1)/ticks; done++ {
 			f.drain(fmt.Sprintf("i-%08x", 0x30000000+done))
 		}
-		f.step(steerer.TickEvery)
+		f.step(steerer.TickInterval)
 	}
 	ended := f.now
-	for !f.agrees() {
-		f.step(steerer.TickEvery)
+	for !f.allHostsAgree() {
+		f.step(steerer.TickInterval)
 		require.Less(t, f.now.Since(ended), 3*time.Second, "of 3 s within which a host may send new flows")
 	}
-	t.Logf("%d hosts, %d targets, %d changes: known to all %s after the last; %s", len(f.names), len(f.targets), done, f.now.Since(ended), f.traffic(ended.Add(-time.Second)))
+	t.Logf("%d hosts, %d targets, %d changes: known to all %s after the last; %s", len(f.names), len(f.targets), done, f.now.Since(ended), f.trafficSummary(ended.Add(-time.Second)))
 }
 
-// agrees reports whether all hosts list the same targets as the platform.
-func (f *fleet) agrees() bool {
+// allHostsAgree reports whether all hosts list the same targets as the platform.
+func (f *fleet) allHostsAgree() bool {
 	all := steerer.New(steerer.Config{Self: "all"})
 	list := steerer.TargetList{}
 	for _, one := range f.targets {
@@ -63,15 +63,15 @@
 	return true
 }
 
-// traffic says what each host has sent a second since a moment.
-func (f *fleet) traffic(since timekeeper.Instant) string {
+// trafficSummary says what each host has sent a second since a moment.
+func (f *fleet) trafficSummary(since timekeeper.Instant) string {
 	seconds := f.now.Since(since).Seconds() * float64(len(f.names))
 	return fmt.Sprintf("%.0f B/s of reports, %.0f B/s of answers, %.2f questions a second and host",
-		float64(f.reportBytes)/seconds, float64(f.answerBytes)/seconds, float64(f.asks)/seconds)
+		float64(f.reportBytes)/seconds, float64(f.answerBytes)/seconds, float64(f.syncRequests)/seconds)
 }
 
-// answeredBytes is how many bytes a list of targets takes on the way.
-func answeredBytes(t tester, targets []messenger.TargetState) int {
+// compressedSize is how many bytes a list of targets takes on the way.
+func compressedSize(t tester, targets []messenger.TargetState) int {
 	data, err := encoder.EncodeTargets(targets)
 	require.NoError(t, err)
 	var buffer bytes.Buffer
@@ -92,10 +92,10 @@
 	f.step(10 * time.Second)
 	f.reads = 0
 	const seconds = 10
-	for n := range seconds * int(time.Second/steerer.TickEvery) {
+	for n := range seconds * int(time.Second/steerer.TickInterval) {
 		f.drain(fmt.Sprintf("i-%08x", 0x30000000+2*n))
 		f.drain(fmt.Sprintf("i-%08x", 0x30000000+2*n+1))
-		f.step(steerer.TickEvery)
+		f.step(steerer.TickInterval)
 	}
 	t.Logf("%d reads in %d s", f.reads, seconds)
 	require.LessOrEqual(t, f.reads, 6*seconds, "of 20 a second if all 40 read")
--- a/core/steerer/reports.go
+++ b/core/steerer/reports.go
@@ -10,54 +10,54 @@
 	"cranberryspan.dev/core/sequencer"
 )
 
-func (s *Steerer) reportReceived(e *ReportReceived) {
+func (s *Steerer) handleReport(e *ReportReceived) {
 	if e.From == s.config.Self {
 		return
 	}
 	r := e.Report
-	p := s.notePeer(e.From, r.Address, 0)
+	p := s.upsertPeer(e.From, r.Address, 0)
 	// An older incarnation's report may be late. But clocks step back: a host that
 	// starts anew after that has a lower incarnation, and would be ignored for good.
-	if r.Incarnation < p.incarnation && p.hears(s.now) {
+	if r.Incarnation < p.incarnation && p.reportedRecently(s.now) {
 		return
 	}
-	fresh := p.heard == 0 || s.now.Since(p.heard) > peerMemory || p.incarnation != r.Incarnation
-	if fresh {
-		s.log("peerHeard", field("peer", p.name), field("zone", r.AvailabilityZone), field("incarnation", utoa(r.Incarnation)), field("version", utoa(r.SettingsRevision)))
+	firstReport := p.lastReport == 0 || s.now.Since(p.lastReport) > peerRetention || p.incarnation != r.Incarnation
+	if firstReport {
+		s.log("peerHeard", field("peer", p.name), field("zone", r.AvailabilityZone), field("incarnation", formatUint(r.Incarnation)), field("version", formatUint(r.SettingsRevision)))
 	}
 	p.address = r.Address
-	s.peers.zones.move(p, r.AvailabilityZone)
-	p.link = r.LinkBytesPerSecond
+	s.peers.zones.setZone(p, r.AvailabilityZone)
+	p.linkBytesPerSecond = r.LinkBytesPerSecond
 	p.incarnation = r.Incarnation
-	s.peers.zones.leave(p, r.Leaving)
-	s.peers.noteHeard(p, s.now)
+	s.peers.zones.setShuttingDown(p, r.Leaving)
+	s.peers.recordReport(p, s.now)
 	p.version = r.SettingsRevision
 	p.position = sequencer.At(r.TargetsEra, r.TargetsRevision)
-	s.takeBusy(p, r.InFlight)
-	s.takeTooQuick(p, r.FastFailing)
-	s.takePaces(p, r.Slowdowns)
-	s.takeSilent(p, r.Unresponsive)
-	s.takeDemands(r, p)
-	s.takeFlows(p, r)
-	s.takeHints(r)
-	s.takeZoneHosts(r)
-	s.noteEra(max(r.TargetsEra, r.OrdersEra, r.SettingsEra), p.name)
-	s.takeOrders(evacuator.Orders{Position: sequencer.At(r.OrdersEra, r.OrdersRevision), Zones: r.EvacuatedZones}, p.name)
+	s.applyPeerLoad(p, r.InFlight)
+	s.applyFastFailures(p, r.FastFailing)
+	s.applySlowdownReports(p, r.Slowdowns)
+	s.applyUnresponsiveReport(p, r.Unresponsive)
+	s.applyDemands(r, p)
+	s.applyFlowReport(p, r)
+	s.applyGossip(r)
+	s.recordZoneHosts(r)
+	s.recordEra(max(r.TargetsEra, r.OrdersEra, r.SettingsEra), p.name)
+	s.applyOrders(evacuator.Orders{Position: sequencer.At(r.OrdersEra, r.OrdersRevision), Zones: r.EvacuatedZones}, p.name)
 	s.compareSettings(r, p.name)
 	s.compareTargets(r, p.name)
 	// It may know nothing yet. In a large fleet one that knows all need not hear from
 	// each host that it reports to for the first time.
 	knowsNothing := r.SettingsRevision == 0 || r.TargetsRevision == 0
-	if fresh && (knowsNothing || len(s.peers.byName) <= smallFleet || s.tellsOfFlows(p)) {
-		p.nextDeadline = 0
+	if firstReport && (knowsNothing || len(s.peers.byName) <= smallFleetSize || s.needsFlowReport(p)) {
+		p.nextReport = 0
 		s.reportIfDue(p)
 	}
-	s.askingTick()
+	s.syncTick()
 }
 
-// takeBusy replaces what a host reported of its requests under way. Only what was
+// applyPeerLoad replaces what a host reported of its requests under way. Only what was
 // counted may be taken back later: a target may not be known yet.
-func (s *Steerer) takeBusy(p *peer, busy map[uint32]uint16) {
+func (s *Steerer) applyPeerLoad(p *peer, busy map[uint32]uint16) {
 	for tag, n := range p.busy {
 		if t, ok := s.targets.byTag[Tag(tag)]; ok {
 			t.peersBusy = max(t.peersBusy-int(n), 0)
@@ -68,22 +68,22 @@
 		p.busy = make(map[uint32]uint16, len(busy))
 	}
 	for tag, n := range busy {
-		if t, ok := s.told(p, tag); ok {
+		if t, ok := s.reportedTarget(p, tag); ok {
 			t.peersBusy += int(n)
 			p.busy[tag] = n
 		}
 	}
-	if len(p.busy) > 0 && !p.loaded {
-		p.loaded = true
+	if len(p.busy) > 0 && !p.inLoaded {
+		p.inLoaded = true
 		s.peers.loaded = append(s.peers.loaded, p)
 	}
 }
 
-// told returns the target that a host's report speaks of, by its tag. What a host says
+// sent returns the target that a host's report speaks of, by its tag. What a host says
 // that has not learned yet that the target has started again is about its earlier life.
-func (s *Steerer) told(p *peer, tag uint32) (*target, bool) {
+func (s *Steerer) reportedTarget(p *peer, tag uint32) (*target, bool) {
 	t, ok := s.targets.byTag[Tag(tag)]
-	if !ok || p.position.Before(t.bornAt) {
+	if !ok || p.position.Before(t.incarnationPosition) {
 		return nil, false
 	}
 	return t, true
@@ -93,9 +93,9 @@
 func (s *Steerer) compareSettings(r *messenger.Report, from string) {
 	switch {
 	case r.SettingsRevision > s.version():
-		s.noteBehind()
+		s.recordNewerSettings()
 	case r.SettingsRevision == s.version() && r.SettingsRevision != 0:
-		s.confirm(&s.reading.settings, reportedRead{r.SettingsReadNumber, r.SettingsEra, r.SettingsAge}, from)
+		s.applyConfirmation(&s.reading.settings, reportedRead{r.SettingsReadNumber, r.SettingsEra, r.SettingsAge}, from)
 	}
 }
 
@@ -106,33 +106,33 @@
 		return // The own first read is under way and brings all at once.
 	}
 	for _, state := range r.TargetChanges {
-		s.takeState(state, r.TargetsEra, from)
+		s.applyTargetState(state, r.TargetsEra, from)
 	}
 	position := sequencer.At(r.TargetsEra, r.TargetsRevision)
-	if position.Known() && s.knowsAllUpTo(position, r.TargetsDigest) {
-		s.confirm(&s.reading.targets, reportedRead{r.TargetsReadNumber, r.TargetsEra, r.TargetsAge}, from)
-		s.agreeOn(position, from)
+	if position.Known() && s.hasAllUpTo(position, r.TargetsDigest) {
+		s.applyConfirmation(&s.reading.targets, reportedRead{r.TargetsReadNumber, r.TargetsEra, r.TargetsAge}, from)
+		s.advanceTo(position, from)
 	}
 }
 
-// knowsAllUpTo reports whether this host knows all that the platform listed at a position, of
+// hasAllUpTo reports whether this host knows all that the platform listed at a position, of
 // which another host tells the digest.
-func (s *Steerer) knowsAllUpTo(position sequencer.Position, digest uint64) bool {
+func (s *Steerer) hasAllUpTo(position sequencer.Position, digest uint64) bool {
 	if position.Era == s.targetsPosition.Era && !s.targetsPosition.Before(position) {
 		return true
 	}
-	own, known := s.targets.digestAt(position)
-	return (known && own == digest) || s.targets.digest() == digest
+	ownDigest, known := s.targets.digestAt(position)
+	return (known && ownDigest == digest) || s.targets.digest() == digest
 }
 
-// agreeOn takes in that another host lists the same targets as of a position.
-func (s *Steerer) agreeOn(position sequencer.Position, from string) {
+// advanceTo takes in that another host lists the same targets as of a position.
+func (s *Steerer) advanceTo(position sequencer.Position, from string) {
 	if !s.targetsPosition.Before(position) {
 		return
 	}
 	earlier := s.targetsPosition
 	s.targetsPosition = position
-	s.noteListed(earlier, 0, from)
+	s.recordCompleteList(earlier, 0, from)
 }
 
 // reportedRead is another host's word of a read of the platform: its number, the era of the
@@ -143,24 +143,24 @@
 	age  time.Duration
 }
 
-// confirm takes over another host's confirmation if it is newer.
+// applyConfirmation takes over another host's confirmation if it is newer.
 //
 // What goes wrong if one of an earlier era counts: the platform was restored, some hosts
 // have not heard of it, and their word makes what the restore has undone look fresh.
 // Nobody reads the new history until they have.
-func (s *Steerer) confirm(src *source, r reportedRead, from string) {
+func (s *Steerer) applyConfirmation(src *source, r reportedRead, from string) {
 	if r.age >= unknownAge || r.era < s.reading.era {
 		return
 	}
 	src.confirm(confirmation{r.read, r.era, s.now.Add(-r.age)}, from)
 	if failed := s.reading.failedSince; failed != 0 && src.confirmed > failed {
-		s.regained("peer")
+		s.platformRecovered("peer")
 	}
 }
 
-// takeState takes in what another host says of a target, in some era. What it saw before a
+// applyTargetState takes in what another host says of a target, in some era. What it saw before a
 // restore of the platform never wins over a list from after it.
-func (s *Steerer) takeState(state messenger.TargetState, era uint64, from string) {
+func (s *Steerer) applyTargetState(state messenger.TargetState, era uint64, from string) {
 	seen := sequencer.At(era, state.Revision)
 	if seen.Era < s.targetsPosition.Era {
 		return
@@ -168,84 +168,84 @@
 	known, ok := s.targets.byID[state.ID]
 	if state.Missing {
 		if ok && !known.missing && known.olderThan(state.Incarnation, seen) {
-			known.Born = state.Incarnation
-			known.unreadable = state.Unreadable
-			s.takeMissing(known, seen, from)
+			known.Incarnation = state.Incarnation
+			known.malformed = state.Unreadable
+			s.markMissing(known, seen, from)
 		}
 		return
 	}
-	number, valid := NumberOf(state.ID)
+	number, valid := ParseTargetNumber(state.ID)
 	if !valid {
 		return
 	}
-	s.takeRecord(recordOf(state, number), seen, from)
+	s.applyTarget(targetFromState(state, number), seen, from)
 }
 
-// recordOf reads a target from a report.
-func recordOf(state messenger.TargetState, number Number) Target {
+// targetFromState reads a target from a report.
+func targetFromState(state messenger.TargetState, number TargetNumber) Target {
 	return Target{
 		ID: state.ID, Number: number, Service: state.Service, Address: state.Address,
-		AvailabilityZone: state.AvailabilityZone, Slots: state.Slots, Draining: state.Draining, WarmUp: state.WarmUp, Born: state.Incarnation,
+		AvailabilityZone: state.AvailabilityZone, Slots: state.Slots, Draining: state.Draining, WarmUp: state.WarmUp, Incarnation: state.Incarnation,
 	}
 }
 
-// reportRound tells some hosts of a larger fleet: most of them in the own zone, where
+// sendReportRound tells some hosts of a larger fleet: most of them in the own zone, where
 // loads matter, the others anywhere.
 //
 // What goes wrong if all hosts are told as often as each other: in a fleet of five zones
 // four of five reports go to another zone, where traffic is priced, and news of the own
 // zone's loads is seconds old.
-func (s *Steerer) reportRound() {
-	near := s.tellSome(&s.peers.nearOrder, nearFanout, func(p *peer) bool { return p.zone == s.config.AvailabilityZone })
-	s.tellSome(&s.peers.order, reportFanout-near, func(*peer) bool { return true })
+func (s *Steerer) sendReportRound() {
+	sent := s.reportToNext(&s.peers.sameZoneQueue, sameZoneFanout, func(p *peer) bool { return p.zone == s.config.AvailabilityZone })
+	s.reportToNext(&s.peers.queue, reportFanout-sent, func(*peer) bool { return true })
 }
 
-// tellSome reports to the next hosts of an order, which it makes anew of some hosts when
+// reportToNext reports to the next hosts of an order, which it makes anew of some hosts when
 // all have had their turn. It returns how many were told.
-func (s *Steerer) tellSome(order *[]*peer, count int, of func(*peer) bool) int {
-	told := 0
+func (s *Steerer) reportToNext(order *[]*peer, count int, include func(*peer) bool) int {
+	sent := 0
 	for range s.peers.sorted {
-		if told == count {
+		if sent == count {
 			break
 		}
 		if len(*order) == 0 {
-			*order = slices.DeleteFunc(slices.Clone(s.peers.ordered()), func(p *peer) bool { return !of(p) })
+			*order = slices.DeleteFunc(slices.Clone(s.peers.ordered()), func(p *peer) bool { return !include(p) })
 			s.random.Shuffle(len(*order), func(i, j int) { (*order)[i], (*order)[j] = (*order)[j], (*order)[i] })
 		}
 		if len(*order) == 0 {
 			break
 		}
 		last := len(*order) - 1
-		one := (*order)[last]
+		next := (*order)[last]
 		*order = (*order)[:last]
-		if one.leaving || s.peers.byName[one.name] != one {
+		if next.shuttingDown || s.peers.byName[next.name] != next {
 			continue
 		}
-		s.sendReport(one)
-		told++
+		s.sendReport(next)
+		sent++
 	}
-	return told
+	return sent
 }
 
 // reportIfDue sends a host a report if it is time or if there is news.
 func (s *Steerer) reportIfDue(p *peer) {
-	if p.leaving || (!p.nextDeadline.Passed(s.now) && !s.peers.news) {
+	if p.shuttingDown || (!p.nextReport.Passed(s.now) && !s.peers.reportNow) {
 		return
 	}
-	every := farReportEvery
+	interval := crossZoneReportInterval
 	if p.zone == s.config.AvailabilityZone {
-		every = reportEvery
+		interval = reportInterval
 	}
-	if !p.hears(s.now) {
-		every = seedEvery
+	if !p.reportedRecently(s.now) {
+		interval = seedInterval
 	}
-	p.nextDeadline = s.now.Add(every)
+	p.nextReport = s.now.Add(interval)
 	s.sendReport(p)
 }
 
 func (s *Steerer) sendReport(p *peer) {
 	s.counts.add(ReportsSent)
-	s.emit(&SendReport{Host: p.name, Address: p.address, Report: s.report(p)})
+	s.emit(&SendReport{Host: p.name, Address: p.address, Report: s.buildReport(p)})
 }
 
 // reportToSeeds reports to seed addresses at which no known host is.
@@ -254,15 +254,15 @@
 // first report comes before the seeds are up, and it hears a second later who could tell
 // it settings and targets.
 func (s *Steerer) reportToSeeds() {
-	every := seedEvery
-	if !s.knows() {
-		every = startSeedEvery
+	interval := seedInterval
+	if !s.canRoute() {
+		interval = startSeedInterval
 	}
 	for _, seed := range s.config.Seeds {
 		if seed == s.config.Address || !s.peers.seeds[seed].Passed(s.now) {
 			continue
 		}
-		s.peers.seeds[seed] = s.now.Add(every)
+		s.peers.seeds[seed] = s.now.Add(interval)
 		if slices.ContainsFunc(s.peers.ordered(), func(p *peer) bool { return p.address == seed }) {
 			continue
 		}
@@ -270,15 +270,15 @@
 	}
 }
 
-// report writes this host's report to another.
-func (s *Steerer) report(to *peer) *messenger.Report {
+// buildReport writes this host's report to another.
+func (s *Steerer) buildReport(to *peer) *messenger.Report {
 	r := &messenger.Report{
 		Address:            s.config.Address,
 		AvailabilityZone:   s.config.AvailabilityZone,
 		Incarnation:        s.config.Incarnation,
 		Uptime:             s.now.Since(s.config.Start),
 		LinkBytesPerSecond: s.config.LinkBytesPerSecond,
-		Leaving:            s.leaving.begun,
+		Leaving:            s.leaving.started,
 		SettingsAge:        age(s.now, s.reading.settings.confirmed),
 		SettingsReadNumber: s.reading.settings.confirmedRead,
 		SettingsEra:        s.reading.settings.era,
@@ -286,32 +286,32 @@
 		TargetsEra:         s.targetsPosition.Era,
 		TargetsAge:         age(s.now, s.reading.targets.confirmed),
 		TargetsReadNumber:  s.reading.targets.confirmedRead,
-		TargetsDigest:      s.listDigest(),
+		TargetsDigest:      s.targetsDigest(),
 		SettingsRevision:   s.version(),
 		OrdersRevision:     s.evacuator.Orders().Position.Revision,
 		OrdersEra:          s.evacuator.Orders().Position.Era,
 		EvacuatedZones:     s.evacuator.Orders().Zones,
 	}
-	s.addHints(r, to)
+	s.addGossip(r, to)
 	s.addDemands(r, to)
-	r.OpenFlows = s.toldFlows(to)
+	r.OpenFlows = s.flowsForReport(to)
 	for _, t := range s.peers.changes.next() {
-		r.TargetChanges = append(r.TargetChanges, s.state(t))
+		r.TargetChanges = append(r.TargetChanges, s.targetState(t))
 	}
 	if to.zone == s.config.AvailabilityZone {
-		own := s.ownNews()
-		r.InFlight, r.FastFailing, r.Unresponsive = own.busy, own.quick, own.silent
-		r.Slowdowns = s.paces()
+		observations := s.observeTargets()
+		r.InFlight, r.FastFailing, r.Unresponsive = observations.busy, observations.fastFailing, observations.silent
+		r.Slowdowns = s.slowdownReports()
 	} else {
-		r.ReceiverZoneHosts = len(s.peers.zones.of(to.zone))
-		s.addZoneFlows(r)
+		r.ReceiverZoneHosts = len(s.peers.zones.hosts(to.zone))
+		s.addLocalZoneFlows(r)
 	}
 	return r
 }
 
-// listDigest is the digest of this host's targets as of their position, which is what those
+// targetsDigest is the digest of this host's targets as of their position, which is what those
 // can compare that have heard of other changes since.
-func (s *Steerer) listDigest() uint64 {
+func (s *Steerer) targetsDigest() uint64 {
 	digest, known := s.targets.digestAt(s.targetsPosition)
 	if !known {
 		return s.targets.digest()
@@ -319,108 +319,108 @@
 	return digest
 }
 
-// addHints names some hosts that live as far as this one knows, others each time, with
+// addGossip names some hosts that live as far as this one knows, others each time, with
 // how long ago each was heard by anybody. What is told of a host that died grows old
 // wherever it goes. A host that knows nothing is told of those that know, if there are.
-func (s *Steerer) addHints(r *messenger.Report, to *peer) {
+func (s *Steerer) addGossip(r *messenger.Report, to *peer) {
 	all := s.peers.sorted
 	if len(all) == 0 {
 		return
 	}
-	silence := s.mentionSilence()
+	silence := s.aliveTimeout()
 	start := s.random.IntN(len(all))
-	helpful := func(*peer) bool { return true }
-	if !to.knows() && slices.ContainsFunc(all, (*peer).knows) {
-		helpful = (*peer).knows
+	eligible := func(*peer) bool { return true }
+	if !to.hasState() && slices.ContainsFunc(all, (*peer).hasState) {
+		eligible = (*peer).hasState
 	}
 	for i := range all {
 		p := all[(start+i)%len(all)]
 		s.peers.visits++
-		if p.name == to.name || !p.mentioned(s.now, silence) || !helpful(p) {
+		if p.name == to.name || !p.presumedAlive(s.now, silence) || !eligible(p) {
 			continue
 		}
 		r.Hosts = append(r.Hosts, messenger.HostHint{Name: p.name, Address: p.address})
-		r.HostAgeTenths = append(r.HostAgeTenths, tenths(s.now.Since(p.lives)))
-		r.HostLinkBytesPerSecond = append(r.HostLinkBytesPerSecond, p.link)
+		r.HostAgeTenths = append(r.HostAgeTenths, toTenths(s.now.Since(p.lastAlive)))
+		r.HostLinkBytesPerSecond = append(r.HostLinkBytesPerSecond, p.linkBytesPerSecond)
 		if p.zone == s.config.AvailabilityZone {
 			r.HostsInZoneMask |= 1 << (len(r.Hosts) - 1)
 		}
-		if len(r.Hosts) == maxHints {
+		if len(r.Hosts) == maxGossipedHosts {
 			break
 		}
 	}
 }
 
-// tenths writes a time in tenths of a second, rounded up.
-func tenths(d time.Duration) uint8 {
-	return uint8(min((d+hintAgeUnit-1)/hintAgeUnit, math.MaxUint8))
+// toTenths writes a time in tenths of a second, rounded up.
+func toTenths(d time.Duration) uint8 {
+	return uint8(min((d+gossipAgeUnit-1)/gossipAgeUnit, math.MaxUint8))
 }
 
-// takeHints learns of other hosts.
-func (s *Steerer) takeHints(r *messenger.Report) {
+// applyGossip learns of other hosts.
+func (s *Steerer) applyGossip(r *messenger.Report) {
 	for i, hint := range r.Hosts {
 		if hint.Name == s.config.Self {
 			continue
 		}
 		age := time.Duration(0)
 		if i < len(r.HostAgeTenths) {
-			age = time.Duration(r.HostAgeTenths[i]) * hintAgeUnit
+			age = time.Duration(r.HostAgeTenths[i]) * gossipAgeUnit
 		}
-		p := s.notePeer(hint.Name, hint.Address, age)
-		if p.link == 0 && i < len(r.HostLinkBytesPerSecond) {
-			p.link = r.HostLinkBytesPerSecond[i]
+		p := s.upsertPeer(hint.Name, hint.Address, age)
+		if p.linkBytesPerSecond == 0 && i < len(r.HostLinkBytesPerSecond) {
+			p.linkBytesPerSecond = r.HostLinkBytesPerSecond[i]
 		}
-		if p.zone == "" && i < maxHints && r.HostsInZoneMask&(1<<i) != 0 {
-			s.peers.zones.move(p, r.AvailabilityZone)
+		if p.zone == "" && i < maxGossipedHosts && r.HostsInZoneMask&(1<<i) != 0 {
+			s.peers.zones.setZone(p, r.AvailabilityZone)
 		}
 	}
 }
 
-// ownNews is what a host tells the others of its zone of the targets.
-type ownNews struct {
+// observeTargets is what a host tells the others of its zone of the targets.
+type targetObservations struct {
 	// busy counts requests under way by the target's tag; quick and silent are the tags of
 	// targets that answered too quickly, or were silent, of late.
-	busy   map[uint32]uint16
-	quick  []uint32
-	silent []uint32
-	// known says that it was worked out at this event.
-	known bool
+	busy        map[uint32]uint16
+	fastFailing []uint32
+	silent      []uint32
+	// valid says that it was worked out at this event.
+	valid bool
 }
 
-// ownNews looks at the targets in use once for all reports of an event: requests under way, quick
+// observeTargets looks at the targets in use once for all reports of an event: requests under way, quick
 // answers of late, and targets that were found silent of late.
-func (s *Steerer) ownNews() *ownNews {
-	if s.own.known {
-		return &s.own
+func (s *Steerer) observeTargets() *targetObservations {
+	if s.ownReport.valid {
+		return &s.ownReport
 	}
-	s.own = ownNews{busy: map[uint32]uint16{}, known: true}
+	s.ownReport = targetObservations{busy: map[uint32]uint16{}, valid: true}
 	for _, t := range s.targetsInUse() {
-		if n := t.busy + t.opening; n > 0 {
-			s.own.busy[uint32(t.tag)] = uint16(min(n, 1<<16-1))
+		if n := t.pendingRequests + t.halfOpen; n > 0 {
+			s.ownReport.busy[uint32(t.tag)] = uint16(min(n, 1<<16-1))
 		}
-		if s.tooQuickOfLate(t) && len(s.own.quick) < maxTooQuick {
-			s.own.quick = append(s.own.quick, uint32(t.tag))
+		if s.recentFastFailures(t) && len(s.ownReport.fastFailing) < maxFastFailures {
+			s.ownReport.fastFailing = append(s.ownReport.fastFailing, uint32(t.tag))
 		}
-		if s.silentOfLate(t) && len(s.own.silent) < maxSilent {
-			s.own.silent = append(s.own.silent, uint32(t.tag))
+		if s.recentlyUnreachable(t) && len(s.ownReport.silent) < maxReportedUnresponsive {
+			s.ownReport.silent = append(s.ownReport.silent, uint32(t.tag))
 		}
 	}
-	return &s.own
+	return &s.ownReport
 }
 
-// state writes a target for a message, as of the era of this host's list.
+// targetState writes a target for a message, as of the era of this host's list.
 //
 // A host may have heard of a change in a new era before it has the list of that era. It tells
 // the change as of its own position: all that it tells is of one era, and gives way to any
 // list of the new one.
-func (s *Steerer) state(t *target) messenger.TargetState {
-	seen := t.seen
+func (s *Steerer) targetState(t *target) messenger.TargetState {
+	seen := t.seenPosition
 	if seen.Era > s.targetsPosition.Era {
 		seen = s.targetsPosition
 	}
 	return messenger.TargetState{
 		ID: t.ID, Revision: seen.Revision, Service: t.Service, Address: t.Address, AvailabilityZone: t.AvailabilityZone,
 		Slots: t.Slots, Draining: t.Draining, Missing: t.missing, WarmUp: max(t.warmUpDeadline.Until(s.now), 0),
-		Incarnation: t.Born, Unreadable: t.unreadable,
+		Incarnation: t.Incarnation, Unreadable: t.malformed,
 	}
 }
--- a/core/steerer/reports_internal_test.go
+++ b/core/steerer/reports_internal_test.go
@@ -15,7 +15,7 @@
 // load at a target that this one does not know yet; this one learns of it; a second
 // host reports load there; the first reports again. Cause: load is taken back that
 // was never counted.
-func TestLoadAtUnknownTargetsIsNotTakenBack(t *testing.T) {
+func TestLoadOfUnknownTargetIsNotSubtracted(t *testing.T) {
 	at := timekeeper.Instant(time.Second)
 	s := New(Config{Self: "a1", AvailabilityZone: "a", Start: at, MaxFlows: 10})
 	report := func(from string, busy uint16) {
--- a/core/steerer/rereading_test.go
+++ b/core/steerer/rereading_test.go
@@ -26,19 +26,19 @@
 // revision is below the old one. Sequence: a host starts after the restore, and its first
 // answer is from before it. Cause: contents of the ended era under the header of the new
 // one, which pass for the latest of it.
-func TestFirstAnswerFromBeforeARestoreConvincesNobody(t *testing.T) {
-	f := newEraFleet(t, 2)
+func TestStaleFirstTargetsReadDoesNotOverrideRestoredList(t *testing.T) {
+	f := newFleetWithEra(t, 2)
 	before := f.backup()
 	f.addTarget("i-10000009", "ledger", "a")
 	f.revision += 500
 	f.step(2 * time.Second)
 	stale := f.listAt(sequencer.At(4, f.revision)) // contents of era 3 under the header of 4
 	f.restore(before)
-	f.turnedAway["a1"] = true
+	f.deniedHosts["a1"] = true
 	f.kill("a1")
 	f.start("a1")
 	f.reduce("a1", &steerer.TargetsRead{Started: f.now, MayBeStale: true, List: stale})
-	f.turnedAway["a1"] = false
+	f.deniedHosts["a1"] = false
 	f.drain(drained)
 	f.step(10 * time.Second)
 	f.requireAll(drained, true, true)
@@ -46,8 +46,8 @@
 
 // Symptom: an order ends on all hosts that nobody has taken back. Sequence: as above, for
 // what operators write. Cause: as above.
-func TestFirstOrdersFromBeforeARestoreEndNoOrder(t *testing.T) {
-	f := newEraFleet(t, 2, 1)
+func TestStaleFirstSettingsReadDoesNotEndOrders(t *testing.T) {
+	f := newFleetWithEra(t, 2, 1)
 	before := f.backup()
 	f.revision += 500
 	f.step(2 * time.Second)
@@ -55,7 +55,7 @@
 	f.restore(before)
 	f.evacuate("b")
 	f.step(3 * time.Second)
-	require.Equal(t, []string{"b"}, f.knowledge("a2").Evacuated)
+	require.Equal(t, []string{"b"}, f.syncStatus("a2").Evacuated)
 	f.kill("a1")
 	f.start("a1")
 	f.reduce("a1", &steerer.SettingsRead{Started: f.now, MayBeStale: true, Published: steerer.Published{
@@ -63,20 +63,20 @@
 	}})
 	f.step(5 * time.Second)
 	for _, name := range f.names {
-		require.Equal(t, []string{"b"}, f.knowledge(name).Evacuated, name)
+		require.Equal(t, []string{"b"}, f.syncStatus(name).Evacuated, name)
 	}
 }
 
 // Symptom: a host takes a target for gone that answers, or never hears that it has gone.
 // Sequence: a target goes; a host asks as of an era that is not the answerer's, or, being of
 // an earlier release, of none. Cause: an answer that leaves out what is gone.
-func TestHostOfAnEarlierReleaseLearnsOfWhatHasGone(t *testing.T) {
-	f := newEraFleet(t, 1)
+func TestSyncResponseToOlderReleaseListsMissingTargets(t *testing.T) {
+	f := newFleetWithEra(t, 1)
 	f.step(2 * time.Second)
 	since := f.revision
 	f.remove(drained)
 	f.step(3 * time.Second)
-	k := f.hosts["a1"].steerer.Knowledge(&messenger.SyncRequest{SettingsNewerThan: 1, IncludeTargets: true, TargetsSince: since})
+	k := f.hosts["a1"].steerer.SyncResponse(&messenger.SyncRequest{SettingsNewerThan: 1, IncludeTargets: true, TargetsSince: since})
 	told := false
 	for _, s := range k.Targets {
 		told = told || (s.ID == drained && s.Missing)
@@ -86,8 +86,8 @@
 
 // Symptom: a host knows no targets and refuses all callers. Sequence: an answer of a new era
 // comes without a revision. Cause: era 4 at revision 0 is after all of era 3.
-func TestListWithoutARevisionIsNotTaken(t *testing.T) {
-	f := newEraFleet(t, 1)
+func TestListWithoutRevisionIsIgnored(t *testing.T) {
+	f := newFleetWithEra(t, 1)
 	f.down = true
 	f.step(300 * time.Millisecond)
 	f.reduce("a1", &steerer.TargetsRead{Started: f.now, List: steerer.TargetList{Position: sequencer.At(4, 0)}})
@@ -96,7 +96,7 @@
 }
 
 // The same where the platform tells no era.
-func TestListWithoutARevisionAndEraIsNotTaken(t *testing.T) {
+func TestListWithoutRevisionAndEraIsIgnored(t *testing.T) {
 	f := newFleet(t, 1)
 	f.step(3 * time.Second)
 	f.down = true
@@ -108,8 +108,8 @@
 // Symptom: new flows go to a target that drains. Sequence: it drains; the platform is
 // restored twice, two seconds apart, before it has said so again. Cause: a time that runs
 // from the first restore, since the second changes nothing.
-func TestSecondRestoreDoubtsTargetsForAsLongAgain(t *testing.T) {
-	f := newEraFleet(t, 1)
+func TestSecondRestoreExtendsAvoidance(t *testing.T) {
+	f := newFleetWithEra(t, 1)
 	before := f.backup()
 	f.drain(drained)
 	f.step(2 * time.Second)
@@ -117,13 +117,13 @@
 	f.step(2 * time.Second)
 	f.restore(before)
 	f.step(1700 * time.Millisecond)
-	require.Equal(t, uint64(5), f.knowledge("a1").TargetsEra)
-	require.NotEmpty(t, statusOf(f, "a1", drained).Avoided)
+	require.Equal(t, uint64(5), f.syncStatus("a1").TargetsEra)
+	require.NotEmpty(t, statusOf(f, "a1", drained).AvoidReason)
 }
 
 // Symptom: operators are told of a restore that was none. Sequence: the platform, or its
 // release, begins to tell an era. Cause: each rise of the era counts as a restore.
-func TestFirstEraIsNoRestore(t *testing.T) {
+func TestFirstEraIsNotReportedAsRestore(t *testing.T) {
 	f := newFleet(t, 2)
 	f.step(3 * time.Second)
 	f.era = 3
@@ -137,30 +137,30 @@
 // Symptom: a host says that the platform answers again, and obeys an order of an ended era.
 // Sequence: it hears of a restore while its reads, from before it, are on the way. Cause: only
 // errors count as failed reads.
-func TestReadThatARestoreOvertakesCountsAsFailed(t *testing.T) {
-	f := newEraFleet(t, 2)
+func TestReadSupersededByRestoreCountsAsFailed(t *testing.T) {
+	f := newFleetWithEra(t, 2)
 	f.down = true
 	f.step(3 * time.Second)
 	require.NotEmpty(t, f.logged("a1", "platformLost"))
 	f.reduce("a1", &steerer.ReportReceived{From: "a2", Report: &messenger.Report{
 		Address: f.hosts["a2"].address, AvailabilityZone: "a", Incarnation: 1, TargetsRevision: 3, TargetsEra: 4,
 	}})
-	failed := f.hosts["a1"].steerer.Snapshot().Counts[steerer.ReadsFailed]
+	failed := f.hosts["a1"].steerer.Snapshot().Counters[steerer.ReadsFailed]
 	f.reduce("a1", &steerer.TargetsRead{Started: f.now, List: f.listAt(sequencer.At(3, f.revision))})
 	f.reduce("a1", &steerer.SettingsRead{Started: f.now, Published: steerer.Published{
 		Orders: evacuator.Orders{Position: sequencer.At(3, f.revision+5), Zones: []string{"a"}},
 	}})
 	require.Empty(t, f.logged("a1", "platformRegained"))
-	require.Empty(t, f.knowledge("a1").Evacuated)
+	require.Empty(t, f.syncStatus("a1").Evacuated)
 	require.Len(t, f.logged("a1", "readSuperseded"), 2)
-	require.Equal(t, failed+2, f.hosts["a1"].steerer.Snapshot().Counts[steerer.ReadsFailed])
+	require.Equal(t, failed+2, f.hosts["a1"].steerer.Snapshot().Counters[steerer.ReadsFailed])
 }
 
 // Symptom: hosts that have started go by what they read first, for as long as they live.
 // Sequence: the platform's answers lose their header; hosts start, and hear of the era from
 // others. Cause: an answer without an era counts as of none, before the one that is known.
-func TestHostThatStartsReadsThoughTheHeaderIsLost(t *testing.T) {
-	f := newEraFleet(t, 2)
+func TestStartingHostReadsPlatformWithoutEra(t *testing.T) {
+	f := newFleetWithEra(t, 2)
 	f.era = 0
 	f.orders = evacuator.Orders{Position: sequencer.At(0, f.revision)}
 	f.kill("a1")
@@ -177,16 +177,16 @@
 // Symptom: callers are refused for two seconds though every target works. Sequence: the
 // entries of a service lapse; the platform is restored from before that, and lists them.
 // Cause: targets that had vanished are taken for those that had left.
-func TestLapsedTargetsThatACopyListsServe(t *testing.T) {
-	f := newEraFleet(t, 1)
-	full := f.backup()
+func TestMissingTargetsListedByRestoreServe(t *testing.T) {
+	f := newFleetWithEra(t, 1)
+	before := f.backup()
 	for id, target := range maps.Clone(f.targets) {
 		if target.Service == "ledger" {
 			f.remove(id)
 		}
 	}
 	f.step(2 * time.Second)
-	f.restore(full)
+	f.restore(before)
 	f.step(1200 * time.Millisecond)
 	f.requireAll(drained, true, false)
 	c := f.caller(1, readRoute)
@@ -195,15 +195,15 @@
 }
 
 // A target that had vanished without draining may have crashed: others come first.
-func TestTargetThatHadVanishedIsALastChoice(t *testing.T) {
-	f := newEraFleet(t, 1)
+func TestTargetMissingBeforeRestoreIsLastResort(t *testing.T) {
+	f := newFleetWithEra(t, 1)
 	before := f.backup()
 	f.remove(drained)
 	f.step(2 * time.Second)
 	f.restore(before)
 	f.step(1300 * time.Millisecond)
 	f.requireAll(drained, true, false)
-	require.NotEmpty(t, statusOf(f, "a1", drained).Avoided)
+	require.NotEmpty(t, statusOf(f, "a1", drained).AvoidReason)
 	for n := range 40 {
 		c := f.caller(n+1, readRoute)
 		c.open("a1", 0)
@@ -215,12 +215,12 @@
 // Symptom: all callers are refused though every target works. Sequence: the order to evacuate
 // a zone is taken back, and one for the other zone given; the copy is from before both. Cause:
 // the order that the copy has counts beside the one that it lacks.
-func TestOrdersOfACopyLeaveSomeZone(t *testing.T) {
-	f := newEraFleet(t, 1, 1)
+func TestConflictingOrdersAfterRestoreLeaveOneZone(t *testing.T) {
+	f := newFleetWithEra(t, 1, 1)
 	f.evacuate("a")
 	f.step(3 * time.Second)
 	before := f.backup()
-	f.takeBack("a")
+	f.withdrawEvacuation("a")
 	f.evacuate("b")
 	f.step(3 * time.Second)
 	c := f.caller(1, readRoute)
@@ -228,7 +228,7 @@
 	require.NotEmpty(t, c.target)
 	f.restore(before)
 	f.step(2 * time.Second)
-	require.Equal(t, []string{"a", "b"}, f.knowledge("a1").Evacuated)
+	require.Equal(t, []string{"a", "b"}, f.syncStatus("a1").Evacuated)
 	c = f.caller(2, readRoute)
 	c.open("a1", 0)
 	require.NotEmpty(t, c.target)
@@ -243,8 +243,8 @@
 // replaced and the old ones drain; the copy is from before that. Cause: the old ones get no
 // flows since they drain, the new ones none since the copy lacks them and they have had no
 // flow of late.
-func TestTargetsThatACopyLacksServeThoughTheyAreIdle(t *testing.T) {
-	f := newEraFleet(t, 1)
+func TestIdleTargetsAbsentFromBackupServe(t *testing.T) {
+	f := newFleetWithEra(t, 1)
 	before := f.backup()
 	for _, id := range slices.Sorted(maps.Keys(f.targets)) {
 		if f.targets[id].Service == "ledger" {
@@ -264,15 +264,15 @@
 	c.open("a1", 0)
 	require.NotEmpty(t, c.target)
 	require.Contains(t, []string{"i-10000019", "i-1000001a"}, c.target)
-	f.step(steerer.TickEvery + 4*time.Second)
-	require.Contains(t, statusOf(f, "a1", "i-10000019").Avoided, "no longer listed")
+	f.step(steerer.TickInterval + 4*time.Second)
+	require.Contains(t, statusOf(f, "a1", "i-10000019").AvoidReason, "no longer listed")
 }
 
 // Symptom: flows are cut by the end of a target that had said so. Sequence: it drains; the
 // copy is from before that; its entry is removed, while its open flows go on. Cause: what
 // vanishes and lives is taken for an entry that lapsed.
-func TestTargetThatDrainedAndIsRemovedAfterARestoreGetsNothing(t *testing.T) {
-	f := newEraFleet(t, 1)
+func TestDrainedTargetRemovedAfterRestoreGetsNoFlows(t *testing.T) {
+	f := newFleetWithEra(t, 1)
 	before := f.backup()
 	var last *caller
 	for n := 0; last == nil || last.target != drained; n++ {
@@ -286,9 +286,9 @@
 	f.step(1200 * time.Millisecond)
 	f.remove(drained)
 	f.step(1200 * time.Millisecond)
-	last.ask("a1")
-	f.step(steerer.TickEvery)
-	last.thank("a1")
+	last.sendRequest("a1")
+	f.step(steerer.TickInterval)
+	last.ackResponse("a1")
 	f.requireAll(drained, false, false)
 	for n := range 40 {
 		c := f.caller(n+1000, readRoute)
@@ -301,17 +301,17 @@
 // it was written late in the ended era, as the copy has it; the platform is restored; it drains,
 // and a host that has not heard of that tells what it knows. Cause: a state that keeps the
 // revision of the ended era and is told as of the new one.
-func TestStatesAreToldAsOfTheNewEra(t *testing.T) {
-	f := newEraFleet(t, 1)
+func TestSyncResponseUsesPositionsOfNewEra(t *testing.T) {
+	f := newFleetWithEra(t, 1)
 	before := f.backup()
 	f.drain(drained)
 	f.step(2 * time.Second)
 	f.revision += 500
-	f.put(before.targets[drained])
+	f.writeEntry(before.targets[drained])
 	f.step(2 * time.Second)
 	f.restore(before)
 	f.step(2 * time.Second)
-	k := f.hosts["a1"].steerer.Knowledge(&messenger.SyncRequest{IncludeTargets: true})
+	k := f.hosts["a1"].steerer.SyncResponse(&messenger.SyncRequest{IncludeTargets: true})
 	require.Equal(t, uint64(4), k.TargetsEra)
 	require.NotEmpty(t, k.Targets)
 	for _, state := range k.Targets {
--- a/core/steerer/returning_test.go
+++ b/core/steerer/returning_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// ready counts the hosts of a zone that are ready.
-func (f *fleet) ready(zone string) int {
+// readyHosts counts the hosts of a zone that are ready.
+func (f *fleet) readyHosts(zone string) int {
 	count := 0
 	for _, name := range f.names {
 		if name[:1] == zone && f.hosts[name].running && f.hosts[name].steerer.Ready() {
@@ -24,7 +24,7 @@
 // start. Sequence: a zone loses power; other zones carry its callers; its hosts start one
 // after the other. Cause: the first that is ready draws the packets of all to hosts that
 // have not started yet.
-func TestZoneThatComesBackWaitsForMostOfItsHosts(t *testing.T) {
+func TestRecoveringZoneWaitsForMajorityOfHosts(t *testing.T) {
 	f := newFleet(t, 6, 3)
 	for _, name := range f.names[:6] {
 		f.kill(name)
@@ -34,21 +34,21 @@
 		f.start(name)
 		f.step(300 * time.Millisecond)
 	}
-	require.Zero(t, f.ready("a"))
+	require.Zero(t, f.readyHosts("a"))
 	for _, name := range f.names[2:4] {
 		f.start(name)
 	}
 	f.step(400 * time.Millisecond)
-	require.Equal(t, 4, f.ready("a"), "more than half are there")
+	require.Equal(t, 4, f.readyHosts("a"), "more than half are there")
 	f.start(f.names[4])
 	f.step(100 * time.Millisecond)
-	require.Equal(t, 5, f.ready("a"))
+	require.Equal(t, 5, f.readyHosts("a"))
 }
 
 // Symptom: nobody is served for a second after a loss of all hosts. Sequence: all zones
 // lose power and start again. Cause: hosts wait for each other though nobody else carries
 // their callers.
-func TestNobodyWaitsAfterALossOfAllZones(t *testing.T) {
+func TestHostsDoNotWaitAfterLossOfAllZones(t *testing.T) {
 	f := newFleet(t, 6, 3)
 	for _, name := range f.names {
 		f.kill(name)
@@ -58,28 +58,28 @@
 	f.step(100 * time.Millisecond)
 	report := messenger.Report{Address: f.hosts["b1"].address, AvailabilityZone: "b", SettingsRevision: 1, ReceiverZoneHosts: 6, Uptime: 200 * time.Millisecond}
 	f.reduce("a1", &steerer.ReportReceived{From: "b1", Report: &report})
-	require.Equal(t, 1, f.ready("a"), "the host of the other zone has just started, too")
+	require.Equal(t, 1, f.readyHosts("a"), "the host of the other zone has just started, too")
 	report.Uptime = time.Minute
 	f.reduce("a1", &steerer.ReportReceived{From: "b1", Report: &report})
-	require.Zero(t, f.ready("a"), "one that has run on carries the callers")
+	require.Zero(t, f.readyHosts("a"), "one that has run on carries the callers")
 }
 
 // A host whose neighbours never come back is ready all the same, and one that restarts
 // alone at once.
-func TestHostWaitsForItsZoneForAWhileOnly(t *testing.T) {
+func TestHostWaitForZoneIsBounded(t *testing.T) {
 	f := newFleet(t, 6, 3)
 	f.kill("a1")
 	f.step(3 * time.Second)
 	f.start("a1")
 	f.step(300 * time.Millisecond)
-	require.Equal(t, 6, f.ready("a"), "a host that restarts alone")
+	require.Equal(t, 6, f.readyHosts("a"), "a host that restarts alone")
 	for _, name := range f.names[:6] {
 		f.kill(name)
 	}
 	f.step(3 * time.Second)
 	f.start("a1")
 	f.step(500 * time.Millisecond)
-	require.Zero(t, f.ready("a"))
+	require.Zero(t, f.readyHosts("a"))
 	f.step(1200 * time.Millisecond)
-	require.Equal(t, 1, f.ready("a"))
+	require.Equal(t, 1, f.readyHosts("a"))
 }
--- a/core/steerer/sampling_internal_test.go
+++ b/core/steerer/sampling_internal_test.go
@@ -7,52 +7,52 @@
 )
 
 // Failure: each new flow costs as much as its zone has targets of the service.
-func TestChoiceAmongManyIdleTargetsLooksAtFew(t *testing.T) {
-	s := serviceOf(12_000)
+func TestSamplingVisitsFewOfManyIdleTargets(t *testing.T) {
+	s := hostWithTargets(12_000)
 	for n := range uint64(100) {
-		before := s.targets.visits
-		require.NotNil(t, s.choose(choice{service: "ledger", hash: nextDraw(n)}))
-		require.LessOrEqual(t, s.targets.visits-before, uint64(sampleSize))
+		before := s.targets.entriesVisited
+		require.NotNil(t, s.chooseTarget(placement{service: "ledger", hash: splitMix64(n)}))
+		require.LessOrEqual(t, s.targets.entriesVisited-before, uint64(sampleSize))
 	}
 }
 
 // Failure: a sample finds a target that leaves, or a busy one while most are idle.
-func TestSampledTargetsAreAsGoodAsAny(t *testing.T) {
-	s := serviceOf(1_000)
+func TestSamplingPicksIdleTargets(t *testing.T) {
+	s := hostWithTargets(1_000)
 	for n, one := range s.targets.byService["ledger"] {
 		switch n % 4 {
 		case 0:
 			one.Draining = true
 		case 1:
-			one.busy = 1
+			one.pendingRequests = 1
 		}
 	}
 	for n := range uint64(2_000) {
-		to := s.choose(choice{service: "ledger", hash: nextDraw(n)})
+		to := s.chooseTarget(placement{service: "ledger", hash: splitMix64(n)})
 		require.False(t, to.Draining)
-		require.Zero(t, to.busy)
+		require.Zero(t, to.pendingRequests)
 	}
 }
 
 // Failure: the least busy target is passed over because it is in no sample.
-func TestAllTargetsAreLookedAtWhereSampledOnesAreBusy(t *testing.T) {
-	s := serviceOf(1_000)
+func TestAllTargetsAreScannedWhenSampledTargetsAreBusy(t *testing.T) {
+	s := hostWithTargets(1_000)
 	all := s.targets.byService["ledger"]
 	for _, one := range all {
-		one.busy = 2
+		one.pendingRequests = 2
 	}
-	all[700].busy = 1
+	all[700].pendingRequests = 1
 	for n := range uint64(50) {
-		require.Equal(t, all[700].ID, s.choose(choice{service: "ledger", hash: nextDraw(n)}).ID)
+		require.Equal(t, all[700].ID, s.chooseTarget(placement{service: "ledger", hash: splitMix64(n)}).ID)
 	}
 }
 
 // Failure: samples favour some targets, which get a crowd of flows before anybody knows.
 func TestSamplesSpreadFlowsEvenly(t *testing.T) {
-	s := serviceOf(200)
+	s := hostWithTargets(200)
 	chosen := map[string]int{}
 	for n := range uint64(40_000) {
-		chosen[s.choose(choice{service: "ledger", hash: nextDraw(n)}).ID]++
+		chosen[s.chooseTarget(placement{service: "ledger", hash: splitMix64(n)}).ID]++
 	}
 	require.Len(t, chosen, 200)
 	for id, count := range chosen {
--- a/core/steerer/settings.go
+++ b/core/steerer/settings.go
@@ -26,8 +26,8 @@
 	KindDownload
 )
 
-// repeatable reports whether requests of the kind may run more than once.
-func (k Kind) repeatable() bool { return k == KindIdempotent || k == KindDownload }
+// retryable reports whether requests of the kind may run more than once.
+func (k Kind) retryable() bool { return k == KindIdempotent || k == KindDownload }
 
 func (k Kind) String() string {
 	switch k {
@@ -43,8 +43,8 @@
 	return "unknown"
 }
 
-// Share is a service's part of the new flows of a route.
-type Share struct {
+// WeightedService is a service's part of the new flows of a route.
+type WeightedService struct {
 	Service string
 	Weight  int
 }
@@ -53,9 +53,9 @@
 type Route struct {
 	Name    string
 	Address netip.AddrPort
-	// Shares has at least one entry, sorted by service.
-	Shares []Share
-	Kind   Kind
+	// TrafficSplit has at least one entry, sorted by service.
+	TrafficSplit []WeightedService
+	Kind         Kind
 	// Timeout bounds a request, LatencyObjective is what callers hope for.
 	Timeout          time.Duration
 	LatencyObjective time.Duration
@@ -65,23 +65,23 @@
 	Regions []string
 }
 
-// serviceFor picks a service by a flow's hash, in proportion to the weights.
-func (r Route) serviceFor(hash uint64) string {
+// pickService picks a service by a flow's hash, in proportion to the weights.
+func (r Route) pickService(hash uint64) string {
 	total := 0
-	for _, share := range r.Shares {
+	for _, share := range r.TrafficSplit {
 		total += share.Weight
 	}
 	if total <= 0 {
-		return r.Shares[0].Service
+		return r.TrafficSplit[0].Service
 	}
 	at := int(hash % uint64(total))
-	for _, share := range r.Shares {
+	for _, share := range r.TrafficSplit {
 		if at < share.Weight {
 			return share.Service
 		}
 		at -= share.Weight
 	}
-	return r.Shares[0].Service
+	return r.TrafficSplit[0].Service
 }
 
 // Service is a group of targets that run the same requests.
@@ -89,10 +89,10 @@
 	Name string
 	// HealthPath is the path of the targets' liveness check.
 	HealthPath string
-	// WarmUp is for how long a target is cold after a start, and WarmUpPerSecond how many
+	// WarmUp is for how long a target is cold after a start, and WarmUpFlowsPerSecond how many
 	// new flows a second it bears meanwhile; 0 is any number.
-	WarmUp          time.Duration
-	WarmUpPerSecond float64
+	WarmUp               time.Duration
+	WarmUpFlowsPerSecond float64
 	// MaxConnections is how many flows each target holds at once; 0 is any number.
 	MaxConnections int
 }
@@ -104,47 +104,47 @@
 	Services []Service
 	// IdleTimeout is after how long an idle flow may be forgotten.
 	IdleTimeout time.Duration
-	// Faults lists the published routes that could not be read.
-	Faults    []RouteFault
-	byAddress map[netip.AddrPort]int
+	// RouteProblems lists the published routes that could not be read.
+	RouteProblems []RouteProblem
+	byAddress     map[netip.AddrPort]int
 }
 
-// RouteFault is a published route that could not be read, with the reason.
-type RouteFault struct {
+// RouteProblem is a published route that could not be read, with the reason.
+type RouteProblem struct {
 	Route string
 	Err   error
 }
 
 // MarshalText writes a fault for operators.
-func (f RouteFault) MarshalText() ([]byte, error) { return []byte(f.String()), nil }
+func (f RouteProblem) MarshalText() ([]byte, error) { return []byte(f.String()), nil }
 
-func (f RouteFault) String() string { return fmt.Sprintf("route %q: %v", f.Route, f.Err) }
+func (f RouteProblem) String() string { return fmt.Sprintf("route %q: %v", f.Route, f.Err) }
 
-// WithFaults returns the settings with a list of routes that could not be read.
-func (s *Settings) WithFaults(faults []RouteFault) *Settings {
+// WithRouteProblems returns the settings with a list of routes that could not be read.
+func (s *Settings) WithRouteProblems(problems []RouteProblem) *Settings {
 	next := *s
-	next.Faults = faults
+	next.RouteProblems = problems
 	return &next
 }
 
-// keeping returns the settings with the routes of an earlier version that could not
+// keepUnreadableRoutes returns the settings with the routes of an earlier version that could not
 // be read in this one.
 //
 // What goes wrong otherwise: operators publish a route in a form that this host does
 // not know yet. It takes the route for removed, refuses its new flows and resets its
 // open ones, while the operators only changed a detail.
-func (s *Settings) keeping(earlier *Settings) *Settings {
-	if earlier == nil || len(s.Faults) == 0 {
+func (s *Settings) keepUnreadableRoutes(earlier *Settings) *Settings {
+	if earlier == nil || len(s.RouteProblems) == 0 {
 		return s
 	}
 	routes := slices.Clone(s.Routes)
-	for _, fault := range s.Faults {
-		route, known := earlier.named(fault.Route)
+	for _, fault := range s.RouteProblems {
+		route, known := earlier.routeByName(fault.Route)
 		if _, taken := s.RouteAt(route.Address); known && !taken {
 			routes = append(routes, route)
 		}
 	}
-	return NewSettings(s.Version, routes, s.Services, s.IdleTimeout).WithFaults(s.Faults)
+	return NewSettings(s.Version, routes, s.Services, s.IdleTimeout).WithRouteProblems(s.RouteProblems)
 }
 
 // NewSettings indexes a version.
@@ -173,9 +173,9 @@
 // service returns what is published of a service, of which nothing may be.
 func (s *Settings) service(name string) Service {
 	if s != nil {
-		for _, one := range s.Services {
-			if one.Name == name {
-				return one
+		for _, service := range s.Services {
+			if service.Name == name {
+				return service
 			}
 		}
 	}
--- a/core/steerer/slots_internal_test.go
+++ b/core/steerer/slots_internal_test.go
@@ -10,9 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// wholeSum adds up the slots of all of a service's choices by zone.
-func wholeSum(s *Steerer, service string) []microSlots {
-	sum := make([]microSlots, len(s.targets.slotsOf(service).byZone))
+// fullSlotTotals adds up the slots of all of a service's choices by zone.
+func fullSlotTotals(s *Steerer, service string) []microSlots {
+	sum := make([]microSlots, len(s.targets.slotTotalsOf(service).byZone))
 	for _, t := range s.targets.byService[service] {
 		sum[t.zone] += s.usableSlots(t)
 	}
@@ -21,74 +21,74 @@
 
 // Failure: callers are refused though there is room, or let in though there is none, because
 // a sum that is kept up to date has missed a change.
-func TestSlotsFollowEachChange(t *testing.T) {
+func TestSlotTotalsFollowEachChange(t *testing.T) {
 	random := rand.New(rand.NewPCG(2, 2))
 	s := New(Config{Self: "a1", AvailabilityZone: "a"})
 	s.settings = NewSettings(1, nil, []Service{{Name: "ledger"}}, 15*time.Second)
 	s.targetsPosition = sequencer.At(0, 1)
 	for step := range uint64(2000) {
 		s.now = s.now.Add(20 * time.Millisecond)
-		changeSomething(s, random, sequencer.At(0, 2+step))
-		got := s.countSlots("ledger").byZone
-		require.Equal(t, wholeSum(s, "ledger"), got, "step %d", step)
+		applyRandomChange(s, random, sequencer.At(0, 2+step))
+		got := s.updateSlotTotals("ledger").byZone
+		require.Equal(t, fullSlotTotals(s, "ledger"), got, "step %d", step)
 	}
 }
 
 // Failure: in a large fleet what a host believes of the room costs as much as its targets
 // are many, for each caller.
-func TestRoomOfALargeServiceIsCountedInParts(t *testing.T) {
-	s := serviceOf(12_000)
-	s.countSlots("ledger")
-	before := s.targets.visits
+func TestLargeServiceIsRecountedInBatches(t *testing.T) {
+	s := hostWithTargets(12_000)
+	s.updateSlotTotals("ledger")
+	before := s.targets.entriesVisited
 	s.targets.byID["i-10000005"].Draining = true
-	s.targets.noteUncounted(s.targets.byID["i-10000005"])
-	sum := s.countSlots("ledger").byZone
-	require.LessOrEqual(t, s.targets.visits-before, uint64(recountStep))
-	require.Equal(t, wholeSum(s, "ledger"), sum)
+	s.targets.markForRecount(s.targets.byID["i-10000005"])
+	sum := s.updateSlotTotals("ledger").byZone
+	require.LessOrEqual(t, s.targets.entriesVisited-before, uint64(recountBatch))
+	require.Equal(t, fullSlotTotals(s, "ledger"), sum)
 }
 
 // Failure: targets that turn cold, or warm up, without anything being told of them count as
 // before for good.
-func TestRoomOfALargeServiceFollowsTimeWithinSomeViews(t *testing.T) {
-	s := serviceOf(1_000)
+func TestSlotTotalsFollowWarmUpWithinOneCycle(t *testing.T) {
+	s := hostWithTargets(1_000)
 	for _, one := range s.targets.byService["ledger"] {
 		one.warmUpDeadline = s.now.Add(time.Second)
 	}
-	for range 1 + 1_000/recountStep {
-		s.countSlots("ledger")
+	for range 1 + 1_000/recountBatch {
+		s.updateSlotTotals("ledger")
 	}
-	require.Equal(t, wholeSum(s, "ledger"), s.targets.slotsOf("ledger").byZone)
+	require.Equal(t, fullSlotTotals(s, "ledger"), s.targets.slotTotalsOf("ledger").byZone)
 	s.now = s.now.Add(2 * time.Second)
-	for range 1 + 1_000/recountStep {
-		s.countSlots("ledger")
+	for range 1 + 1_000/recountBatch {
+		s.updateSlotTotals("ledger")
 	}
-	require.Equal(t, wholeSum(s, "ledger"), s.targets.slotsOf("ledger").byZone)
-	require.Equal(t, 2_000*slot, s.targets.slotsOf("ledger").byZone[0])
+	require.Equal(t, fullSlotTotals(s, "ledger"), s.targets.slotTotalsOf("ledger").byZone)
+	require.Equal(t, 2_000*oneSlot, s.targets.slotTotalsOf("ledger").byZone[0])
 }
 
-// serviceOf is a host that knows some targets of ledger in one zone.
-func serviceOf(targets int) *Steerer {
+// hostWithTargets is a host that knows some targets of ledger in one zone.
+func hostWithTargets(targets int) *Steerer {
 	s := New(Config{Self: "a1", AvailabilityZone: "a", MaxFlows: 100_000})
 	s.now = s.now.Add(time.Second)
 	s.settings = NewSettings(1, nil, []Service{{Name: "ledger"}}, 15*time.Second)
 	list := TargetList{Position: sequencer.At(0, 1)}
 	for n := range targets {
 		id := fmt.Sprintf("i-%08x", 0x10000000+n)
-		number, _ := NumberOf(id)
+		number, _ := ParseTargetNumber(id)
 		list.Targets = append(list.Targets, Target{ID: id, Number: number, Service: "ledger", AvailabilityZone: "a", Slots: 2})
 	}
-	s.takeList(list)
+	s.applyTargetList(list)
 	return s
 }
 
 // Failure: a host that places no flows keeps every target that was ever replaced, because
 // nobody counts its slots.
-func TestForgottenTargetsAreNotCounted(t *testing.T) {
-	s := serviceOf(10)
-	before := len(s.targets.uncounted)
+func TestRemovedTargetsAreNotRecounted(t *testing.T) {
+	s := hostWithTargets(10)
+	before := len(s.targets.slotsStale)
 	gone := s.targets.byID["i-10000005"]
-	s.takeMissing(gone, sequencer.At(0, 2), "test")
+	s.markMissing(gone, sequencer.At(0, 2), "test")
 	s.targets.remove(gone)
-	require.NotContains(t, s.targets.uncounted, gone)
-	require.Len(t, s.targets.uncounted, before-1)
+	require.NotContains(t, s.targets.slotsStale, gone)
+	require.Len(t, s.targets.slotsStale, before-1)
 }
--- a/core/steerer/steerer.go
+++ b/core/steerer/steerer.go
@@ -30,9 +30,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// TickEvery is how often a host sends Tick events. Stalls are noticed from
+// TickInterval is how often a host sends Tick events. Stalls are noticed from
 // packets; ticks only drive reads, reports and forgetting.
-const TickEvery = 50 * time.Millisecond
+const TickInterval = 50 * time.Millisecond
 
 // Config is what a steerer needs to know of its host.
 type Config struct {
@@ -46,21 +46,21 @@
 	Incarnation uint64
 	// Seed makes every random choice repeatable.
 	Seed uint64
-	// FirstStart says that the whole fleet starts for the first time, before any
+	// Bootstrap says that the whole fleet starts for the first time, before any
 	// traffic.
-	FirstStart bool
-	// SettingsWithin and DrainingWithin are the times within which this host has to
+	Bootstrap bool
+	// SettingsPropagationLimit and DrainingPropagationLimit are the times within which this host has to
 	// know new settings, and targets that drain.
-	SettingsWithin time.Duration
-	DrainingWithin time.Duration
-	// EvacuatedWithin is the same for orders to evacuate a zone; 0 is as for settings.
-	EvacuatedWithin time.Duration
+	SettingsPropagationLimit time.Duration
+	DrainingPropagationLimit time.Duration
+	// EvacuationPropagationLimit is the same for orders to evacuate a zone; 0 is as for settings.
+	EvacuationPropagationLimit time.Duration
 	// Regions gives the region of each availability zone.
 	Regions map[string]string
-	// ColdOverage times what cold targets bear for long, and ColdAllowance more, is what
+	// ColdBurstFactor times what cold targets bear for long, and ColdBurstAllowance more, is what
 	// they bear in any one second.
-	ColdOverage   float64
-	ColdAllowance float64
+	ColdBurstFactor    float64
+	ColdBurstAllowance float64
 	// Quotas bound the requests of some callers.
 	Quotas []throttler.Quota
 	// MaxFlows bounds the flows that are remembered.
@@ -80,8 +80,8 @@
 	document []byte
 	// settingsFrom is where they came from: fromPlatform, or a host's name.
 	settingsFrom string
-	// removed names the addresses of routes that a later version dropped.
-	removed map[netip.AddrPort]bool
+	// removedRoutes names the addresses of routes that a later version dropped.
+	removedRoutes map[netip.AddrPort]bool
 
 	// evacuator keeps the orders to evacuate zones, warmer this host's tickets for cold
 	// targets.
@@ -92,49 +92,49 @@
 	// throttler keeps what callers ask, and their quotas.
 	throttler *throttler.Throttler
 
-	targets table
+	targets targetTable
 	// targetsPosition is the newest position of the platform's history that is reflected
 	// in targets.
 	targetsPosition sequencer.Position
 	// targetSweepDeadline is when all targets are next looked at.
 	targetSweepDeadline timekeeper.Instant
-	// malformed holds the digests of entries that name no target and were logged.
-	malformed map[uint64]bool
+	// loggedMalformed holds the digests of entries that name no target and were logged.
+	loggedMalformed map[uint64]bool
 
 	flows map[flowKey]*flow
 	// flowSweepDeadline is when forgotten flows are next looked for.
 	flowSweepDeadline timekeeper.Instant
-	// unopened are flows that should have opened within a round trip, opening those that
+	// awaitedOpenings are flows that should have opened within a round trip, opening those that
 	// should have opened, or sent a copy, by the time of a caller's repeat.
-	unopened flowChecks
-	opening  flowChecks
-	// held are packets that came before this host knew where packets go.
-	held    []heldPacket
-	reading reading
-	asking  asking
-	peers   peers
-	pause   pause
-	path    path
-	// usual holds the usual time until an answer, by route.
-	usual map[string]*usualTime
+	awaitedOpenings flowTimers
+	overdueOpenings flowTimers
+	// heldPackets are packets that came before this host knew where packets go.
+	heldPackets []heldPacket
+	reading     platformReads
+	asking      peerSync
+	peers       peers
+	pause       pause
+	path        path
+	// baselines holds the usual time until an answer, by route.
+	baselines map[string]*medianEstimator
 	// services holds the load of each service, paced counts the requests that wait at
 	// this host, and underWay lists those that were passed on, the oldest first.
 	services map[string]*service
-	reach    reach
+	reach    peerVisibility
 	paced    int
-	underWay flowChecks
-	leaving  leaving
+	inFlight flowTimers
+	leaving  shutdown
 	// estimating is how fast targets are.
-	estimating estimating
+	estimating slowdownEstimates
 	// connections is what is known of the flows at targets that hold only so many.
-	connections connections
+	connections connectionState
 
 	effects   []Effect
-	toTargets []ToTarget
+	forwards  []ForwardPacket
 	zoneViews []zoneView
-	counts    Counts
-	// own is what reports of the present event tell of the targets.
-	own ownNews
+	counts    Counters
+	// ownReport is what reports of the present event tell of the targets.
+	ownReport targetObservations
 	// selfHash is the hash of this host's name.
 	selfHash uint64
 }
@@ -144,32 +144,32 @@
 	// Hosts that start in the same moment with the same seed must not choose alike.
 	own := xxhash.Sum64String(config.Self)
 	s := &Steerer{
-		config:  config,
-		now:     config.Start,
-		random:  rand.New(rand.NewPCG(config.Seed^own, config.Incarnation)),
-		removed: map[netip.AddrPort]bool{},
+		config:        config,
+		now:           config.Start,
+		random:        rand.New(rand.NewPCG(config.Seed^own, config.Incarnation)),
+		removedRoutes: map[netip.AddrPort]bool{},
 
-		malformed: map[uint64]bool{},
+		loggedMalformed: map[uint64]bool{},
 
-		targets:  newTable(config.AvailabilityZone),
-		selfHash: own,
-		flows:    map[flowKey]*flow{},
-		peers:    newPeers(),
-		usual:    map[string]*usualTime{},
-		services: map[string]*service{},
+		targets:   newTargetTable(config.AvailabilityZone),
+		selfHash:  own,
+		flows:     map[flowKey]*flow{},
+		peers:     newPeers(),
+		baselines: map[string]*medianEstimator{},
+		services:  map[string]*service{},
 
-		estimating: estimating{zones: map[serviceZone]*estimator.Zone{}},
+		estimating: slowdownEstimates{zones: map[serviceZone]*estimator.Zone{}},
 
 		evacuator: evacuator.New(),
 		warmer:    warmer.New(config.Self, config.Start),
 		diagnoser: diagnoser.New(),
 		throttler: throttler.New(config.Quotas),
 
-		connections: newConnections(config.Self, config.Start),
+		connections: newConnectionState(config.Self, config.Start),
 	}
 	s.pause.lastTick = config.Start
-	if config.FirstStart && !slices.Contains(config.Seeds, config.Address) {
-		s.reading.wait(config.Start.Add(firstStartPatience))
+	if config.Bootstrap && !slices.Contains(config.Seeds, config.Address) {
+		s.reading.delayUntil(config.Start.Add(fleetStartGrace))
 	}
 	return s
 }
@@ -179,69 +179,69 @@
 func (s *Steerer) Reduce(event Event) []Effect {
 	clear(s.effects)
 	s.effects = s.effects[:0]
-	s.toTargets = s.toTargets[:0]
-	s.own.known = false
-	s.advance(*event.at())
+	s.forwards = s.forwards[:0]
+	s.ownReport.valid = false
+	s.advanceClock(*event.at())
 	switch event := event.(type) {
 	case *CallerPacket:
-		s.callerPacket(&event.Packet)
+		s.callerPacketReceived(&event.Packet)
 	case *SettingsRead:
-		s.settingsRead(event)
+		s.handleSettingsRead(event)
 	case *TargetsRead:
-		s.targetsRead(event)
-	case *Probed:
-		s.probed(event)
+		s.handleTargetsRead(event)
+	case *ProbeCompleted:
+		s.probeCompleted(event)
 	case *ReportReceived:
-		s.reportReceived(event)
-	case *HostAnswered:
-		s.hostAnswered(event)
+		s.handleReport(event)
+	case *SyncResponseReceived:
+		s.handleSyncResponse(event)
 	case *Tick:
-		s.noteTransfers(event.TransfersReceived, event.TransfersSent)
+		s.recordTransfers(event.TransfersReceived, event.TransfersSent)
 		s.tick()
 	case *Shutdown:
-		s.beginLeaving()
+		s.beginShutdown()
 	case *SeedsChanged:
 		s.config.Seeds = event.Seeds
 	}
-	s.releaseHeld()
+	s.releaseHeldPackets()
 	return s.effects
 }
 
-// advance moves time forward; it never goes back, even if events were stamped
+// advanceClock moves time forward; it never goes back, even if events were stamped
 // out of order.
-func (s *Steerer) advance(at timekeeper.Instant) { s.now = max(s.now, at) }
+func (s *Steerer) advanceClock(at timekeeper.Instant) { s.now = max(s.now, at) }
 
 func (s *Steerer) tick() {
-	s.notePause()
-	s.connectionsTick()
+	s.detectPause()
+	s.connectionTick()
 	s.checkOpenings()
-	s.estimatingTick()
-	s.assessTick()
-	s.pacingTick()
+	s.estimatesTick()
+	s.capacityTick()
+	s.queueTick()
 	s.expireFlows()
 	s.targetsTick()
 	s.expireOrders()
 	s.peersTick()
-	s.shareQuotas()
-	s.readingTick()
-	s.askingTick()
-	s.leavingTick()
+	s.divideQuotas()
+	s.readTick()
+	s.syncTick()
+	s.shutdownTick()
 }
 
 func (s *Steerer) emit(effect Effect) { s.effects = append(s.effects, effect) }
 
 func (s *Steerer) log(event string, fields ...Field) {
-	s.emit(&Logged{recorder.Line{Event: event, Fields: fields}})
+	s.emit(&WriteLog{recorder.Line{Event: event, Fields: fields}})
 }
 
-func (s *Steerer) sendTarget(to *target, tag Tag, data []byte) {
-	s.noteBytes(0, len(data)+packetOverhead)
-	s.toTargets = append(s.toTargets, ToTarget{Address: to.Address, Number: to.Number, Tag: tag, Data: data})
-	s.emit(&s.toTargets[len(s.toTargets)-1])
+func (s *Steerer) forward(to *target, tag Tag, data []byte) {
+	s.recordLinkBytes(0, len(data)+packetOverheadBytes)
+	s.forwards = append(s.forwards, ForwardPacket{Address: to.Address, Number: to.Number, Tag: tag, Data: data})
+	s.emit(&s.forwards[len(s.forwards)-1])
 }
 
 // Ready reports whether the host can place new flows and the fabric should
 // hand it packets.
 func (s *Steerer) Ready() bool {
-	return s.knows() && !s.leaving.begun && !s.awaitsZone()
+	return s.canRoute() && !s.leaving.started && !s.waitsForZone()
 }
--- a/core/steerer/steering.go
+++ b/core/steerer/steering.go
@@ -4,76 +4,76 @@
 // packets of 1,200 bytes. Data beyond it shows that the target lives.
 const windowBytes = 16 * 1200
 
-func (s *Steerer) callerPacket(p *Packet) {
-	if s.stale(p) {
+func (s *Steerer) callerPacketReceived(p *Packet) {
+	if s.isStale(p) {
 		s.dropStale(p)
 		return
 	}
 	s.leaving.lastPacket = s.now
-	s.noteBytes(len(p.Data)+packetOverhead, 0)
-	if !s.knows() {
-		if !s.passUnrouted(p) {
-			s.hold(p)
+	s.recordLinkBytes(len(p.Data)+packetOverheadBytes, 0)
+	if !s.canRoute() {
+		if !s.forwardByTag(p) {
+			s.holdPacket(p)
 		}
 		return
 	}
-	s.steer(p)
+	s.forwardPacket(p)
 }
 
-// steer sends a packet to its target.
-func (s *Steerer) steer(p *Packet) {
-	if p.opens() {
-		s.openingPacket(p)
+// forwardPacket sends a packet to its target.
+func (s *Steerer) forwardPacket(p *Packet) {
+	if p.isOpening() {
+		s.handleOpeningPacket(p)
 		return
 	}
-	s.laterPacket(p)
+	s.handleLaterPacket(p)
 }
 
-// openingPacket chooses a target for a new flow, or for the copy of an opening
+// handleOpeningPacket chooses a target for a new flow, or for the copy of an opening
 // packet.
-func (s *Steerer) openingPacket(p *Packet) {
+func (s *Steerer) handleOpeningPacket(p *Packet) {
 	key := flowKey{p.Caller, p.Service}
 	route, ok := s.settings.RouteAt(p.Service)
 	if !ok {
-		s.refuse(p, "noRoute", field("version", utoa(s.settings.Version)))
+		s.refuseFlow(p, "noRoute", field("version", formatUint(s.settings.Version)))
 		return
 	}
 	f := s.flows[key]
-	if f != nil && (f.opened || f.closed) {
-		s.forget(key, f) // The caller uses the port for a new flow.
+	if f != nil && (f.established || f.closed) {
+		s.forgetFlow(key, f) // The caller uses the port for a new flow.
 		f = nil
 	}
-	service := route.serviceFor(key.hash())
-	c := choice{route: route, service: service, hash: key.hash()}
+	service := route.pickService(key.hash())
+	c := placement{route: route, service: service, hash: key.hash()}
 	if f == nil {
-		s.use(service, &route).asked++
+		s.usageOf(service, &route).requestedFlows++
 	}
 	to := s.chooseForOpening(f, &c)
 	if to == nil {
 		s.refuseWithoutTarget(p, c)
 		return
 	}
-	if f == nil && s.refusesNew(p, &route, service, to) {
+	if f == nil && s.refuseNewFlow(p, &route, service, to) {
 		return
 	}
 	if f == nil || f.target != to {
-		s.notePlaced(to)
+		s.recordColdFlow(to)
 	}
 	if f == nil {
-		f = &flow{target: to, route: route, askedFor: true, openedAt: s.now, lastPacket: s.now}
-		if !s.remember(key, f) {
-			s.sendTarget(to, to.tag, p.Data)
+		f = &flow{target: to, route: route, firstRequestCounted: true, openingSentAt: s.now, lastPacket: s.now}
+		if !s.rememberFlow(key, f) {
+			s.forward(to, to.tag, p.Data)
 			return
 		}
-		s.keepOpening(f, p)
-		s.notePassed(key, f)
+		s.saveOpeningPacket(f, p)
+		s.recordFlowStart(key, f)
 		s.watchOpening(key, to)
 	} else {
-		s.noteCopy(f, to)
-		s.watchCopy(key, f)
+		s.recordOpeningResent(f, to)
+		s.watchResentOpening(key, f)
 	}
 	s.logPlacement(p, f, to)
-	s.sendTarget(to, to.tag, p.Data)
+	s.forward(to, to.tag, p.Data)
 }
 
 // chooseForOpening places a new flow, or the copy of an opening packet.
@@ -82,129 +82,129 @@
 // and the attempt ends after 1.4 s. If every copy goes elsewhere: the answer of
 // the first target was merely lost, and two targets believe in the flow. So a
 // copy goes elsewhere only if the first target has shown no life since.
-func (s *Steerer) chooseForOpening(f *flow, c *choice) *target {
+func (s *Steerer) chooseForOpening(f *flow, c *placement) *target {
 	if f == nil {
-		return s.choose(*c)
+		return s.chooseTarget(*c)
 	}
-	stays := f.target.Service == c.service && s.excluded(f.target, s.views(c)) == notExcluded
-	if stays && f.target.health.lastProgress > f.openedAt && !s.mayBeFull(f) {
+	keepTarget := f.target.Service == c.service && s.exclusionOf(f.target, s.evaluateZones(c)) == notExcluded
+	if keepTarget && f.target.health.lastProgress > f.openingSentAt && !s.possiblyFull(f) {
 		return f.target
 	}
 	c.avoid = f.target
-	return s.choose(*c)
+	return s.chooseTarget(*c)
 }
 
-// noteCopy moves a flow that has not opened to another target.
-func (s *Steerer) noteCopy(f *flow, to *target) {
-	s.noteStall(f.target, "openingCopy", f.openedAt)
-	f.copied = true
-	f.repeated = true
+// recordOpeningResent moves a flow that has not opened to another target.
+func (s *Steerer) recordOpeningResent(f *flow, to *target) {
+	s.recordStall(f.target, "openingCopy", f.openingSentAt)
+	f.openingResent = true
+	f.openingResentByCaller = true
 	f.lastPacket = s.now
 	if f.target != to {
-		s.move(f, to)
+		s.moveFlow(f, to)
 	}
 }
 
-// laterPacket passes a packet on to the target that its tag names.
-func (s *Steerer) laterPacket(p *Packet) {
+// handleLaterPacket passes a packet on to the target that its tag names.
+func (s *Steerer) handleLaterPacket(p *Packet) {
 	key := flowKey{p.Caller, p.Service}
 	f := s.flows[key]
 	to, ok := s.targets.byTag[p.Tag]
 	if !ok {
-		s.unknownTag(p)
+		s.dropUnknownTag(p)
 		return
 	}
 	route, routed := s.settings.RouteAt(p.Service)
-	if !routed && s.removed[p.Service] {
+	if !routed && s.removedRoutes[p.Service] {
 		// The flow's route was dropped; the caller should learn it at once.
 		if f != nil {
-			s.dropPaced(f)
+			s.discardQueued(f)
 		}
 		s.resetFlow(p, f, to, "routeRemoved")
 		return
 	}
 	if f == nil {
-		f = &flow{target: to, route: route, opened: true, openedAt: s.now, sentEnd: p.Sequence, acknowledged: p.Acknowledged, lastPacket: s.now}
-		if !s.remember(key, f) {
-			s.sendTarget(to, 0, p.Data)
+		f = &flow{target: to, route: route, established: true, openingSentAt: s.now, sentEnd: p.Sequence, acknowledged: p.Acknowledged, lastPacket: s.now}
+		if !s.rememberFlow(key, f) {
+			s.forward(to, 0, p.Data)
 			return
 		}
-		s.noteTakenOver(to, p)
+		s.probeIfZoneLost(to, p)
 	}
-	s.noteBulk(f, p)
-	s.follow(f, to, p)
-	if f.paced != nil && s.pacedPacket(f, p) {
+	s.recordBulkFlow(f, p)
+	s.recordEstablished(f, to, p)
+	if f.paced != nil && s.queuePacket(f, p) {
 		return
 	}
-	if s.observe(key, f, p) {
+	if s.observeData(key, f, p) {
 		return
 	}
-	if to.health.unreachable() && f.route.Kind.repeatable() && p.Length > 0 {
+	if to.health.unreachable() && f.route.Kind.retryable() && p.Length > 0 {
 		s.resetFlow(p, f, to, "targetUnreachable")
-		s.forget(key, f)
+		s.forgetFlow(key, f)
 		return
 	}
-	s.sendTarget(to, 0, p.Data)
+	s.forward(to, 0, p.Data)
 	if p.Flags.Has(FlagReset) || p.Flags.Has(FlagEnd) {
-		s.close(key, f)
+		s.closeFlow(key, f)
 	}
 }
 
-// follow notes that a flow is open, and at which target.
-func (s *Steerer) follow(f *flow, to *target, p *Packet) {
+// recordEstablished notes that a flow is open, and at which target.
+func (s *Steerer) recordEstablished(f *flow, to *target, p *Packet) {
 	f.lastPacket = s.now
 	if f.target != to {
-		s.move(f, to)
+		s.moveFlow(f, to)
 	}
-	if f.opened {
+	if f.established {
 		return
 	}
-	f.opened = true
-	f.request = nil
+	f.established = true
+	f.bufferedRequest = nil
 	if !f.closed {
-		s.takePlace(f)
+		s.countConnection(f)
 	}
-	s.use(to.Service, &f.route).opened++
-	s.noteOpened(f)
-	s.noteOpeningTime(f)
-	to.opening--
+	s.usageOf(to.Service, &f.route).establishedFlows++
+	s.recordHandshake(f)
+	s.recordHandshakeTime(f)
+	to.halfOpen--
 	f.sentEnd = p.Sequence
 	f.acknowledged = p.Acknowledged
-	s.noteProgress(to)
+	s.recordProgress(to)
 }
 
-// observe reads from a caller's packet whether its target works, and whether a request
+// observeData reads from a caller's packet whether its target works, and whether a request
 // begins. It reports whether the packet has to wait at this host.
-func (s *Steerer) observe(key flowKey, f *flow, p *Packet) bool {
-	if after(p.Acknowledged, f.acknowledged) {
+func (s *Steerer) observeData(key flowKey, f *flow, p *Packet) bool {
+	if sequenceAfter(p.Acknowledged, f.acknowledged) {
 		f.acknowledged = p.Acknowledged
-		f.unconfirmed = 0
-		s.noteProgress(f.target)
-		s.answered(f)
+		f.unconfirmedBytes = 0
+		s.recordProgress(f.target)
+		s.responseStarted(f)
 	}
 	if p.Length == 0 || f.closed {
 		return false
 	}
 	end := p.Sequence + p.Length
-	if !after(end, f.sentEnd) {
-		if f.waiting {
-			s.noteStall(f.target, "dataRepeated", f.waitingSince)
+	if !sequenceAfter(end, f.sentEnd) {
+		if f.awaitingResponse {
+			s.recordStall(f.target, "dataRepeated", f.requestStartedAt)
 		}
 		return false
 	}
-	f.unconfirmed += p.Length
+	f.unconfirmedBytes += p.Length
 	f.sentEnd = end
-	if f.unconfirmed > windowBytes {
-		f.unconfirmed = 0
-		s.noteProgress(f.target)
+	if f.unconfirmedBytes > windowBytes {
+		f.unconfirmedBytes = 0
+		s.recordProgress(f.target)
 	}
-	if f.waiting {
+	if f.awaitingResponse {
 		f.lastData = s.now
 		return false
 	}
-	s.noteAsked(f)
-	s.chargeRequest(p, f)
-	if s.pace(key, f, p) {
+	s.recordRequestDemand(f)
+	s.chargeQuota(p, f)
+	if s.enqueue(key, f, p) {
 		return true
 	}
 	f.pacedFor = 0
@@ -212,32 +212,32 @@
 	return false
 }
 
-// answered takes in that the caller has the beginning of an answer.
-func (s *Steerer) answered(f *flow) {
-	if !f.waiting {
+// responseStarted takes in that the caller has the beginning of an answer.
+func (s *Steerer) responseStarted(f *flow) {
+	if !f.awaitingResponse {
 		return
 	}
-	took := s.now.Since(f.waitingSince)
-	s.emit(&Answered{Route: f.route, Latency: took + f.pacedFor})
-	s.learnLoad(f, took)
-	s.learnRoom(f, took)
-	s.noteAnswer(f, took)
-	s.setWaiting(f, false)
-	s.passOn(s.service(f.target.Service))
+	took := s.now.Since(f.requestStartedAt)
+	s.emit(&ObserveLatency{Route: f.route, Latency: took + f.pacedFor})
+	s.observeLoad(f, took)
+	s.recordQueueingDelay(f, took)
+	s.recordResponse(f, took)
+	s.setAwaitingResponse(f, false)
+	s.forwardWithinWindow(s.service(f.target.Service))
 }
 
-// unknownTag handles a packet whose target this host does not know.
+// dropUnknownTag handles a packet whose target this host does not know.
 //
 // The target may be new and this host late, or it has ended. A guess would be
 // wrong either way: another target does not have the flow, and a reset breaks
 // it if the target lives. The caller repeats the packet.
-func (s *Steerer) unknownTag(p *Packet) {
+func (s *Steerer) dropUnknownTag(p *Packet) {
 	s.counts.add(DropUnknownTag)
 	s.log("packetDropped", field("flow", p.Caller.String()), field("reason", "unknownTarget"), field("tag", p.Tag.String()), field("targetsAgeMillis", s.targetsAge()))
 }
 
-// refuse tells a caller at once that its flow can't open. Nothing has run.
-func (s *Steerer) refuse(p *Packet, reason string, inputs ...Field) {
+// refuseFlow tells a caller at once that its flow can't open. Nothing has run.
+func (s *Steerer) refuseFlow(p *Packet, reason string, inputs ...Field) {
 	s.counts.add(Refused)
 	s.emit(&ResetFlow{Caller: p.Caller, Service: p.Service})
 	s.log("flowRefused", append([]Field{field("flow", p.Caller.String()), field("service", p.Service.String()), field("reason", reason)}, inputs...)...)
@@ -255,7 +255,7 @@
 
 func (s *Steerer) logPlacement(p *Packet, f *flow, to *target) {
 	s.log("flowPlaced",
-		field("flow", p.Caller.String()), field("route", f.route.Name), field("copy", utoa(uint64(p.Acknowledged))),
-		field("target", to.ID), field("busy", itoa(to.busy)), field("peersBusy", itoa(to.peersBusy)),
-		field("flows", itoa(to.flows)), field("version", utoa(s.settings.Version)), field("targetsAgeMillis", s.targetsAge()))
+		field("flow", p.Caller.String()), field("route", f.route.Name), field("copy", formatUint(uint64(p.Acknowledged))),
+		field("target", to.ID), field("busy", formatInt(to.pendingRequests)), field("peersBusy", formatInt(to.peersBusy)),
+		field("flows", formatInt(to.flows)), field("version", formatUint(s.settings.Version)), field("targetsAgeMillis", s.targetsAge()))
 }
--- a/core/steerer/steering_test.go
+++ b/core/steerer/steering_test.go
@@ -13,30 +13,30 @@
 // Sequence: a flow opens through one host; its later packets come through a host
 // that has never seen it, while its target drains and vanishes from the list.
 // Cause: only the first host knew where the flow is.
-func TestFlowStaysOnItsTargetAtAnyHost(t *testing.T) {
+func TestFlowStaysOnItsTargetThroughAnyHost(t *testing.T) {
 	f := newFleet(t, 2, 2)
 	c := f.caller(1, readRoute)
 	c.open("a1", 0)
 	require.NotEmpty(t, c.target)
 	for _, name := range []string{"a1", "a2", "b1", "b2"} {
-		c.ask(name)
-		require.Equal(t, c.target, f.last(name))
+		c.sendRequest(name)
+		require.Equal(t, c.target, f.lastTarget(name))
 	}
 	f.drain(c.target)
 	f.step(3 * time.Second)
-	c.ask("b1")
-	require.Equal(t, c.target, f.last("b1"), "a draining target keeps its flows")
+	c.sendRequest("b1")
+	require.Equal(t, c.target, f.lastTarget("b1"), "a draining target keeps its flows")
 	f.remove(c.target)
 	f.step(3 * time.Second)
-	c.ask("b2")
-	require.Equal(t, c.target, f.last("b2"), "a target that is not listed may still serve its flows")
+	c.sendRequest("b2")
+	require.Equal(t, c.target, f.lastTarget("b2"), "a target that is not listed may still serve its flows")
 	require.Empty(t, f.hosts["b2"].resets)
 }
 
 // Symptom: a request reaches another service. Sequence: a target ends and its
 // address goes to a target of another service; a late packet of an old flow
 // arrives. Cause: packets that are sent to an address, not to a target.
-func TestLatePacketsNameTheTargetThatIsGone(t *testing.T) {
+func TestLatePacketsAreAddressedToTheMissingTarget(t *testing.T) {
 	f := newFleet(t, 1)
 	c := f.caller(1, readRoute)
 	c.open("a1", 0)
@@ -46,8 +46,8 @@
 	reuser.Address = old.Address
 	f.targets[reuser.ID] = reuser
 	f.step(3 * time.Second)
-	c.ask("a1")
-	require.Equal(t, old.ID, f.last("a1"))
+	c.sendRequest("a1")
+	require.Equal(t, old.ID, f.lastTarget("a1"))
 }
 
 // Symptom: a target that leaves gets new work. Sequence: it drains; callers open
@@ -67,7 +67,7 @@
 // Symptom: an attempt ends after 1.4 s although most targets are well.
 // Sequence: the chosen target is silent; the caller sends copies of its opening
 // packet. Cause: copies that follow the first packet.
-func TestCopyOfAnOpeningPacketAvoidsASilentTarget(t *testing.T) {
+func TestResentOpeningAvoidsUnresponsiveTarget(t *testing.T) {
 	f := newFleet(t, 1)
 	c := f.caller(1, readRoute)
 	c.open("a1", 0)
@@ -80,7 +80,7 @@
 // Symptom: two targets believe in one flow. Sequence: the target's answer to the
 // opening packet is lost; the caller sends a copy. Cause: copies that always go
 // to another target.
-func TestCopyOfAnOpeningPacketStaysWithATargetThatLives(t *testing.T) {
+func TestResentOpeningStaysWithRespondingTarget(t *testing.T) {
 	f := newFleet(t, 1)
 	c := f.caller(1, readRoute)
 	c.open("a1", 0)
@@ -101,32 +101,32 @@
 // Sequence: a route is added; a flow of it opens through a host that knows it;
 // the next packet comes through a host that does not know it yet.
 // Cause: a host that takes its own ignorance for a removed route.
-func TestOpenFlowOfAnUnknownRouteGoesOn(t *testing.T) {
+func TestEstablishedFlowOfUnknownRouteIsForwarded(t *testing.T) {
 	f := newFleet(t, 2)
-	f.turnedAway["a2"] = true
-	f.cut[[2]string{"a1", "a2"}] = true
+	f.deniedHosts["a2"] = true
+	f.cutLinks[[2]string{"a1", "a2"}] = true
 	added := routes()[0]
 	added.Name, added.Address = "added", netip.MustParseAddrPort("198.18.0.9:443")
-	f.settings = settingsOf(2, append(routes(), added))
+	f.settings = newSettings(2, append(routes(), added))
 	f.step(3 * time.Second)
 	c := f.caller(1, added.Address)
 	c.open("a1", 0)
 	require.NotEmpty(t, c.target)
-	c.ask("a2")
-	require.Equal(t, c.target, f.last("a2"))
+	c.sendRequest("a2")
+	require.Equal(t, c.target, f.lastTarget("a2"))
 	require.Empty(t, f.hosts["a2"].resets)
 }
 
 // A caller whose route is gone is told at once: its new flow before anything
 // ran, its open flow as soon as it sends.
-func TestRemovedRouteEndsItsFlows(t *testing.T) {
+func TestFlowsOfRemovedRouteAreReset(t *testing.T) {
 	f := newFleet(t, 1)
 	c := f.caller(1, uploadRoute)
 	c.open("a1", 0)
-	c.ask("a1")
-	f.settings = settingsOf(2, routes()[:2])
+	c.sendRequest("a1")
+	f.settings = newSettings(2, routes()[:2])
 	f.step(2 * time.Second)
-	c.ask("a1")
+	c.sendRequest("a1")
 	require.Len(t, f.hosts["a1"].resets, 1)
 	f.caller(2, uploadRoute).open("a1", 0)
 	require.Len(t, f.hosts["a1"].resets, 2)
@@ -134,7 +134,7 @@
 
 // Two targets whose numbers shorten to one tag can't be told apart in packets,
 // so only the first gets flows.
-func TestTargetWithATakenTagGetsNoFlows(t *testing.T) {
+func TestTargetWithTakenTagGetsNoFlows(t *testing.T) {
 	f := newFleet(t, 1)
 	holder := f.addTarget("i-1", "ledger", "a")
 	twin := f.addTarget("i-0", "ledger", "a")
@@ -152,7 +152,7 @@
 // Symptom: callers see repeats and late answers while hosts are replaced.
 // Sequence: a host is asked to end; the fabric hands it packets until it has
 // missed two readiness checks. Cause: a process that ends at the signal.
-func TestLeavingHostPassesPacketsOnUntilTheFabricHasNoticed(t *testing.T) {
+func TestLeavingHostForwardsUntilFabricStopsSendingPackets(t *testing.T) {
 	f := newFleet(t, 2)
 	c := f.caller(1, readRoute)
 	c.open("a1", 0)
@@ -160,9 +160,9 @@
 	require.False(t, f.hosts["a1"].steerer.Ready())
 	for range 3 {
 		f.step(400 * time.Millisecond)
-		c.ask("a1")
-		require.Equal(t, c.target, f.last("a1"))
-		c.thank("a1")
+		c.sendRequest("a1")
+		require.Equal(t, c.target, f.lastTarget("a1"))
+		c.ackResponse("a1")
 	}
 	late := f.caller(2, readRoute)
 	late.open("a1", 0)
--- a/core/steerer/target.go
+++ b/core/steerer/target.go
@@ -19,21 +19,21 @@
 // having seen the flow before.
 type Tag uint32
 
-// Number is a target's identity as it stands in front of each packet.
-type Number uint64
+// TargetNumber is a target's identity as it stands in front of each packet.
+type TargetNumber uint64
 
-// NumberOf reads the hex digits behind the last dash of a target's ID.
-func NumberOf(id string) (Number, bool) {
+// ParseTargetNumber reads the hex digits behind the last dash of a target's ID.
+func ParseTargetNumber(id string) (TargetNumber, bool) {
 	digits := id[strings.LastIndexByte(id, '-')+1:]
 	n, err := strconv.ParseUint(digits, 16, 64)
-	return Number(n), err == nil
+	return TargetNumber(n), err == nil
 }
 
 // tag shortens a number. Numbers of 32 bits keep their value, so two targets
 // share a tag only if their numbers are longer or one of them is zero.
-func (n Number) tag() Tag {
+func (n TargetNumber) tag() Tag {
 	if n>>32 != 0 {
-		n = Number(xxhash.Sum64String(strconv.FormatUint(uint64(n), 16)))
+		n = TargetNumber(xxhash.Sum64String(strconv.FormatUint(uint64(n), 16)))
 	}
 	if Tag(n) == 0 {
 		return 1 // Zero stands for no target.
@@ -44,7 +44,7 @@
 // Target is one start of a process that answers for a service, as it registered itself.
 type Target struct {
 	ID               string
-	Number           Number
+	Number           TargetNumber
 	Service          string
 	Address          netip.AddrPort
 	AvailabilityZone string
@@ -54,14 +54,14 @@
 	Draining bool
 	// WarmUp is for how much longer it is slow, from when the record was read.
 	WarmUp time.Duration
-	// Born is when its process started, in milliseconds since 1970 by its own clock; 0 if
+	// Incarnation is when its process started, in milliseconds since 1970 by its own clock; 0 if
 	// it does not say. A target that starts again under its ID lives anew: of two states
 	// that of the later life holds.
-	Born int64
+	Incarnation int64
 }
 
-// same reports whether two records say the same but for the passing of time.
-func (t Target) same(other Target) bool {
+// equalIgnoringWarmUp reports whether two records say the same but for the passing of time.
+func (t Target) equalIgnoringWarmUp(other Target) bool {
 	t.WarmUp, other.WarmUp = 0, 0
 	return t == other
 }
@@ -77,61 +77,61 @@
 	listedUnder string
 	// digest is the target's part in the digest of the table.
 	digest uint64
-	// counted is the target's part in the sum of its service's slots; uncounted says that it
+	// countedSlots is the target's part in the sum of its service's slots; uncounted says that it
 	// may have changed.
-	counted   microSlots
-	uncounted bool
+	countedSlots microSlots
+	slotsStale   bool
 	// inUse and gone say that the target is in the table's lists of that name.
 	inUse bool
 	gone  bool
-	// seen is the position of the platform's history at which the state was first read. Of
+	// seenPosition is the position of the platform's history at which the state was first read. Of
 	// two states of a target that hosts tell each other the one seen later holds.
-	seen sequencer.Position
+	seenPosition sequencer.Position
 	// missing is set while the platform lists the target no more.
 	missing bool
-	// unreadable is set while the platform lists an entry under the target's ID that
+	// malformed is set while the platform lists an entry under the target's ID that
 	// names no target. The target is missing, too.
-	unreadable bool
-	// bornAt is the position at which this life was first read; zero for the first life
+	malformed bool
+	// incarnationPosition is the position at which this life was first read; zero for the first life
 	// that this host knows.
-	bornAt sequencer.Position
+	incarnationPosition sequencer.Position
 	// missingSince is when that was noticed.
 	missingSince timekeeper.Instant
 	// restored is what was known of the target before the platform was restored, and what
 	// the restored platform contradicts.
-	restored restoredState
+	restored restoreConflict
 	// warmUpDeadline is when the target has its full speed.
 	warmUpDeadline timekeeper.Instant
 
 	// flows counts the flows through this host, busy those of them that wait for an
 	// answer, opening those that have not opened yet.
-	flows   int
-	busy    int
-	opening int
-	// news says that the target is among the changes that reports tell.
-	news bool
+	flows           int
+	pendingRequests int
+	halfOpen        int
+	// inRecentChanges says that the target is among the changes that reports tell.
+	inRecentChanges bool
 	// peersBusy is the sum of what the other hosts of the zone report.
 	peersBusy int
 
-	// line holds the requests that wait at this host for the target.
-	line pacer.Queue[*pacedRequest]
+	// queue holds the requests that wait at this host for the target.
+	queue pacer.Queue[*queuedRequest]
 
-	// toldSilentDeadline is until when another host's word counts that it is silent.
-	toldSilentDeadline timekeeper.Instant
+	// reportedUnresponsiveDeadline is until when another host's word counts that it is silent.
+	reportedUnresponsiveDeadline timekeeper.Instant
 
-	// full says that the target was last believed to hold all the flows that it may.
-	full bool
+	// believedFull says that the target was last believed to hold all the flows that it may.
+	believedFull bool
 	// foundFullAt is when a check last showed that it was full.
 	foundFullAt timekeeper.Instant
 
 	health health
 
-	// pace is how fast the target is, failures are its answers that came too quickly for
+	// slowdownEstimate is how fast the target is, failures are its answers that came too quickly for
 	// work. estimated says that the target is among the estimating ones.
-	pace      estimator.Target
-	failures  estimator.FastFailures
-	estimated bool
+	slowdownEstimate estimator.Target
+	failures         estimator.FastFailures
+	slowdownTracked  bool
 }
 
-// underWay is how many requests a target has, as far as the zone's hosts know.
-func (t *target) underWay() int { return t.busy + t.opening + t.peersBusy }
+// inFlight is how many requests a target has, as far as the zone's hosts know.
+func (t *target) inFlight() int { return t.pendingRequests + t.halfOpen + t.peersBusy }
--- a/core/steerer/text.go
+++ b/core/steerer/text.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-func itoa(n int) string             { return strconv.Itoa(n) }
-func utoa(n uint64) string          { return strconv.FormatUint(n, 10) }
-func btoa(b bool) string            { return strconv.FormatBool(b) }
-func (t Tag) String() string        { return fmt.Sprintf("%08x", uint32(t)) }
-func millis(d time.Duration) string { return strconv.FormatInt(d.Milliseconds(), 10) }
+func formatInt(n int) string              { return strconv.Itoa(n) }
+func formatUint(n uint64) string          { return strconv.FormatUint(n, 10) }
+func formatBool(b bool) string            { return strconv.FormatBool(b) }
+func (t Tag) String() string              { return fmt.Sprintf("%08x", uint32(t)) }
+func formatMillis(d time.Duration) string { return strconv.FormatInt(d.Milliseconds(), 10) }
--- a/core/steerer/throttling_internal_test.go
+++ b/core/steerer/throttling_internal_test.go
@@ -10,18 +10,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// passedFlow is a flow to a service that has been passed on.
-func passedFlow(t *testing.T, s *Steerer, caller, service string) (flowKey, *flow) {
+// forwardedFlow is a flow to a service that has been passed on.
+func forwardedFlow(t *testing.T, s *Steerer, caller, service string) (flowKey, *flow) {
 	key := flowKey{caller: netip.MustParseAddrPort(caller)}
 	f := &flow{target: &target{Target: Target{Service: service}}}
-	require.True(t, s.remember(key, f))
+	require.True(t, s.rememberFlow(key, f))
 	s.throttler.Check(throttler.Request{Caller: key.caller.Addr(), Service: service}, s.now)
-	s.notePassed(key, f)
+	s.recordFlowStart(key, f)
 	return key, f
 }
 
-// shareOf is what a caller may have of a service that is short of room.
-func shareOf(s *Steerer, key flowKey, service string) float64 {
+// fairShare is what a caller may have of a service that is short of room.
+func fairShare(s *Steerer, key flowKey, service string) float64 {
 	return s.throttler.Check(throttler.Request{Caller: key.caller.Addr(), Service: service, Overloaded: true}, s.now).FairShare
 }
 
@@ -29,20 +29,20 @@
 // flow is passed on for a service; before it ends, its target serves another (the target came
 // back under its ID for that, or a copy went there after the route's weights changed). Cause:
 // the end is counted for the service that the flow's target has by then.
-func TestEndIsCountedWhereTheFlowWas(t *testing.T) {
+func TestFlowEndIsCountedForItsOriginalService(t *testing.T) {
 	s := New(Config{Self: "a1", AvailabilityZone: "a", MaxFlows: 100})
 	s.now = timekeeper.Instant(time.Second)
-	moved, f := passedFlow(t, s, "203.0.113.9:1000", "ledger")
-	s.move(f, &target{Target: Target{Service: "intake"}})
-	s.forget(moved, f)
-	stayed, f := passedFlow(t, s, "198.51.100.7:1000", "ledger")
-	s.forget(stayed, f)
+	moved, f := forwardedFlow(t, s, "203.0.113.9:1000", "ledger")
+	s.moveFlow(f, &target{Target: Target{Service: "intake"}})
+	s.forgetFlow(moved, f)
+	stayed, f := forwardedFlow(t, s, "198.51.100.7:1000", "ledger")
+	s.forgetFlow(stayed, f)
 	s.now = s.now.Add(time.Minute)
-	key, f := passedFlow(t, s, "192.0.2.1:1000", "ledger")
-	s.forget(key, f)
+	key, f := forwardedFlow(t, s, "192.0.2.1:1000", "ledger")
+	s.forgetFlow(key, f)
 	for range 20 {
-		shareOf(s, key, "ledger")
+		fairShare(s, key, "ledger")
 	}
 	s.now = s.now.Add(200 * time.Millisecond)
-	require.InEpsilon(t, shareOf(s, stayed, "ledger"), shareOf(s, moved, "ledger"), 0.01)
+	require.InEpsilon(t, fairShare(s, stayed, "ledger"), fairShare(s, moved, "ledger"), 0.01)
 }
