--- a/core/steerer/throttling_test.go
+++ b/core/steerer/throttling_test.go
@@ -10,15 +10,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// portOf is a caller behind an address that many may share.
-func portOf(f *fleet, address string, port int, route netip.AddrPort) *caller {
+// callerAt is a caller behind an address that many may share.
+func callerAt(f *fleet, address string, port int, route netip.AddrPort) *caller {
 	c := f.caller(0, route)
 	c.address = netip.AddrPortFrom(netip.MustParseAddr(address), uint16(port))
 	return c
 }
 
-// refusals counts the flows that a host refused for a reason, by the caller's address.
-func refusals(h *host, reason string) map[string]int {
+// refusalsByAddress counts the flows that a host refused for a reason, by the caller's address.
+func refusalsByAddress(h *host, reason string) map[string]int {
 	counts := map[string]int{}
 	for _, line := range h.logs {
 		if line.Event != "flowRefused" {
@@ -38,30 +38,30 @@
 // Symptom: when a service is short of room all callers are refused for one. Sequence: the
 // service is pressed; one address opens a flow each 10 ms, each from another port, while
 // feeds of others are refused. Cause: a host that sees requests, and not callers.
-func TestCallerThatRepeatsWithoutPauseIsRefusedFirst(t *testing.T) {
-	f, _, _ := waitingFeed(t)
+func TestHeaviestCallerIsRefusedFirst(t *testing.T) {
+	f, _, _ := hostWithQueuedRead(t)
 	h := f.hosts["a1"]
 	for n := range 100 {
 		f.runUntil(f.now.Add(10 * time.Millisecond))
 		f.now = f.now.Add(10 * time.Millisecond)
-		portOf(f, "203.0.113.9", 1000+n, checkRoute).open("a1", 0)
+		callerAt(f, "203.0.113.9", 1000+n, checkRoute).open("a1", 0)
 		if n%5 == 0 {
-			portOf(f, "198.51.100.7", 1000+n, readRoute).open("a1", 0)
+			callerAt(f, "198.51.100.7", 1000+n, readRoute).open("a1", 0)
 			f.caller(20_000+n/5, checkRoute).open("a1", 0) // It came in calm times, too.
 		}
 	}
-	shares := refusals(h, "callerShare")
+	shares := refusalsByAddress(h, "callerShare")
 	require.Greater(t, shares["203.0.113.9"], 50)
 	require.Len(t, shares, 1, "nobody else is refused for a share")
-	require.Equal(t, uint64(shares["203.0.113.9"]), h.steerer.Snapshot().Counts[steerer.RefusedCallerShare])
+	require.Equal(t, uint64(shares["203.0.113.9"]), h.steerer.Snapshot().Counters[steerer.RefusedCallerShare])
 }
 
 // Symptom: a caller is refused for its share on an ordinary day. Sequence: one address
 // opens nine flows of ten, and the service is calm. Cause: shares that count without need.
-func TestSharesCountOnlyWhileRoomIsShort(t *testing.T) {
+func TestSharesApplyOnlyDuringOverload(t *testing.T) {
 	f := newFleet(t, 1)
 	for n := range 200 {
-		c := portOf(f, "203.0.113.9", 1000+n, checkRoute)
+		c := callerAt(f, "203.0.113.9", 1000+n, checkRoute)
 		if n%10 == 0 {
 			c = f.caller(n, checkRoute)
 		}
@@ -73,7 +73,7 @@
 // Symptom: callers are refused for their share though their service has room. Sequence: it
 // is calm; a quota refuses the reads, and one address opens nine checks of ten. Cause:
 // refusals taken for a shortage.
-func TestRefusalsOfACalmServiceAreNoShortage(t *testing.T) {
+func TestQuotaRefusalsWithoutOverloadDoNotTriggerShares(t *testing.T) {
 	f := newFleet(t, 1)
 	f.quotas = []throttler.Quota{{Route: "read", PerSecond: 1}}
 	f.start("a1")
@@ -81,17 +81,17 @@
 	for n := range 200 {
 		f.step(10 * time.Millisecond)
 		f.caller(n, readRoute).open("a1", 0)
-		portOf(f, "203.0.113.9", 1000+n, checkRoute).open("a1", 0)
+		callerAt(f, "203.0.113.9", 1000+n, checkRoute).open("a1", 0)
 	}
 	h := f.hosts["a1"]
-	require.NotEmpty(t, refusals(h, "callerQuota"))
-	require.Empty(t, refusals(h, "callerShare"))
+	require.NotEmpty(t, refusalsByAddress(h, "callerQuota"))
+	require.Empty(t, refusalsByAddress(h, "callerShare"))
 }
 
 // Symptom: callers get more than their quota, or others less. Sequence: a quota of 40 a
 // second for a prefix; three hosts in the zone. Cause: hosts that each apply the whole, or
 // apply it to all.
-func TestQuotaHoldsOverTheHostsOfAZone(t *testing.T) {
+func TestQuotaIsDividedAmongTheHostsOfAZone(t *testing.T) {
 	f := newFleet(t, 3)
 	f.quotas = []throttler.Quota{{Prefix: netip.MustParsePrefix("203.0.113.0/24"), PerSecond: 40}}
 	for _, name := range f.names {
@@ -102,22 +102,22 @@
 	for n := range 400 {
 		f.step(5 * time.Millisecond)
 		name := f.names[n%3]
-		c := portOf(f, "203.0.113.9", 1000+n, checkRoute)
+		c := callerAt(f, "203.0.113.9", 1000+n, checkRoute)
 		if c.open(name, 0); c.target != "" {
 			opened++
 		}
-		other := portOf(f, "198.51.100.7", 1000+n, checkRoute)
+		other := callerAt(f, "198.51.100.7", 1000+n, checkRoute)
 		other.open(name, 0)
 		require.NotEmpty(t, other.target)
 	}
 	t.Logf("%d of 400 in two seconds", opened)
 	require.InDelta(t, 2*40+40, opened, 15, "and a second's at once")
-	require.NotEmpty(t, refusals(f.hosts["a1"], "callerQuota"))
+	require.NotEmpty(t, refusalsByAddress(f.hosts["a1"], "callerQuota"))
 }
 
 // Symptom: a quota is no bound for callers with long flows. Sequence: one flow brings all
 // requests. Cause: only new flows count. The open flow itself may not be touched.
-func TestRequestsOfOpenFlowsCountForAQuota(t *testing.T) {
+func TestRequestsOfOpenFlowsCountTowardsQuota(t *testing.T) {
 	f := newFleet(t, 1)
 	f.quotas = []throttler.Quota{{Route: "read", PerSecond: 10}}
 	f.start("a1")
@@ -126,8 +126,8 @@
 	c.open("a1", 0)
 	c.establish("a1")
 	for range 30 {
-		c.ask("a1")
-		c.thank("a1")
+		c.sendRequest("a1")
+		c.ackResponse("a1")
 	}
 	require.Empty(t, f.hosts["a1"].resets)
 	second := f.caller(2, readRoute)
@@ -142,28 +142,28 @@
 // Symptom: a quota is no bound while a service is pressed. Sequence: the requests of an open
 // flow wait at the host before they are passed on. Cause: only requests that are passed on
 // at once are charged.
-func TestPacedRequestsCountForAQuota(t *testing.T) {
+func TestQueuedRequestsCountTowardsQuota(t *testing.T) {
 	f := newFleet(t, 1)
-	f.settings = settingsOf(2, objectiveRoutes())
+	f.settings = newSettings(2, objectiveRoutes())
 	f.quotas = []throttler.Quota{{Route: "read", PerSecond: 10}}
 	f.start("a1")
 	f.step(2 * time.Second)
 	for n := range 60 {
-		answerAfter(f, "a1", 20_000+n, 100*time.Millisecond)
+		requestWithLatency(f, "a1", 20_000+n, 100*time.Millisecond)
 	}
-	press(f, 21_000)
-	c := feed(f, 1)
+	congest(f, 21_000)
+	c := openReadFlow(f, 1)
 	passed := 0
 	for round := range 12 {
 		checks := fillWindow(f, 100+10*round)
-		c.ask("a1")
-		require.Equal(t, 1, paced(f))
+		c.sendRequest("a1")
+		require.Equal(t, 1, queuedRequests(f))
 		for _, one := range checks {
-			one.thank("a1")
-			one.finish("a1")
+			one.ackResponse("a1")
+			one.close("a1")
 		}
-		require.Zero(t, paced(f))
-		c.thank("a1")
+		require.Zero(t, queuedRequests(f))
+		c.ackResponse("a1")
 		passed++
 	}
 	second := f.caller(2, readRoute)
@@ -174,66 +174,66 @@
 // Symptom: a caller is refused for its share though room has been found for all. Sequence:
 // a quota of a route refuses most of its flows while the service is short of room. Cause:
 // what a quota refuses counts as demand that found no room.
-func TestWhatAQuotaRefusesIsNoShortage(t *testing.T) {
+func TestQuotaRefusalsAreNotUnmetDemand(t *testing.T) {
 	f := newFleet(t, 1)
-	f.settings = settingsOf(2, objectiveRoutes())
+	f.settings = newSettings(2, objectiveRoutes())
 	f.quotas = []throttler.Quota{{Prefix: netip.MustParsePrefix("203.0.113.0/24"), PerSecond: 1}}
 	f.start("a1")
 	f.step(2 * time.Second)
 	for n := range 60 {
-		answerAfter(f, "a1", 20_000+n, 100*time.Millisecond)
+		requestWithLatency(f, "a1", 20_000+n, 100*time.Millisecond)
 	}
-	press(f, 21_000)
+	congest(f, 21_000)
 	h := f.hosts["a1"]
-	require.Equal(t, 1, h.steerer.Snapshot().Pressed)
+	require.Equal(t, 1, h.steerer.Snapshot().Congested)
 	for n := range 200 {
 		f.runUntil(f.now.Add(10 * time.Millisecond))
 		f.now = f.now.Add(10 * time.Millisecond)
 		for port := range 3 {
-			portOf(f, "203.0.113.9", 1000+3*n+port, checkRoute).open("a1", 0)
+			callerAt(f, "203.0.113.9", 1000+3*n+port, checkRoute).open("a1", 0)
 		}
 		if n%10 == 0 {
-			c := portOf(f, "198.51.100.7", 1000+n, checkRoute)
+			c := callerAt(f, "198.51.100.7", 1000+n, checkRoute)
 			c.open("a1", 0)
-			c.finish("a1")
+			c.close("a1")
 		}
 	}
-	require.NotEmpty(t, refusals(h, "callerQuota"))
-	t.Log(refusals(h, "callerQuota"), refusals(h, "callerShare"))
-	require.Empty(t, refusals(h, "callerShare"))
+	require.NotEmpty(t, refusalsByAddress(h, "callerQuota"))
+	t.Log(refusalsByAddress(h, "callerQuota"), refusalsByAddress(h, "callerShare"))
+	require.Empty(t, refusalsByAddress(h, "callerShare"))
 }
 
 // Symptom: a caller is refused for its share though its service has room again. Sequence:
 // one address repeats itself through a shortage; then answers are as quick as usual. Cause:
 // refusals of a moment ago taken for a shortage.
-func TestSharesEndWithTheShortage(t *testing.T) {
-	f, _, checks := waitingFeed(t)
+func TestSharesEndWithOverload(t *testing.T) {
+	f, _, checks := hostWithQueuedRead(t)
 	h := f.hosts["a1"]
 	loop := func(from int) {
 		for n := range 100 {
 			f.runUntil(f.now.Add(10 * time.Millisecond))
 			f.now = f.now.Add(10 * time.Millisecond)
-			portOf(f, "203.0.113.9", from+n, checkRoute).open("a1", 0)
+			callerAt(f, "203.0.113.9", from+n, checkRoute).open("a1", 0)
 			if n%5 == 0 {
-				portOf(f, "198.51.100.7", from+n, readRoute).open("a1", 0)
+				callerAt(f, "198.51.100.7", from+n, readRoute).open("a1", 0)
 				f.caller(20_000+n/5, checkRoute).open("a1", 0)
 			}
 		}
 	}
 	loop(1000)
-	require.NotEmpty(t, refusals(h, "callerShare"))
+	require.NotEmpty(t, refusalsByAddress(h, "callerShare"))
 	for _, c := range checks {
-		c.thank("a1")
-		c.finish("a1")
+		c.ackResponse("a1")
+		c.close("a1")
 	}
 	for n := range 200 {
-		if h.steerer.Snapshot().Pressed == 0 {
+		if h.steerer.Snapshot().Congested == 0 {
 			break
 		}
-		answerAfter(f, "a1", 22_000+n, 100*time.Millisecond)
+		requestWithLatency(f, "a1", 22_000+n, 100*time.Millisecond)
 	}
-	require.Zero(t, h.steerer.Snapshot().Pressed)
+	require.Zero(t, h.steerer.Snapshot().Congested)
 	h.logs = nil
 	loop(2000)
-	require.Empty(t, refusals(h, "callerShare"))
+	require.Empty(t, refusalsByAddress(h, "callerShare"))
 }
--- a/core/steerer/using.go
+++ b/core/steerer/using.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// noteInUse has a target looked at that has a flow, or was found silent.
-func (t *table) noteInUse(one *target) {
+// markInUse has a target looked at that has a flow, or was found silent.
+func (t *targetTable) markInUse(one *target) {
 	if !one.inUse {
 		one.inUse = true
 		t.inUse = append(t.inUse, one)
 	}
 }
 
-// noteGone has a target looked at that is no longer listed.
-func (t *table) noteGone(one *target) {
+// markGone has a target looked at that is no longer listed.
+func (t *targetTable) markGone(one *target) {
 	if !one.gone {
 		one.gone = true
 		t.gone = append(t.gone, one)
@@ -20,24 +20,24 @@
 
 // targetsInUse lists the targets of which this host may have something to tell or to do.
 func (s *Steerer) targetsInUse() []*target {
-	s.targets.visits += uint64(len(s.targets.inUse))
+	s.targets.entriesVisited += uint64(len(s.targets.inUse))
 	return s.targets.inUse
 }
 
-// sweepInUse takes out targets of which there is nothing to tell or do any more.
-func (s *Steerer) sweepInUse() {
+// removeUnusedFromInUse takes out targets of which there is nothing to tell or do any more.
+func (s *Steerer) removeUnusedFromInUse() {
 	s.targets.inUse = slices.DeleteFunc(s.targetsInUse(), func(t *target) bool {
-		t.inUse = t.flows > 0 || t.health.unreachable() || s.tooQuickOfLate(t)
+		t.inUse = t.flows > 0 || t.health.unreachable() || s.recentFastFailures(t)
 		return !t.inUse
 	})
 }
 
-// sweepGone forgets targets that no flow can name any more, and takes out those that are
+// removeExpiredTargets forgets targets that no flow can name any more, and takes out those that are
 // listed again.
-func (s *Steerer) sweepGone() {
-	s.targets.visits += uint64(len(s.targets.gone))
+func (s *Steerer) removeExpiredTargets() {
+	s.targets.entriesVisited += uint64(len(s.targets.gone))
 	s.targets.gone = slices.DeleteFunc(s.targets.gone, func(t *target) bool {
-		if t.missing && t.flows == 0 && t.missingSince.Add(missingMemory).Passed(s.now) {
+		if t.missing && t.flows == 0 && t.missingSince.Add(missingTargetRetention).Passed(s.now) {
 			s.targets.remove(t)
 			s.warmer.Forget(t.ID)
 			s.connections.limiter.Forget(uint32(t.tag))
--- a/core/steerer/usual.go
+++ b/core/steerer/usual.go
@@ -7,36 +7,36 @@
 )
 
 const (
-	// usualSamples is how many answers of a route are needed to know what is usual.
-	usualSamples = 20
-	// usualStep is how far each time moves what is taken for usual, as a part of it,
+	// minMedianSamples is how many answers of a route are needed to know what is usual.
+	minMedianSamples = 20
+	// medianStep is how far each time moves what is taken for usual, as a part of it,
 	// once many have come; the first ones move it further. It comes to rest at the
 	// median. A crowd of a second or two, with a hundred late answers, must not make
 	// the ordinary ones after it look quick.
-	usualStep = 0.003
-	// doubtfulStep is that part while a service is asked for more than it can do, or if the
+	medianStep = 0.003
+	// distortedMedianStep is that part while a service is asked for more than it can do, or if the
 	// target is slow: an overload of some seconds moves the estimate by a tenth at the most.
-	doubtfulStep = usualStep / 10
-	// shortestUsual keeps the estimate from zero, from which no step leads away.
-	shortestUsual = 100 * time.Microsecond
+	distortedMedianStep = medianStep / 10
+	// minMedian keeps the estimate from zero, from which no step leads away.
+	minMedian = 100 * time.Microsecond
 )
 
-// usualTime estimates the median of times that come one after another: until a
+// medianEstimator estimates the median of times that come one after another: until a
 // route's answers, or until flows open.
-type usualTime struct {
+type medianEstimator struct {
 	median time.Duration
 	// samples counts the times that came.
 	samples int
-	// sent estimates the same from the end of a request on, for a route's answers; nil for
+	// fromRequestEnd estimates the same from the end of a request on, for a route's answers; nil for
 	// other times.
-	sent *usualTime
+	fromRequestEnd *medianEstimator
 }
 
 // known reports whether enough times have come to know what is usual.
-func (u *usualTime) known() bool { return u.samples >= usualSamples }
+func (u *medianEstimator) known() bool { return u.samples >= minMedianSamples }
 
-// tooQuick reports whether no work can have been done in a time.
-func (u *usualTime) tooQuick(took time.Duration) bool {
+// implausiblyFast reports whether no work can have been done in a time.
+func (u *medianEstimator) implausiblyFast(took time.Duration) bool {
 	return u.known() && estimator.ImplausiblyFast(took, u.median)
 }
 
@@ -46,15 +46,15 @@
 //
 // What goes wrong otherwise: a host starts in a crowd, its first answer has waited, and no
 // later one leads away from it for minutes.
-func (u *usualTime) add(took time.Duration, doubtful bool) {
+func (u *medianEstimator) add(took time.Duration, doubtful bool) {
 	u.samples++
-	step := 1 + max(usualStep, 1/float64(u.samples))
+	step := 1 + max(medianStep, 1/float64(u.samples))
 	if doubtful && u.known() {
-		step = 1 + doubtfulStep
+		step = 1 + distortedMedianStep
 	}
 	switch {
 	case u.samples == 1:
-		u.median = max(took, shortestUsual)
+		u.median = max(took, minMedian)
 	case took > u.median:
 		u.median = time.Duration(float64(u.median) * step)
 	default:
--- a/core/steerer/usual_internal_test.go
+++ b/core/steerer/usual_internal_test.go
@@ -10,10 +10,10 @@
 // Symptom: a host that starts in a crowd takes work for ten times as long as it is, for
 // minutes. Sequence: its first answer has waited; all that follow come while more than half
 // of the room is asked for. Cause: small steps from a first time that says nothing.
-func TestFirstAnswerInACrowdDoesNotStick(t *testing.T) {
-	var u usualTime
+func TestFirstSampleUnderLoadDoesNotDominateMedian(t *testing.T) {
+	var u medianEstimator
 	u.add(400*time.Millisecond, true)
-	for range usualSamples - 1 {
+	for range minMedianSamples - 1 {
 		u.add(50*time.Millisecond, true)
 	}
 	require.True(t, u.known())
@@ -21,8 +21,8 @@
 }
 
 // Load: a crowd of six seconds at 50 late answers a second. What is known by then stays.
-func TestCrowdMovesWhatIsKnownLittle(t *testing.T) {
-	var u usualTime
+func TestLoadPeakBarelyMovesMedian(t *testing.T) {
+	var u medianEstimator
 	for range 500 {
 		u.add(50*time.Millisecond, false)
 	}
--- a/operator/internal/asker/asker.go
+++ b/operator/internal/asker/asker.go
@@ -66,8 +66,8 @@
 }
 
 // Knowledge reads what a host of the flow edge knows, and from whom.
-func (a *Asker) Knowledge(ctx context.Context, admin string) (steerer.KnowledgeStatus, error) {
-	return read[steerer.KnowledgeStatus](ctx, a.client, admin, "/knowledge", nil)
+func (a *Asker) Knowledge(ctx context.Context, admin string) (steerer.SyncStatus, error) {
+	return read[steerer.SyncStatus](ctx, a.client, admin, "/knowledge", nil)
 }
 
 func read[T any](ctx context.Context, client *http.Client, admin, path string, query url.Values) (T, error) {
--- a/operator/internal/printer/routes.go
+++ b/operator/internal/printer/routes.go
@@ -15,7 +15,7 @@
 		row(w, fmt.Sprintf("version %d", settings.Version))
 		row(w, "ROUTE", "ADDRESS", "KIND", "SERVICES", "TIMEOUT", "PRIORITY")
 		for _, r := range settings.Routes {
-			row(w, r.Name, r.Address, r.Kind, r.Shares, r.Timeout, r.Priority)
+			row(w, r.Name, r.Address, r.Kind, r.TrafficSplit, r.Timeout, r.Priority)
 		}
 	})
 }
@@ -75,8 +75,8 @@
 				row(w, h.Admin, h.Error)
 			}
 			for _, t := range h.Targets {
-				if t.Flows > 0 || t.Avoided != "" {
-					row(w, h.Admin, t.Target, t.Service, t.AvailabilityZone, t.Slots, t.Flows, t.Busy, t.PeersBusy, fmt.Sprintf("%.1f", t.Slowness), t.Avoided)
+				if t.Flows > 0 || t.AvoidReason != "" {
+					row(w, h.Admin, t.Target, t.Service, t.AvailabilityZone, t.Slots, t.Flows, t.Busy, t.PeersBusy, fmt.Sprintf("%.1f", t.Slowness), t.AvoidReason)
 				}
 			}
 		}
@@ -85,9 +85,9 @@
 
 // HostKnowledge is what one host knows, or why it said nothing.
 type HostKnowledge struct {
-	Admin     string                   `json:"admin"`
-	Knowledge *steerer.KnowledgeStatus `json:"knowledge,omitempty"`
-	Error     string                   `json:"error,omitempty"`
+	Admin     string              `json:"admin"`
+	Knowledge *steerer.SyncStatus `json:"knowledge,omitempty"`
+	Error     string              `json:"error,omitempty"`
 }
 
 // Knowledge writes what hosts know of settings and targets, and from whom.
@@ -104,14 +104,14 @@
 				platform = "lost"
 			}
 			row(w, h.Admin, k.Host, k.Version, k.SettingsFrom, rounded(k.SettingsAge), k.SettingsConfirmedBy,
-				evacuated(k), era(k), k.Revision, rounded(k.TargetsAge), k.TargetsConfirmedBy, k.Rank, k.Live, platform)
+				evacuated(k), era(k), k.Revision, rounded(k.TargetsAge), k.TargetsConfirmedBy, k.Rank, k.AlivePeers, platform)
 		}
 	})
 }
 
 // era writes the era of the platform's history that a host's targets are of, and the newest
 // that it has heard of if that is another.
-func era(k *steerer.KnowledgeStatus) string {
+func era(k *steerer.SyncStatus) string {
 	switch {
 	case k.Era == 0:
 		return "none"
@@ -122,7 +122,7 @@
 }
 
 // evacuated names the zones that a host knows to be evacuated.
-func evacuated(k *steerer.KnowledgeStatus) string {
+func evacuated(k *steerer.SyncStatus) string {
 	switch {
 	case k.OrdersRevision == 0:
 		return "unknown"
--- a/operator/published.go
+++ b/operator/published.go
@@ -36,7 +36,7 @@
 
 // valuesOf turns what is in force for a published route or service into the form of
 // a tree's values.
-func valuesOf(inForce []steerer.InForce) []resolver.Value {
+func valuesOf(inForce []steerer.EffectiveValue) []resolver.Value {
 	values := make([]resolver.Value, 0, len(inForce))
 	for _, v := range inForce {
 		values = append(values, resolver.Value{Key: v.Key, Value: v.Value, Level: v.From})
--- a/operator/routes.go
+++ b/operator/routes.go
@@ -49,7 +49,7 @@
 // could.
 func faultsOf(settings *steerer.Settings) error {
 	var all error
-	for _, fault := range settings.Faults {
+	for _, fault := range settings.RouteProblems {
 		all = errors.CombineErrors(all, errors.Newf("%v", fault))
 	}
 	if all == nil {
--- a/scripts/redsoak.sh
+++ b/scripts/redsoak.sh
@@ -38,9 +38,9 @@
 	fi
 }
 
-without "the target's tag" steering.go 'to, ok := s.targets.byTag[p.Tag]' 'to, ok := s.choose(choice{service: "ledger", hash: key.hash()}), true' 31 reload 'ran [0-9]* times\|after the last fault\|another service\|of a flow'
+without "the target's tag" steering.go 'to, ok := s.targets.byTag[p.Tag]' 'to, ok := s.chooseTarget(placement{service: "ledger", hash: key.hash()}), true' 31 reload 'ran [0-9]* times\|after the last fault\|another service\|of a flow'
 without "resets of what may run again only" health.go '!f.waiting && f.paced == nil || f.route.Kind != KindIdempotent' '!f.waiting && f.paced == nil' 32 crashTarget 'was reset though it may have run'
-without "flows away from draining targets" choosing.go 'case t.Draining || s.gone(t) ||' 'case s.gone(t) ||' 33 replaceTarget 'drain'
+without "flows away from draining targets" choosing.go 'case t.Draining || s.excludedAsMissing(t) ||' 'case s.excludedAsMissing(t) ||' 33 replaceTarget 'drain'
 without "reads of later versions" reading.go 'if s.due(settings, rank,' 'if s.settings == nil && s.due(settings, rank,' 34 publish 'has not put version'
 without "orders to evacuate zones" choosing.go 'case view.evacuated:' 'case false && view.evacuated:' 35 evacuateZone 'its zone was to be evacuated'
 
--- a/standin/internal/answerer/answerer.go
+++ b/standin/internal/answerer/answerer.go
@@ -100,7 +100,7 @@
 // Target is one target.
 type Target struct {
 	config Config
-	number steerer.Number
+	number steerer.TargetNumber
 	record *Record
 	conn   *net.UDPConn
 	http   *http.Server
@@ -137,7 +137,7 @@
 
 // New starts a target. calm tells whether nothing keeps news from hosts.
 func New(ctx context.Context, config Config, record *Record, calm func() bool) (*Target, error) {
-	number, ok := steerer.NumberOf(config.Entry.ID)
+	number, ok := steerer.ParseTargetNumber(config.Entry.ID)
 	if !ok {
 		return nil, &Error{Op: "start target", Err: fmt.Errorf("ID %q has no hex digits", config.Entry.ID)}
 	}
