--- a/core/comparer/balance.go
+++ b/core/comparer/balance.go
@@ -12,19 +12,19 @@
 
 // Balance is how evenly work lies on targets.
 type Balance struct {
-	// FlowVariation and WorkVariation are coefficients of variation: of flows
+	// FlowVariation and LoadVariation are coefficients of variation: of flows
 	// by target, and of the work in flight by target, over the whole run.
 	FlowVariation float64
-	WorkVariation float64
+	LoadVariation float64
 }
 
-// Variation returns the coefficient of variation of counts, and the largest
+// CoefficientOfVariation returns the coefficient of variation of counts, and the largest
 // over the mean.
-func Variation(counts []float64) (variation, maxOverMean float64) {
-	sum, most := 0.0, 0.0
+func CoefficientOfVariation(counts []float64) (variation, maxOverMean float64) {
+	sum, largest := 0.0, 0.0
 	for _, n := range counts {
 		sum += n
-		most = max(most, n)
+		largest = max(largest, n)
 	}
 	mean := sum / float64(len(counts))
 	if mean == 0 {
@@ -34,72 +34,72 @@
 	for _, n := range counts {
 		squares += (n - mean) * (n - mean)
 	}
-	return math.Sqrt(squares/float64(len(counts))) / mean, most / mean
+	return math.Sqrt(squares/float64(len(counts))) / mean, largest / mean
 }
 
 const (
-	balanceTargets = 14
-	balanceSlots   = 3
-	balanceFlows   = 1200
-	// skewedEvery makes one flow in so many a heavy one.
-	skewedEvery = 10
+	balanceTargetCount = 14
+	balanceTargetSlots = 3
+	balanceFlowCount   = 1200
+	// heavyFlowInterval makes one flow in so many a heavy one.
+	heavyFlowInterval = 10
 )
 
 // MeasureBalance opens flows one after another, each of which keeps work at its
 // target for the rest of the run: one unit, or, if skewed, ten for every tenth.
-func MeasureBalance(p Policy, skewed bool, seed uint64) Balance {
-	work := func(n int) float64 {
-		if skewed && n%skewedEvery == 0 {
+func MeasureBalance(p PlacementPolicy, skewed bool, seed uint64) Balance {
+	loadOf := func(n int) float64 {
+		if skewed && n%heavyFlowInterval == 0 {
 			return 10
 		}
 		return 1
 	}
-	var place func(n int) int
-	if _, ok := p.(System); ok {
-		place = newBalanceRun(seed, work).place
+	var placeFlow func(n int) int
+	if _, ok := p.(Cranberryspan); ok {
+		placeFlow = newBalanceRun(seed, loadOf).placeFlow
 	} else {
-		r := newRivalRun(p, seed)
-		place = r.send
+		r := newBaselineRun(p, seed)
+		placeFlow = r.sendPacket
 	}
-	flows := make([]float64, balanceTargets)
-	load := make([]float64, balanceTargets)
+	flows := make([]float64, balanceTargetCount)
+	load := make([]float64, balanceTargetCount)
 	random := rand.New(rand.NewPCG(seed, 3))
-	for range balanceFlows {
+	for range balanceFlowCount {
 		// Callers come from anywhere, so their numbers are not in order.
 		n := random.IntN(1 << 16)
-		at := place(n) - 1
-		flows[at]++
-		load[at] += work(n)
+		target := placeFlow(n) - 1
+		flows[target]++
+		load[target] += loadOf(n)
 	}
-	flowVariation, _ := Variation(flows)
-	workVariation, _ := Variation(load)
-	return Balance{FlowVariation: flowVariation, WorkVariation: workVariation}
+	flowVariation, _ := CoefficientOfVariation(flows)
+	loadVariation, _ := CoefficientOfVariation(load)
+	return Balance{FlowVariation: flowVariation, LoadVariation: loadVariation}
 }
 
 // balanceRun places flows through the system, whose targets report what is in
 // flight at them.
 type balanceRun struct {
-	fleet *driver.Fleet
-	work  func(n int) float64
+	simulation *driver.Simulation
+	loadOf     func(n int) float64
 }
 
-func newBalanceRun(seed uint64, work func(int) float64) *balanceRun {
-	tree := tree()
+func newBalanceRun(seed uint64, loadOf func(int) float64) *balanceRun {
+	tree := baseSettings()
 	tree.Defaults = append(tree.Defaults[:1:1], "slots: 3", "flowMemory: 10m")
-	r := &balanceRun{fleet: driver.New(seed, tree.Document()), work: work}
-	r.fleet.Start(tree.HostNames()...)
-	r.fleet.Step(10 * time.Second)
+	r := &balanceRun{simulation: driver.New(seed, tree.Document()), loadOf: loadOf}
+	r.simulation.Start(tree.HostNames()...)
+	r.simulation.Step(10 * time.Second)
 	return r
 }
 
-func (r *balanceRun) place(n int) int {
-	id := driver.RequestID{Caller: caller(n), Service: driver.ServiceAddress(1), Exchange: messenger.Exchange{MessageID: 1, Token: 1, TokenLength: 8}}
-	r.fleet.Sent = r.fleet.Sent[:0]
-	r.fleet.Call("", id, messenger.Packet{Kind: messenger.KindRequest, Flags: messenger.FlagOpensFlow | messenger.FlagIdempotent | messenger.FlagBlockwise})
-	r.fleet.Step(40 * time.Millisecond)
-	for _, p := range r.fleet.Sent {
+func (r *balanceRun) placeFlow(n int) int {
+	id := driver.RequestID{Caller: callerAddress(n), Service: driver.ServiceAddress(1), Exchange: messenger.Exchange{MessageID: 1, Token: 1, TokenLength: 8}}
+	r.simulation.TargetPackets = r.simulation.TargetPackets[:0]
+	r.simulation.SendPacket("", id, messenger.Packet{Kind: messenger.KindRequest, Flags: messenger.FlagOpensFlow | messenger.FlagIdempotent | messenger.FlagBlockwise})
+	r.simulation.Step(40 * time.Millisecond)
+	for _, p := range r.simulation.TargetPackets {
 		if p.ID == id {
-			r.fleet.Target(p.Target).Standing += int(r.work(n))
+			r.simulation.Target(p.Target).ExtraLoad += int(r.loadOf(n))
 			return targetNumber(p.Target)
 		}
 	}
@@ -111,11 +111,11 @@
 	return int(ip[2])<<8 | int(ip[3])
 }
 
-// ForwardShare returns the share of packets that take a hop between hosts: all
+// ForwardedShare returns the share of packets that take a hop between hosts: all
 // that the fabric does not hand to their owner.
-func ForwardShare(r Result) float64 {
+func ForwardedShare(r ScenarioResult) float64 {
 	if r.Packets == 0 {
 		return 0
 	}
-	return float64(r.Forwards) / float64(r.Packets)
+	return float64(r.ForwardedPackets) / float64(r.Packets)
 }
--- a/core/comparer/comparer_test.go
+++ b/core/comparer/comparer_test.go
@@ -9,26 +9,26 @@
 
 // Regression bounds as counts, with fixed seeds: the system breaks no flow in a
 // planned change, and never more than a rival.
-func TestSystemBreaksFewestFlows(t *testing.T) {
+func TestSystemBreaksNoMoreFlowsThanBaselines(t *testing.T) {
 	for _, s := range comparer.Scenarios() {
 		t.Run(s.Name, func(t *testing.T) {
 			var broken []int
 			for _, p := range comparer.Policies() {
-				result := comparer.Run(p, s, 1)
-				broken = append(broken, result.Broken)
-				if _, ok := p.(comparer.System); ok {
-					t.Logf("%s: broken %d of %d, %.0f control bytes a second, hops %.2f", comparer.Name(p), result.Broken, result.Flows, result.ControlBytes, comparer.ForwardShare(result))
-					require.LessOrEqual(t, result.ControlBytes, 4096.0)
+				result := comparer.RunScenario(p, s, 1)
+				broken = append(broken, result.BrokenFlows)
+				if _, ok := p.(comparer.Cranberryspan); ok {
+					t.Logf("%s: broken %d of %d, %.0f control bytes a second, hops %.2f", comparer.PolicyName(p), result.BrokenFlows, result.Flows, result.ControlBytesPerSecond, comparer.ForwardedShare(result))
+					require.LessOrEqual(t, result.ControlBytesPerSecond, 4096.0)
 				} else {
-					t.Logf("%s: broken %d of %d", comparer.Name(p), result.Broken, result.Flows)
+					t.Logf("%s: broken %d of %d", comparer.PolicyName(p), result.BrokenFlows, result.Flows)
 				}
 			}
 			ours := broken[len(broken)-1]
 			if s.Planned {
 				require.Zero(t, ours)
 			}
-			for _, rival := range broken {
-				require.LessOrEqual(t, ours, rival)
+			for _, baseline := range broken {
+				require.LessOrEqual(t, ours, baseline)
 			}
 		})
 	}
@@ -36,20 +36,20 @@
 
 // The system spreads flows at least as evenly as the best rival, and work more
 // evenly where it is skewed.
-func TestSystemBalances(t *testing.T) {
+func TestSystemSpreadsLoadAtLeastAsEvenlyAsBaselines(t *testing.T) {
 	for _, skewed := range []bool{false, true} {
 		var all []comparer.Balance
 		for _, p := range comparer.Policies() {
 			b := comparer.MeasureBalance(p, skewed, 1)
 			all = append(all, b)
-			t.Logf("skewed %v, %s: variation of flows %.3f, of work %.3f", skewed, comparer.Name(p), b.FlowVariation, b.WorkVariation)
+			t.Logf("skewed %v, %s: variation of flows %.3f, of work %.3f", skewed, comparer.PolicyName(p), b.FlowVariation, b.LoadVariation)
 		}
 		ours := all[len(all)-1]
-		for _, rival := range all[:len(all)-1] {
+		for _, baseline := range all[:len(all)-1] {
 			if skewed {
-				require.Less(t, ours.WorkVariation, rival.WorkVariation)
+				require.Less(t, ours.LoadVariation, baseline.LoadVariation)
 			} else {
-				require.LessOrEqual(t, ours.FlowVariation, rival.FlowVariation)
+				require.LessOrEqual(t, ours.FlowVariation, baseline.FlowVariation)
 			}
 		}
 	}
--- a/core/comparer/policy.go
+++ b/core/comparer/policy.go
@@ -12,13 +12,13 @@
 	"cranberryspan.dev/core/resolver"
 )
 
-// Policy is a way to place flows. The set is closed.
-type Policy interface{ policy() }
+// PlacementPolicy is a way to place flows. The set is closed.
+type PlacementPolicy interface{ policy() }
 
-func (HashModulo) policy()     {}
-func (ConsistentHash) policy() {}
-func (LocalTable) policy()     {}
-func (System) policy()         {}
+func (HashModulo) policy()       {}
+func (ConsistentHash) policy()   {}
+func (PerHostFlowTable) policy() {}
+func (Cranberryspan) policy()    {}
 
 // HashModulo takes the flow's hash modulo the number of targets.
 type HashModulo struct{}
@@ -26,182 +26,182 @@
 // ConsistentHash takes the best target by rendezvous hashing, for each packet.
 type ConsistentHash struct{}
 
-// LocalTable takes the same for a flow's first packet at a host, and remembers
+// PerHostFlowTable takes the same for a flow's first packet at a host, and remembers
 // it at that host, as published load balancers with per-host tables do.
-type LocalTable struct{}
+type PerHostFlowTable struct{}
 
-// System is this project: reducers that act together.
-type System struct{}
+// Cranberryspan is this project: reducers that act together.
+type Cranberryspan struct{}
 
-// Name names a policy.
-func Name(p Policy) string {
+// PolicyName names a policy.
+func PolicyName(p PlacementPolicy) string {
 	switch p.(type) {
 	case HashModulo:
 		return "hash modulo"
 	case ConsistentHash:
 		return "consistent hash"
-	case LocalTable:
+	case PerHostFlowTable:
 		return "consistent hash, local table"
-	case System:
+	case Cranberryspan:
 		return "cranberryspan"
 	}
 	return "unknown"
 }
 
 // Policies lists the rivals and the system, the system last.
-func Policies() []Policy {
-	return []Policy{HashModulo{}, ConsistentHash{}, LocalTable{}, System{}}
+func Policies() []PlacementPolicy {
+	return []PlacementPolicy{HashModulo{}, ConsistentHash{}, PerHostFlowTable{}, Cranberryspan{}}
 }
 
-// Result is what became of the flows of a scenario.
-type Result struct {
-	Flows  int
-	Broken int
-	// PerTarget counts the flows by target.
-	PerTarget map[netip.AddrPort]int
-	// Forwards and Packets tell how many packets took a hop between hosts.
-	Forwards int
-	Packets  int
-	// ControlBytes is the control traffic of the busiest host, a second.
-	ControlBytes float64
+// ScenarioResult is what became of the flows of a scenario.
+type ScenarioResult struct {
+	Flows       int
+	BrokenFlows int
+	// FlowsPerTarget counts the flows by target.
+	FlowsPerTarget map[netip.AddrPort]int
+	// ForwardedPackets and Packets tell how many packets took a hop between hosts.
+	ForwardedPackets int
+	Packets          int
+	// ControlBytesPerSecond is the control traffic of the busiest host, a second.
+	ControlBytesPerSecond float64
 }
 
-// BrokenPer10000 returns the broken flows in 10,000.
-func (r Result) BrokenPer10000() float64 {
+// BrokenFlowsPer10000 returns the broken flows in 10,000.
+func (r ScenarioResult) BrokenFlowsPer10000() float64 {
 	if r.Flows == 0 {
 		return 0
 	}
-	return 10_000 * float64(r.Broken) / float64(r.Flows)
+	return 10_000 * float64(r.BrokenFlows) / float64(r.Flows)
 }
 
-// Run takes a policy through a scenario.
-func Run(p Policy, s Scenario, seed uint64) Result {
-	if _, ok := p.(System); ok {
+// RunScenario takes a policy through a scenario.
+func RunScenario(p PlacementPolicy, s Scenario, seed uint64) ScenarioResult {
+	if _, ok := p.(Cranberryspan); ok {
 		return newSystemRun(seed).run(s)
 	}
-	return newRivalRun(p, seed).run(s)
+	return newBaselineRun(p, seed).run(s)
 }
 
-func caller(n int) netip.AddrPort {
+func callerAddress(n int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{192, 168, byte(n >> 8), byte(n)}), 40000)
 }
 
-// rivalRun is a run of a policy whose hosts do not talk to each other.
-type rivalRun struct {
-	policy Policy
-	random *rand.Rand
-	hosts  map[string]*rivalHost
-	names  []string
-	ill    []int
-	homes  map[int]int
-	broken map[int]bool
-	result Result
+// baselineRun is a run of a policy whose hosts do not talk to each other.
+type baselineRun struct {
+	policy           PlacementPolicy
+	random           *rand.Rand
+	hosts            map[string]*baselineHost
+	hostNames        []string
+	unhealthyTargets []int
+	firstTargets     map[int]int
+	brokenFlows      map[int]bool
+	result           ScenarioResult
 }
 
-type rivalHost struct {
-	running bool
-	active  []int
-	present []int
-	behind  *Publish
-	table   map[int]int
+type baselineHost struct {
+	running         bool
+	activeTargets   []int
+	listedTargets   []int
+	pendingSettings *PublishSettings
+	flowTable       map[int]int
 }
 
-func newRivalRun(p Policy, seed uint64) *rivalRun {
-	r := &rivalRun{policy: p, random: rand.New(rand.NewPCG(seed, 2)), hosts: map[string]*rivalHost{}, homes: map[int]int{}, broken: map[int]bool{}}
-	r.names = tree().HostNames()
-	for _, name := range r.names {
-		r.hosts[name] = &rivalHost{running: true, active: numbers(1, 14), present: numbers(1, 14), table: map[int]int{}}
+func newBaselineRun(p PlacementPolicy, seed uint64) *baselineRun {
+	r := &baselineRun{policy: p, random: rand.New(rand.NewPCG(seed, 2)), hosts: map[string]*baselineHost{}, firstTargets: map[int]int{}, brokenFlows: map[int]bool{}}
+	r.hostNames = baseSettings().HostNames()
+	for _, name := range r.hostNames {
+		r.hosts[name] = &baselineHost{running: true, activeTargets: intRange(1, 14), listedTargets: intRange(1, 14), flowTable: map[int]int{}}
 	}
 	return r
 }
 
-func (r *rivalRun) run(s Scenario) Result {
+func (r *baselineRun) run(s Scenario) ScenarioResult {
 	for _, step := range s.Steps {
-		r.do(step)
+		r.apply(step)
 	}
-	r.result.Flows = len(r.homes)
-	r.result.Broken = len(r.broken)
-	r.result.PerTarget = map[netip.AddrPort]int{}
-	for _, home := range r.homes {
-		r.result.PerTarget[driver.TargetAddress(home)]++
+	r.result.Flows = len(r.firstTargets)
+	r.result.BrokenFlows = len(r.brokenFlows)
+	r.result.FlowsPerTarget = map[netip.AddrPort]int{}
+	for _, target := range r.firstTargets {
+		r.result.FlowsPerTarget[driver.TargetAddress(target)]++
 	}
 	return r.result
 }
 
-func (r *rivalRun) do(step Step) {
+func (r *baselineRun) apply(step Step) {
 	switch step := step.(type) {
-	case Publish:
+	case PublishSettings:
 		for name, h := range r.hosts {
-			if slices.Contains(step.Behind, name) {
-				h.behind = &step
+			if slices.Contains(step.DelayedHosts, name) {
+				h.pendingSettings = &step
 				continue
 			}
-			h.adopt(step)
+			h.adoptSettings(step)
 		}
-	case Kill:
+	case KillHost:
 		r.hosts[step.Host].running = false
-	case Leave:
+	case StopHost:
 		r.hosts[step.Host].running = false
-	case Start:
+	case StartHost:
 		old := r.hosts[step.Host]
-		r.hosts[step.Host] = &rivalHost{running: true, active: old.active, present: old.present, table: map[int]int{}}
-	case Ill:
-		r.ill = step.Targets
-	case Well:
-		r.ill = nil
-	case Wait:
+		r.hosts[step.Host] = &baselineHost{running: true, activeTargets: old.activeTargets, listedTargets: old.listedTargets, flowTable: map[int]int{}}
+	case FailTargets:
+		r.unhealthyTargets = step.Targets
+	case RecoverTargets:
+		r.unhealthyTargets = nil
+	case WaitFor:
 		for _, h := range r.hosts {
-			if h.behind != nil {
-				h.adopt(*h.behind)
+			if h.pendingSettings != nil {
+				h.adoptSettings(*h.pendingSettings)
 			}
 		}
-	case Open:
+	case OpenFlows:
 		for range step.Flows {
-			n := len(r.homes)
-			r.homes[n] = r.send(n)
+			n := len(r.firstTargets)
+			r.firstTargets[n] = r.sendPacket(n)
 		}
-	case Traffic:
+	case SendTraffic:
 		for range step.Rounds {
-			for n := range len(r.homes) {
-				if r.send(n) != r.homes[n] {
-					r.broken[n] = true
+			for n := range len(r.firstTargets) {
+				if r.sendPacket(n) != r.firstTargets[n] {
+					r.brokenFlows[n] = true
 				}
 			}
 		}
-	case Pause, Wake, Cut, Heal:
+	case PauseHost, ResumeHost, PartitionHosts, HealPartition:
 		// Hosts that do not talk to each other are no worse for a cut, and a
 		// pause only delays their packets.
 	}
 }
 
-func (h *rivalHost) adopt(p Publish) {
-	h.behind = nil
-	h.present = p.Targets
-	h.active = slices.DeleteFunc(slices.Clone(p.Targets), func(n int) bool { return slices.Contains(p.Draining, n) })
+func (h *baselineHost) adoptSettings(p PublishSettings) {
+	h.pendingSettings = nil
+	h.listedTargets = p.Targets
+	h.activeTargets = slices.DeleteFunc(slices.Clone(p.Targets), func(n int) bool { return slices.Contains(p.Draining, n) })
 }
 
-func (r *rivalRun) send(n int) int {
-	var open []string
-	for _, name := range r.names {
+func (r *baselineRun) sendPacket(flow int) int {
+	var running []string
+	for _, name := range r.hostNames {
 		if r.hosts[name].running {
-			open = append(open, name)
+			running = append(running, name)
 		}
 	}
-	h := r.hosts[open[r.random.IntN(len(open))]]
+	h := r.hosts[running[r.random.IntN(len(running))]]
 	r.result.Packets++
-	healthy := slices.DeleteFunc(slices.Clone(h.active), func(t int) bool { return slices.Contains(r.ill, t) })
-	key, _ := resolver.NewFlowKey(caller(n), 1)
+	healthy := slices.DeleteFunc(slices.Clone(h.activeTargets), func(t int) bool { return slices.Contains(r.unhealthyTargets, t) })
+	key, _ := resolver.NewFlowKey(callerAddress(flow), 1)
 	hash := placer.Hash(key)
 	switch r.policy.(type) {
 	case HashModulo:
 		return healthy[hash%uint64(len(healthy))]
-	case LocalTable:
-		if known, ok := h.table[n]; ok && slices.Contains(h.present, known) {
+	case PerHostFlowTable:
+		if known, ok := h.flowTable[flow]; ok && slices.Contains(h.listedTargets, known) {
 			return known
 		}
 	}
 	target := rendezvous(hash, healthy)
-	h.table[n] = target
+	h.flowTable[flow] = target
 	return target
 }
 
@@ -218,124 +218,124 @@
 
 // systemRun is a run of the system itself.
 type systemRun struct {
-	fleet   *driver.Fleet
-	tree    driver.Tree
-	flows   int
-	number  int
-	homes   map[netip.AddrPort]netip.AddrPort
-	broken  map[netip.AddrPort]bool
-	packets int
-	began   time.Duration
+	simulation     *driver.Simulation
+	tree           driver.SettingsTree
+	flowCount      int
+	exchangeNumber int
+	firstTargets   map[netip.AddrPort]netip.AddrPort
+	brokenFlows    map[netip.AddrPort]bool
+	packetCount    int
+	startedAt      time.Duration
 }
 
 func newSystemRun(seed uint64) *systemRun {
-	r := &systemRun{tree: tree(), homes: map[netip.AddrPort]netip.AddrPort{}, broken: map[netip.AddrPort]bool{}}
-	r.fleet = driver.New(seed, r.tree.Document())
-	r.fleet.Start(r.tree.HostNames()...)
-	r.fleet.Step(10 * time.Second)
-	r.fleet.Measure = true
-	r.fleet.Forwards = 0
-	r.began = time.Duration(r.fleet.Now)
+	r := &systemRun{tree: baseSettings(), firstTargets: map[netip.AddrPort]netip.AddrPort{}, brokenFlows: map[netip.AddrPort]bool{}}
+	r.simulation = driver.New(seed, r.tree.Document())
+	r.simulation.Start(r.tree.HostNames()...)
+	r.simulation.Step(10 * time.Second)
+	r.simulation.MeasureControlBytes = true
+	r.simulation.ForwardedPackets = 0
+	r.startedAt = time.Duration(r.simulation.Now)
 	return r
 }
 
-func (r *systemRun) run(s Scenario) Result {
+func (r *systemRun) run(s Scenario) ScenarioResult {
 	for _, step := range s.Steps {
-		r.do(step)
-		r.judge()
+		r.apply(step)
+		r.recordBrokenFlows()
 	}
-	result := Result{Flows: r.flows, Broken: len(r.broken), PerTarget: map[netip.AddrPort]int{}, Forwards: r.fleet.Forwards, Packets: r.packets}
-	for _, home := range r.homes {
-		result.PerTarget[home]++
+	result := ScenarioResult{Flows: r.flowCount, BrokenFlows: len(r.brokenFlows), FlowsPerTarget: map[netip.AddrPort]int{}, ForwardedPackets: r.simulation.ForwardedPackets, Packets: r.packetCount}
+	for _, target := range r.firstTargets {
+		result.FlowsPerTarget[target]++
 	}
 	busiest := 0
-	for _, bytes := range r.fleet.Bytes {
+	for _, bytes := range r.simulation.ControlBytes {
 		busiest = max(busiest, bytes)
 	}
-	result.ControlBytes = float64(busiest) / (time.Duration(r.fleet.Now) - r.began).Seconds()
+	result.ControlBytesPerSecond = float64(busiest) / (time.Duration(r.simulation.Now) - r.startedAt).Seconds()
 	return result
 }
 
-func (r *systemRun) do(step Step) {
-	f := r.fleet
+func (r *systemRun) apply(step Step) {
+	simulation := r.simulation
 	switch step := step.(type) {
-	case Publish:
+	case PublishSettings:
 		next := r.tree
-		next.Services = []driver.TreeService{{Targets: step.Targets, Draining: step.Draining, Address: 1}}
-		for _, name := range step.Behind {
-			f.CutPlatform(name, true)
+		next.Services = []driver.SettingsService{{TargetNumbers: step.Targets, DrainingTargetNumbers: step.Draining, AddressNumber: 1}}
+		for _, name := range step.DelayedHosts {
+			simulation.SetPlatformCut(name, true)
 		}
-		f.Publish(next.Document())
-		f.Step(20 * time.Millisecond)
-	case Kill:
-		f.Kill(step.Host)
-	case Leave:
-		f.Shutdown(step.Host)
-		f.StepUntil(20*time.Second, func() bool { return f.Ended(step.Host) })
-	case Start:
-		f.Start(step.Host)
-		f.StepUntil(20*time.Second, func() bool { return f.Reducer(step.Host).Ready() })
-	case Pause:
-		f.Pause(step.Host)
-	case Wake:
-		f.Wake(step.Host)
-	case Cut:
-		f.Split(step.Hosts...)
-	case Heal:
-		f.Join(step.Hosts...)
-	case Ill:
-		r.setDown(step.Targets, true)
-	case Well:
-		r.setDown(step.Targets, false)
-	case Wait:
-		f.Step(step.Span)
-	case Open:
-		r.number++
+		simulation.Publish(next.Document())
+		simulation.Step(20 * time.Millisecond)
+	case KillHost:
+		simulation.Kill(step.Host)
+	case StopHost:
+		simulation.Shutdown(step.Host)
+		simulation.StepUntil(20*time.Second, func() bool { return simulation.HasLeft(step.Host) })
+	case StartHost:
+		simulation.Start(step.Host)
+		simulation.StepUntil(20*time.Second, func() bool { return simulation.Reducer(step.Host).Ready() })
+	case PauseHost:
+		simulation.Pause(step.Host)
+	case ResumeHost:
+		simulation.Resume(step.Host)
+	case PartitionHosts:
+		simulation.Partition(step.Hosts...)
+	case HealPartition:
+		simulation.HealPartition(step.Hosts...)
+	case FailTargets:
+		r.setTargetsDown(step.Targets, true)
+	case RecoverTargets:
+		r.setTargetsDown(step.Targets, false)
+	case WaitFor:
+		simulation.Step(step.Duration)
+	case OpenFlows:
+		r.exchangeNumber++
 		for range step.Flows {
-			r.send(r.flows, messenger.FlagOpensFlow|messenger.FlagIdempotent|messenger.FlagBlockwise)
-			r.flows++
-			if r.flows%10 == 0 {
-				f.Step(20 * time.Millisecond)
+			r.sendPacket(r.flowCount, messenger.FlagOpensFlow|messenger.FlagIdempotent|messenger.FlagBlockwise)
+			r.flowCount++
+			if r.flowCount%10 == 0 {
+				simulation.Step(20 * time.Millisecond)
 			}
 		}
-		f.Step(100 * time.Millisecond)
-	case Traffic:
+		simulation.Step(100 * time.Millisecond)
+	case SendTraffic:
 		for range step.Rounds {
-			r.number++
-			for n := range r.flows {
-				r.send(n, messenger.FlagIdempotent|messenger.FlagBlockwise)
+			r.exchangeNumber++
+			for n := range r.flowCount {
+				r.sendPacket(n, messenger.FlagIdempotent|messenger.FlagBlockwise)
 			}
-			f.Step(100 * time.Millisecond)
+			simulation.Step(100 * time.Millisecond)
 		}
 	}
 }
 
-func (r *systemRun) setDown(targets []int, down bool) {
+func (r *systemRun) setTargetsDown(targets []int, down bool) {
 	for _, n := range targets {
-		r.fleet.Target(driver.TargetAddress(n)).Down = down
+		r.simulation.Target(driver.TargetAddress(n)).Down = down
 	}
 }
 
-func (r *systemRun) send(n int, flags messenger.Flags) {
+func (r *systemRun) sendPacket(flow int, flags messenger.Flags) {
 	id := driver.RequestID{
-		Caller:   caller(n),
+		Caller:   callerAddress(flow),
 		Service:  driver.ServiceAddress(1),
-		Exchange: messenger.Exchange{MessageID: uint16(r.number), Token: uint64(r.number), TokenLength: 8},
+		Exchange: messenger.Exchange{MessageID: uint16(r.exchangeNumber), Token: uint64(r.exchangeNumber), TokenLength: 8},
 	}
-	r.packets++
-	r.fleet.Call("", id, messenger.Packet{Kind: messenger.KindRequest, Flags: flags})
+	r.packetCount++
+	r.simulation.SendPacket("", id, messenger.Packet{Kind: messenger.KindRequest, Flags: flags})
 }
 
-// judge looks at what reached targets since the last step.
-func (r *systemRun) judge() {
-	for _, p := range r.fleet.Sent {
-		home, ok := r.homes[p.ID.Caller]
+// recordBrokenFlows looks at what reached targets since the last step.
+func (r *systemRun) recordBrokenFlows() {
+	for _, p := range r.simulation.TargetPackets {
+		first, ok := r.firstTargets[p.ID.Caller]
 		switch {
 		case !ok:
-			r.homes[p.ID.Caller] = p.Target
-		case home != p.Target:
-			r.broken[p.ID.Caller] = true
+			r.firstTargets[p.ID.Caller] = p.Target
+		case first != p.Target:
+			r.brokenFlows[p.ID.Caller] = true
 		}
 	}
-	r.fleet.Sent = r.fleet.Sent[:0]
+	r.simulation.TargetPackets = r.simulation.TargetPackets[:0]
 }
--- a/core/driver/driver.go
+++ b/core/driver/driver.go
@@ -23,61 +23,61 @@
 	"cranberryspan.dev/core/timekeeper"
 )
 
-// Latency is the time that every message and packet takes.
-const Latency = time.Millisecond
-
-// Fleet is hosts, targets and callers.
-type Fleet struct {
-	Now    timekeeper.Instant
-	random *rand.Rand
-	hosts  map[string]*host
-	names  []string
-	queue  eventQueue
-	order  uint64
-	starts uint64
+// MessageLatency is the time that every message and packet takes.
+const MessageLatency = time.Millisecond
+
+// Simulation is hosts, targets and callers.
+type Simulation struct {
+	Now          timekeeper.Instant
+	random       *rand.Rand
+	hosts        map[string]*host
+	hostNames    []string
+	queue        eventQueue
+	lastSequence uint64
+	startCount   uint64
 
 	// documents are the published revisions; the platform serves Serving.
 	documents [][]byte
 	// PlatformDown stops all reads of the platform.
 	PlatformDown bool
-	// Serving is the revision that the platform serves; zero is the latest.
-	Serving uint64
-	cut     map[[2]string]bool
+	// ServedRevision is the revision that the platform serves; zero is the latest.
+	ServedRevision uint64
+	cutLinks       map[[2]string]bool
 
-	targets       map[netip.AddrPort]*Target
-	packets       map[uint64]packetNote
-	nextID        uint64
-	nonIdempotent map[RequestID]bool
+	targets               map[netip.AddrPort]*Target
+	packetsByID           map[uint64]packetInfo
+	lastPacketID          uint64
+	nonIdempotentRequests map[RequestID]bool
 
 	// Seeds are told to hosts that start.
 	Seeds []string
 	// Replies and Answers record what callers got, by exchange.
 	Replies []CallerReply
 	Answers []CallerAnswer
-	// Sent records every packet that reached a target.
-	Sent []TargetPacket
-	// Bytes counts control bytes by sending host; Forwards counts packets.
-	Bytes    map[string]int
-	Forwards int
-	// Messages counts control messages, Probes probes of targets.
-	Messages int
-	Probes   int
-	// Measure makes the fleet encode control messages to count their bytes.
-	Measure bool
-	sealers map[string]*encoder.MessageCodec
+	// TargetPackets records every packet that reached a target.
+	TargetPackets []TargetPacket
+	// ControlBytes counts control bytes by sending host; Forwards counts packets.
+	ControlBytes     map[string]int
+	ForwardedPackets int
+	// ControlMessages counts control messages, Probes probes of targets.
+	ControlMessages int
+	Probes          int
+	// MeasureControlBytes makes the fleet encode control messages to count their bytes.
+	MeasureControlBytes bool
+	sealers             map[string]*encoder.MessageCodec
 	// PlatformReads counts reads that brought a document.
 	PlatformReads int
 }
 
 type host struct {
-	name     string
-	reducer  *reducer.Reducer
-	running  bool
-	paused   bool
-	ended    bool
-	watching bool
-	platform bool
-	backlog  []reducer.Event
+	name              string
+	reducer           *reducer.Reducer
+	running           bool
+	paused            bool
+	left              bool
+	watching          bool
+	platformReachable bool
+	backlog           []reducer.Event
 }
 
 // RequestID names a request of a caller.
@@ -112,231 +112,236 @@
 	Packet messenger.Packet
 }
 
-// packetNote is what a payload stands for.
-type packetNote struct {
+// packetInfo is what a payload stands for.
+type packetInfo struct {
 	id     RequestID
 	packet messenger.Packet
 }
 
 // New makes a fleet without hosts. document becomes revision 1.
-func New(seed uint64, document []byte) *Fleet {
-	return &Fleet{
-		Now:           timekeeper.Instant(time.Second),
-		random:        rand.New(rand.NewPCG(seed, 1)),
-		hosts:         map[string]*host{},
-		documents:     [][]byte{document},
-		cut:           map[[2]string]bool{},
-		targets:       map[netip.AddrPort]*Target{},
-		packets:       map[uint64]packetNote{},
-		Bytes:         map[string]int{},
-		nonIdempotent: map[RequestID]bool{},
-		sealers:       map[string]*encoder.MessageCodec{},
+func New(seed uint64, document []byte) *Simulation {
+	return &Simulation{
+		Now:                   timekeeper.Instant(time.Second),
+		random:                rand.New(rand.NewPCG(seed, 1)),
+		hosts:                 map[string]*host{},
+		documents:             [][]byte{document},
+		cutLinks:              map[[2]string]bool{},
+		targets:               map[netip.AddrPort]*Target{},
+		packetsByID:           map[uint64]packetInfo{},
+		ControlBytes:          map[string]int{},
+		nonIdempotentRequests: map[RequestID]bool{},
+		sealers:               map[string]*encoder.MessageCodec{},
 	}
 }
 
 // Start starts hosts, or starts them anew under a higher incarnation.
-func (f *Fleet) Start(names ...string) {
+func (s *Simulation) Start(names ...string) {
 	for _, name := range names {
-		f.starts++
-		if _, ok := f.hosts[name]; !ok {
-			f.names = append(f.names, name)
-			slices.Sort(f.names)
+		s.startCount++
+		if _, ok := s.hosts[name]; !ok {
+			s.hostNames = append(s.hostNames, name)
+			slices.Sort(s.hostNames)
 		}
-		f.hosts[name] = &host{
+		s.hosts[name] = &host{
 			name: name,
 			reducer: reducer.New(reducer.Config{
 				Self:        name,
-				Incarnation: f.starts * 1000,
-				Seed:        f.starts,
+				Incarnation: s.startCount * 1000,
+				Seed:        s.startCount,
 				Timing:      detector.DefaultTiming(),
-				SeedHosts:   f.Seeds,
-				Start:       f.Now,
+				SeedHosts:   s.Seeds,
+				Start:       s.Now,
 			}),
-			running:  true,
-			watching: true,
-			platform: true,
+			running:           true,
+			watching:          true,
+			platformReachable: true,
 		}
 	}
 }
 
 // Kill ends a host without warning.
-func (f *Fleet) Kill(name string) { f.hosts[name].running = false }
+func (s *Simulation) Kill(name string) { s.hosts[name].running = false }
 
 // Pause freezes a host; what reaches it waits until Wake.
-func (f *Fleet) Pause(name string) { f.hosts[name].paused = true }
+func (s *Simulation) Pause(name string) { s.hosts[name].paused = true }
 
-// Wake lets a paused host go on. It finds everything that came meanwhile.
-func (f *Fleet) Wake(name string) {
-	h := f.hosts[name]
+// Resume lets a paused host go on. It finds everything that came meanwhile.
+func (s *Simulation) Resume(name string) {
+	h := s.hosts[name]
 	h.paused = false
 	backlog := h.backlog
 	h.backlog = nil
 	for _, event := range backlog {
-		f.reduce(h, event)
+		s.reduce(h, event)
 	}
 }
 
 // Shutdown asks a host to leave.
-func (f *Fleet) Shutdown(name string) { f.deliver(name, &reducer.Shutdown{}) }
+func (s *Simulation) Shutdown(name string) { s.deliver(name, &reducer.Shutdown{}) }
 
-// Ended reports whether a host has left by itself.
-func (f *Fleet) Ended(name string) bool { return f.hosts[name].ended }
+// HasLeft reports whether a host has left by itself.
+func (s *Simulation) HasLeft(name string) bool { return s.hosts[name].left }
 
 // Running reports whether a host runs and is not paused.
-func (f *Fleet) Running(name string) bool {
-	h, ok := f.hosts[name]
+func (s *Simulation) Running(name string) bool {
+	h, ok := s.hosts[name]
 	return ok && h.running && !h.paused
 }
 
-// Cut breaks the link between two hosts in both directions; Heal mends it.
-func (f *Fleet) Cut(a, b string) { f.cut[[2]string{a, b}], f.cut[[2]string{b, a}] = true, true }
+// CutLink breaks the link between two hosts in both directions; Heal mends it.
+func (s *Simulation) CutLink(a, b string) {
+	s.cutLinks[[2]string{a, b}], s.cutLinks[[2]string{b, a}] = true, true
+}
 
-// Heal mends the link between two hosts.
-func (f *Fleet) Heal(a, b string) { delete(f.cut, [2]string{a, b}); delete(f.cut, [2]string{b, a}) }
+// HealLink mends the link between two hosts.
+func (s *Simulation) HealLink(a, b string) {
+	delete(s.cutLinks, [2]string{a, b})
+	delete(s.cutLinks, [2]string{b, a})
+}
 
-// Split cuts every link between a group of hosts and the others.
-func (f *Fleet) Split(group ...string) { f.each(group, f.Cut) }
+// Partition cuts every link between a group of hosts and the others.
+func (s *Simulation) Partition(group ...string) { s.forEachLinkAcross(group, s.CutLink) }
 
-// Join mends every link between a group of hosts and the others.
-func (f *Fleet) Join(group ...string) { f.each(group, f.Heal) }
+// HealPartition mends every link between a group of hosts and the others.
+func (s *Simulation) HealPartition(group ...string) { s.forEachLinkAcross(group, s.HealLink) }
 
-func (f *Fleet) each(group []string, do func(a, b string)) {
+func (s *Simulation) forEachLinkAcross(group []string, action func(a, b string)) {
 	for _, a := range group {
-		for _, b := range f.names {
+		for _, b := range s.hostNames {
 			if !slices.Contains(group, b) {
-				do(a, b)
+				action(a, b)
 			}
 		}
 	}
 }
 
-// CutPlatform sets whether a host reaches the platform.
-func (f *Fleet) CutPlatform(name string, cut bool) { f.hosts[name].platform = !cut }
+// SetPlatformCut sets whether a host reaches the platform.
+func (s *Simulation) SetPlatformCut(name string, cut bool) { s.hosts[name].platformReachable = !cut }
 
 // Publish publishes a document as the next revision and returns its number.
-func (f *Fleet) Publish(document []byte) uint64 {
-	f.documents = append(f.documents, document)
-	return uint64(len(f.documents))
+func (s *Simulation) Publish(document []byte) uint64 {
+	s.documents = append(s.documents, document)
+	return uint64(len(s.documents))
 }
 
 // Reducer returns a host's reducer, to look at.
-func (f *Fleet) Reducer(name string) *reducer.Reducer { return f.hosts[name].reducer }
+func (s *Simulation) Reducer(name string) *reducer.Reducer { return s.hosts[name].reducer }
 
-// Names returns the hosts that were ever started, sorted.
-func (f *Fleet) Names() []string { return f.names }
+// HostNames returns the hosts that were ever started, sorted.
+func (s *Simulation) HostNames() []string { return s.hostNames }
 
-// Call sends a packet from a caller to a service, through the named host or,
+// SendPacket sends a packet from a caller to a service, through the named host or,
 // with an empty name, through a random running one. It reports whether there
 // was a host to send through.
-func (f *Fleet) Call(host string, id RequestID, packet messenger.Packet) bool {
-	return f.CallAfter(0, host, id, packet)
+func (s *Simulation) SendPacket(host string, id RequestID, packet messenger.Packet) bool {
+	return s.SendPacketAfter(0, host, id, packet)
 }
 
-// CallAfter is Call, a while later.
-func (f *Fleet) CallAfter(d time.Duration, host string, id RequestID, packet messenger.Packet) bool {
+// SendPacketAfter is Call, a while later.
+func (s *Simulation) SendPacketAfter(delay time.Duration, host string, id RequestID, packet messenger.Packet) bool {
 	if host == "" {
-		host = f.randomHost()
+		host = s.randomHost()
 	}
 	if host == "" {
 		return false
 	}
 	packet.Exchange = id.Exchange
 	if packet.Kind == messenger.KindRequest && !packet.Flags.Has(messenger.FlagIdempotent) {
-		f.nonIdempotent[id] = true
+		s.nonIdempotentRequests[id] = true
 	}
-	packet.Payload = f.note(id, packet)
-	f.after(d+Latency, host, &reducer.CallerPacket{Caller: id.Caller, Service: id.Service, Packet: packet})
+	packet.Payload = s.registerPacket(id, packet)
+	s.scheduleEvent(delay+MessageLatency, host, &reducer.CallerPacket{Caller: id.Caller, Service: id.Service, Packet: packet})
 	return true
 }
 
-// note gives a packet a payload that names it.
-func (f *Fleet) note(id RequestID, packet messenger.Packet) []byte {
-	f.nextID++
-	f.packets[f.nextID] = packetNote{id: id, packet: packet}
-	return binary.BigEndian.AppendUint64(nil, f.nextID)
+// info gives a packet a payload that names it.
+func (s *Simulation) registerPacket(id RequestID, packet messenger.Packet) []byte {
+	s.lastPacketID++
+	s.packetsByID[s.lastPacketID] = packetInfo{id: id, packet: packet}
+	return binary.BigEndian.AppendUint64(nil, s.lastPacketID)
 }
 
-func (f *Fleet) randomHost() string {
-	var open []string
-	for _, name := range f.names {
-		if h := f.hosts[name]; h.running && h.reducer.Accepting() {
-			open = append(open, name)
+func (s *Simulation) randomHost() string {
+	var accepting []string
+	for _, name := range s.hostNames {
+		if h := s.hosts[name]; h.running && h.reducer.Accepting() {
+			accepting = append(accepting, name)
 		}
 	}
-	if len(open) == 0 {
+	if len(accepting) == 0 {
 		return ""
 	}
-	return open[f.random.IntN(len(open))]
+	return accepting[s.random.IntN(len(accepting))]
 }
 
 // Step lets time pass.
-func (f *Fleet) Step(d time.Duration) {
-	end := f.Now.Add(d)
-	for f.Now < end {
-		tick := f.Now.Add(reducer.TickInterval)
-		f.drain(tick)
-		f.Now = tick
-		f.readPlatform()
-		for _, name := range f.names {
-			f.deliver(name, &reducer.Tick{})
+func (s *Simulation) Step(d time.Duration) {
+	end := s.Now.Add(d)
+	for s.Now < end {
+		tick := s.Now.Add(reducer.TickInterval)
+		s.runEventsUntil(tick)
+		s.Now = tick
+		s.pollPlatform()
+		for _, name := range s.hostNames {
+			s.deliver(name, &reducer.Tick{})
 		}
 	}
 }
 
 // StepUntil lets time pass until a condition holds, at most for a while, and
 // reports whether it holds.
-func (f *Fleet) StepUntil(most time.Duration, condition func() bool) bool {
-	for end := f.Now.Add(most); f.Now < end; {
+func (s *Simulation) StepUntil(timeout time.Duration, condition func() bool) bool {
+	for end := s.Now.Add(timeout); s.Now < end; {
 		if condition() {
 			return true
 		}
-		f.Step(reducer.TickInterval)
+		s.Step(reducer.TickInterval)
 	}
 	return condition()
 }
 
-// drain carries out everything that happens before a time.
-func (f *Fleet) drain(until timekeeper.Instant) {
-	for len(f.queue) > 0 && f.queue[0].at <= until {
-		e := heap.Pop(&f.queue).(*scheduled)
-		f.Now = max(f.Now, e.at)
-		if e.do != nil {
-			e.do()
+// runEventsUntil carries out everything that happens before a time.
+func (s *Simulation) runEventsUntil(until timekeeper.Instant) {
+	for len(s.queue) > 0 && s.queue[0].at <= until {
+		e := heap.Pop(&s.queue).(*scheduledEvent)
+		s.Now = max(s.Now, e.at)
+		if e.action != nil {
+			e.action()
 			continue
 		}
-		f.deliver(e.host, e.event)
+		s.deliver(e.host, e.event)
 	}
 }
 
-func (f *Fleet) readPlatform() {
-	if f.PlatformDown {
+func (s *Simulation) pollPlatform() {
+	if s.PlatformDown {
 		return
 	}
-	revision := uint64(len(f.documents))
-	if f.Serving != 0 {
-		revision = f.Serving
+	revision := uint64(len(s.documents))
+	if s.ServedRevision != 0 {
+		revision = s.ServedRevision
 	}
-	for _, name := range f.names {
-		h := f.hosts[name]
-		if h.watching && h.platform && revision != h.reducer.Revision() && h.running && !h.paused {
+	for _, name := range s.hostNames {
+		h := s.hosts[name]
+		if h.watching && h.platformReachable && revision != h.reducer.Revision() && h.running && !h.paused {
 			if revision > h.reducer.Revision() {
-				f.PlatformReads++
+				s.PlatformReads++
 			}
-			f.deliver(name, &reducer.SettingsPublished{Revision: revision, Document: f.documents[revision-1]})
+			s.deliver(name, &reducer.SettingsPublished{Revision: revision, Document: s.documents[revision-1]})
 		}
 	}
 }
 
-func (f *Fleet) deliver(name string, event reducer.Event) {
-	h, ok := f.hosts[name]
+func (s *Simulation) deliver(name string, event reducer.Event) {
+	h, ok := s.hosts[name]
 	if !ok || !h.running {
 		return
 	}
 	switch e := event.(type) {
 	case *reducer.CallerPacket:
-		e.Arrived = f.Now
+		e.Arrived = s.Now
 	case *reducer.PeerMessage:
-		e.Arrived = f.Now
+		e.Arrived = s.Now
 	}
 	if h.paused {
 		if _, isTick := event.(*reducer.Tick); !isTick {
@@ -344,104 +349,104 @@
 		}
 		return
 	}
-	f.reduce(h, event)
+	s.reduce(h, event)
 }
 
-func (f *Fleet) reduce(h *host, event reducer.Event) {
-	reducer.Stamp(event, f.Now)
+func (s *Simulation) reduce(h *host, event reducer.Event) {
+	reducer.Stamp(event, s.Now)
 	for _, effect := range h.reducer.Reduce(event) {
-		f.carryOut(h, effect)
+		s.applyEffect(h, effect)
 	}
 }
 
-func (f *Fleet) carryOut(h *host, effect reducer.Effect) {
+func (s *Simulation) applyEffect(h *host, effect reducer.Effect) {
 	switch e := effect.(type) {
 	case *reducer.ToTarget:
-		f.toTarget(h, *e)
+		s.sendToTarget(h, *e)
 	case *reducer.ToCaller:
-		f.toCaller(*e)
+		s.deliverToCaller(*e)
 	case *reducer.Reply:
 		id := RequestID{Caller: e.Caller, Service: e.Service, Exchange: e.Exchange}
-		f.Replies = append(f.Replies, CallerReply{At: f.Now, ID: id, Outcome: e.Outcome, Reason: e.Reason})
+		s.Replies = append(s.Replies, CallerReply{At: s.Now, ID: id, Outcome: e.Outcome, Reason: e.Reason})
 	case *reducer.ToPeer:
-		f.toPeer(h, e)
+		s.sendToPeer(h, e)
 	case *reducer.Probe:
-		f.probe(h, e.Target)
+		s.probeTarget(h, e.Target)
 	case *reducer.Watch:
 		h.watching = e.Enabled
 	case *reducer.Ended:
-		h.ended = true
+		h.left = true
 		h.running = false
 	case *reducer.Adopted, *reducer.Rejected, *reducer.Completed, *reducer.Logged:
 	}
 }
 
-func (f *Fleet) toCaller(e reducer.ToCaller) {
-	note := f.packets[binary.BigEndian.Uint64(e.Payload)]
-	f.Answers = append(f.Answers, CallerAnswer{At: f.Now, Caller: e.Caller, ID: note.id})
+func (s *Simulation) deliverToCaller(e reducer.ToCaller) {
+	info := s.packetsByID[binary.BigEndian.Uint64(e.Payload)]
+	s.Answers = append(s.Answers, CallerAnswer{At: s.Now, Caller: e.Caller, ID: info.id})
 }
 
-func (f *Fleet) toPeer(h *host, e *reducer.ToPeer) {
+func (s *Simulation) sendToPeer(h *host, e *reducer.ToPeer) {
 	from := h.name
 	if _, ok := e.Body.(*messenger.Forward); ok {
-		f.Forwards++
+		s.ForwardedPackets++
 	} else {
-		f.Messages++
-		if f.Measure {
-			f.count(from, e)
+		s.ControlMessages++
+		if s.MeasureControlBytes {
+			s.countControlBytes(from, e)
 		}
 	}
-	if f.cut[[2]string{from, e.Host}] {
+	if s.cutLinks[[2]string{from, e.Host}] {
 		return
 	}
-	f.after(Latency, e.Host, &reducer.PeerMessage{From: from, Body: copyBody(e.Body)})
+	s.scheduleEvent(MessageLatency, e.Host, &reducer.PeerMessage{From: from, Body: copyBody(e.Body)})
 }
 
-func (f *Fleet) count(from string, e *reducer.ToPeer) {
-	s, ok := f.sealers[from]
+func (s *Simulation) countControlBytes(from string, e *reducer.ToPeer) {
+	sealer, ok := s.sealers[from]
 	if !ok {
-		s = encoder.New(from, nil)
-		f.sealers[from] = s
+		sealer = encoder.New(from, nil)
+		s.sealers[from] = sealer
 	}
-	data, err := s.Encode(e.Host, e.Body)
+	data, err := sealer.Encode(e.Host, e.Body)
 	if err != nil {
 		panic(fmt.Sprintf("a host made a message that can't be sealed: %v", err))
 	}
-	f.Bytes[from] += len(data)
+	s.ControlBytes[from] += len(data)
 }
 
 // copyBody copies a message that the reducer uses again with its next call.
 func copyBody(body messenger.Body) messenger.Body {
 	if forward, ok := body.(*messenger.Forward); ok {
-		kept := *forward
-		return &kept
+		copied := *forward
+		return &copied
 	}
 	return body
 }
 
-// Runs sums the executions of a request over all targets.
-func (f *Fleet) Runs(id RequestID) int {
-	runs := 0
-	for _, t := range f.targets {
-		runs += t.Runs[id]
+// Executions sums the executions of a request over all targets.
+func (s *Simulation) Executions(id RequestID) int {
+	executions := 0
+	for _, t := range s.targets {
+		executions += t.Executions[id]
 	}
-	return runs
+	return executions
 }
 
 // ReturnAddress returns the address from which targets get a caller's packets.
-func (f *Fleet) ReturnAddress(id RequestID) netip.Addr {
-	for _, name := range f.names {
-		settings := f.hosts[name].reducer.Settings()
+func (s *Simulation) ReturnAddress(id RequestID) netip.Addr {
+	for _, name := range s.hostNames {
+		settings := s.hosts[name].reducer.Settings()
 		if settings == nil {
 			continue
 		}
-		if s, ok := settings.ServiceByAddress(id.Service); ok {
-			key, _ := resolver.NewFlowKey(id.Caller, s.ID)
-			return resolver.ReturnAddress(s.ReturnPrefix, key)
+		if service, ok := settings.ServiceByAddress(id.Service); ok {
+			key, _ := resolver.NewFlowKey(id.Caller, service.ID)
+			return resolver.ReturnAddress(service.ReturnPrefix, key)
 		}
 	}
 	return netip.Addr{}
 }
 
 // IsNonIdempotent reports whether a request was one that must not run twice.
-func (f *Fleet) IsNonIdempotent(id RequestID) bool { return f.nonIdempotent[id] }
+func (s *Simulation) IsNonIdempotent(id RequestID) bool { return s.nonIdempotentRequests[id] }
--- a/core/driver/queue.go
+++ b/core/driver/queue.go
@@ -9,28 +9,28 @@
 	"cranberryspan.dev/core/timekeeper"
 )
 
-// scheduled is something that happens at a time. Events of the same time happen
+// scheduledEvent is something that happens at a time. Events of the same time happen
 // in the order in which they were scheduled.
-type scheduled struct {
-	at    timekeeper.Instant
-	order uint64
-	host  string
-	event reducer.Event
-	do    func()
+type scheduledEvent struct {
+	at       timekeeper.Instant
+	sequence uint64
+	host     string
+	event    reducer.Event
+	action   func()
 }
 
-func (f *Fleet) after(d time.Duration, host string, event reducer.Event) {
-	f.order++
-	heap.Push(&f.queue, &scheduled{at: f.Now.Add(d), order: f.order, host: host, event: event})
+func (s *Simulation) scheduleEvent(delay time.Duration, host string, event reducer.Event) {
+	s.lastSequence++
+	heap.Push(&s.queue, &scheduledEvent{at: s.Now.Add(delay), sequence: s.lastSequence, host: host, event: event})
 }
 
-func (f *Fleet) schedule(d time.Duration, do func()) {
-	f.order++
-	heap.Push(&f.queue, &scheduled{at: f.Now.Add(d), order: f.order, do: do})
+func (s *Simulation) scheduleAction(delay time.Duration, action func()) {
+	s.lastSequence++
+	heap.Push(&s.queue, &scheduledEvent{at: s.Now.Add(delay), sequence: s.lastSequence, action: action})
 }
 
 // eventQueue is a heap of scheduled events.
-type eventQueue []*scheduled
+type eventQueue []*scheduledEvent
 
 func (q eventQueue) Len() int { return len(q) }
 
@@ -38,13 +38,13 @@
 	if byTime := cmp.Compare(q[i].at, q[j].at); byTime != 0 {
 		return byTime < 0
 	}
-	return q[i].order < q[j].order
+	return q[i].sequence < q[j].sequence
 }
 
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
 // Push is for package heap.
-func (q *eventQueue) Push(x any) { *q = append(*q, x.(*scheduled)) }
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(*scheduledEvent)) }
 
 // Pop is for package heap.
 func (q *eventQueue) Pop() any {
--- a/core/driver/target.go
+++ b/core/driver/target.go
@@ -11,80 +11,80 @@
 
 // Target is a target that answers every request after Work.
 type Target struct {
-	Address netip.AddrPort
-	Work    time.Duration
+	Address        netip.AddrPort
+	ProcessingTime time.Duration
 	// Down makes the target silent.
 	Down bool
-	// Lies makes the target's health endpoint fail while requests are answered.
-	Lies bool
-	// Shed makes the target refuse every request without running it.
-	Shed bool
-	// Runs counts the executions of each request.
-	Runs     map[RequestID]int
-	InFlight int
-	// Standing is work that the target reports beside what is in flight.
-	Standing int
+	// FailsHealthChecks makes the target's health endpoint fail while requests are answered.
+	FailsHealthChecks bool
+	// RefusesRequests makes the target refuse every request without running it.
+	RefusesRequests bool
+	// Executions counts the executions of each request.
+	Executions map[RequestID]int
+	InFlight   int
+	// ExtraLoad is work that the target reports beside what is in flight.
+	ExtraLoad int
 }
 
 // Target returns the target at an address, made on first use.
-func (f *Fleet) Target(address netip.AddrPort) *Target {
-	t, ok := f.targets[address]
+func (s *Simulation) Target(address netip.AddrPort) *Target {
+	t, ok := s.targets[address]
 	if !ok {
-		t = &Target{Address: address, Work: 5 * time.Millisecond, Runs: map[RequestID]int{}}
-		f.targets[address] = t
+		t = &Target{Address: address, ProcessingTime: 5 * time.Millisecond, Executions: map[RequestID]int{}}
+		s.targets[address] = t
 	}
 	return t
 }
 
 // Targets returns every target that was ever used, by address.
-func (f *Fleet) Targets() map[netip.AddrPort]*Target { return f.targets }
+func (s *Simulation) Targets() map[netip.AddrPort]*Target { return s.targets }
 
-func (f *Fleet) toTarget(h *host, e reducer.ToTarget) {
-	name, target := h.name, f.Target(e.Target)
-	f.schedule(Latency, func() {
-		note := f.packets[binary.BigEndian.Uint64(e.Payload)]
-		f.Sent = append(f.Sent, TargetPacket{At: f.Now, Host: name, Target: e.Target, ID: note.id, Packet: note.packet})
-		if target.Down || note.packet.Kind != messenger.KindRequest {
+func (s *Simulation) sendToTarget(h *host, e reducer.ToTarget) {
+	name, target := h.name, s.Target(e.Target)
+	s.scheduleAction(MessageLatency, func() {
+		info := s.packetsByID[binary.BigEndian.Uint64(e.Payload)]
+		s.TargetPackets = append(s.TargetPackets, TargetPacket{At: s.Now, Host: name, Target: e.Target, ID: info.id, Packet: info.packet})
+		if target.Down || info.packet.Kind != messenger.KindRequest {
 			return
 		}
-		f.run(target, e.Return, note)
+		s.execute(target, e.Return, info)
 	})
 }
 
-// run executes a request at a target and sends its answer.
-func (f *Fleet) run(target *Target, back netip.Addr, note packetNote) {
-	flags := messenger.FlagPiggybacked | note.packet.Flags&messenger.FlagStream
-	work := target.Work
-	if target.Shed {
+// execute executes a request at a target and sends its answer.
+func (s *Simulation) execute(target *Target, returnAddress netip.Addr, info packetInfo) {
+	flags := messenger.FlagPiggybacked | info.packet.Flags&messenger.FlagStream
+	processingTime := target.ProcessingTime
+	if target.RefusesRequests {
 		flags |= messenger.FlagRefused
-		work = 0
+		processingTime = 0
 	} else {
-		target.Runs[note.id]++
+		target.Executions[info.id]++
 		target.InFlight++
 	}
-	f.schedule(work, func() {
+	s.scheduleAction(processingTime, func() {
 		if flags&messenger.FlagRefused == 0 {
 			target.InFlight--
 		}
-		f.AnswerFrom(target.Address, back, note.id, flags)
+		s.SendResponse(target.Address, returnAddress, info.id, flags)
 	})
 }
 
-// AnswerFrom sends an answer from a target to a return address, through a
+// SendResponse sends an answer from a target to a return address, through a
 // random host.
-func (f *Fleet) AnswerFrom(target netip.AddrPort, back netip.Addr, id RequestID, flags messenger.Flags) {
+func (s *Simulation) SendResponse(target netip.AddrPort, returnAddress netip.Addr, id RequestID, flags messenger.Flags) {
 	packet := messenger.Packet{Kind: messenger.KindResponse, Flags: flags, Exchange: id.Exchange}
-	packet.Payload = f.note(id, packet)
-	if host := f.randomHost(); host != "" {
-		f.after(Latency, host, &reducer.TargetPacket{Target: target, Return: back, Packet: packet})
+	packet.Payload = s.registerPacket(id, packet)
+	if host := s.randomHost(); host != "" {
+		s.scheduleEvent(MessageLatency, host, &reducer.TargetPacket{Target: target, Return: returnAddress, Packet: packet})
 	}
 }
 
-func (f *Fleet) probe(h *host, address netip.AddrPort) {
-	target := f.Target(address)
+func (s *Simulation) probeTarget(h *host, address netip.AddrPort) {
+	target := s.Target(address)
 	name := h.name
-	f.Probes++
-	f.schedule(2*Latency, func() {
-		f.deliver(name, &reducer.ProbeAnswered{Target: address, Healthy: !target.Down && !target.Lies, InFlight: target.InFlight + target.Standing})
+	s.Probes++
+	s.scheduleAction(2*MessageLatency, func() {
+		s.deliver(name, &reducer.ProbeAnswered{Target: address, Healthy: !target.Down && !target.FailsHealthChecks, InFlight: target.InFlight + target.ExtraLoad})
 	})
 }
--- a/core/driver/tree.go
+++ b/core/driver/tree.go
@@ -8,27 +8,27 @@
 	"cranberryspan.dev/core/resolver"
 )
 
-// Tree builds a settings tree of one region for experiments.
-type Tree struct {
-	// Zones lists how many hosts each availability zone has; hosts are named
+// SettingsTree builds a settings tree of one region for experiments.
+type SettingsTree struct {
+	// HostsPerZone lists how many hosts each availability zone has; hosts are named
 	// "a1", "a2", "b1" and so on.
-	Zones []int
-	// Cells is how many cells each zone has.
-	Cells int
+	HostsPerZone []int
+	// CellsPerZone is how many cells each zone has.
+	CellsPerZone int
 	// Services are named s1, s2 and so on, with IDs from 1.
-	Services []TreeService
+	Services []SettingsService
 	// ExchangeLifetime and the like go into the defaults, as "key: value" lines.
 	Defaults []string
 }
 
-// TreeService is one service of a Tree.
-type TreeService struct {
-	// Targets are the numbers of the service's targets; see TargetAddress.
-	Targets []int
-	// Draining are the numbers of targets in the state draining.
-	Draining []int
-	// Address is the number of the service's address; see ServiceAddress.
-	Address int
+// SettingsService is one service of a Tree.
+type SettingsService struct {
+	// TargetNumbers are the numbers of the service's targets; see TargetAddress.
+	TargetNumbers []int
+	// DrainingTargetNumbers are the numbers of targets in the state draining.
+	DrainingTargetNumbers []int
+	// AddressNumber is the number of the service's address; see ServiceAddress.
+	AddressNumber int
 }
 
 // ServiceAddress returns the address of the service with a number.
@@ -45,9 +45,9 @@
 func HostName(zone, n int) string { return fmt.Sprintf("%c%d", 'a'+zone, n+1) }
 
 // HostNames returns all names of hosts of the tree.
-func (t Tree) HostNames() []string {
+func (t SettingsTree) HostNames() []string {
 	var names []string
-	for zone, hosts := range t.Zones {
+	for zone, hosts := range t.HostsPerZone {
 		for n := range hosts {
 			names = append(names, HostName(zone, n))
 		}
@@ -56,7 +56,7 @@
 }
 
 // Document writes the tree as YAML.
-func (t Tree) Document() []byte {
+func (t SettingsTree) Document() []byte {
 	var b []byte
 	line := func(format string, args ...any) { b = fmt.Appendf(b, format+"\n", args...) }
 	line("version: 1")
@@ -67,21 +67,21 @@
 		line("  %s", d)
 	}
 	line("regions:\n  r:\n    returnPrefix: fd00:1::/64\n    availabilityZones:")
-	for zone, hosts := range t.Zones {
-		line("      %c:\n        cells: %d\n        hosts:", 'a'+zone, max(t.Cells, 1))
+	for zone, hosts := range t.HostsPerZone {
+		line("      %c:\n        cells: %d\n        hosts:", 'a'+zone, max(t.CellsPerZone, 1))
 		for n := range hosts {
-			line("          %s: {address: 10.0.%d.%d:7000, fabricAddress: 10.0.%d.%d:7001, cell: %d}", HostName(zone, n), zone, n+1, zone, n+1, n%max(t.Cells, 1))
+			line("          %s: {address: 10.0.%d.%d:7000, fabricAddress: 10.0.%d.%d:7001, cell: %d}", HostName(zone, n), zone, n+1, zone, n+1, n%max(t.CellsPerZone, 1))
 		}
 	}
 	line("    services:")
 	for i, s := range t.Services {
-		line("      s%d:\n        id: %d\n        tenant: t\n        address: %s\n        targets:", i+1, i+1, ServiceAddress(s.Address))
-		for _, n := range s.Targets {
+		line("      s%d:\n        id: %d\n        tenant: t\n        address: %s\n        targets:", i+1, i+1, ServiceAddress(s.AddressNumber))
+		for _, n := range s.TargetNumbers {
 			state := "active"
-			if slices.Contains(s.Draining, n) {
+			if slices.Contains(s.DrainingTargetNumbers, n) {
 				state = "draining"
 			}
-			line("          t%d: {availabilityZone: %c, address: %s, state: %s}", n, 'a'+n%len(t.Zones), TargetAddress(n), state)
+			line("          t%d: {availabilityZone: %c, address: %s, state: %s}", n, 'a'+n%len(t.HostsPerZone), TargetAddress(n), state)
 		}
 	}
 	return b
--- a/core/reducer/answers_test.go
+++ b/core/reducer/answers_test.go
@@ -18,19 +18,19 @@
 	f := newFleet(t, threeZoneTree())
 	const flows = 100
 	for _, target := range intRange(1, 14) {
-		f.Target(driver.TargetAddress(target)).Work = 3500 * time.Millisecond
+		f.Target(driver.TargetAddress(target)).ProcessingTime = 3500 * time.Millisecond
 	}
 	tree := threeZoneTree()
 	_ = tree
 	for n := range flows {
-		f.Call("", requestID(n, 1, 1), requestPacket(openWrite))
+		f.SendPacket("", requestID(n, 1, 1), requestPacket(openWrite))
 	}
 	f.Step(200 * time.Millisecond)
 	f.Kill("a1")
 	f.Step(6 * time.Second)
 	for n := range flows {
 		id := requestID(n, 1, 1)
-		if f.Runs(id) == 0 {
+		if f.Executions(id) == 0 {
 			continue // It was lost on its way to the dead owner; the caller repeats it.
 		}
 		_, refused := replyTo(f, id)
@@ -46,11 +46,11 @@
 func TestLateResponseNotMatchedToLaterRequest(t *testing.T) {
 	f := newFleet(t, threeZoneTree())
 	first := requestID(1, 1, 1)
-	f.Target(driver.TargetAddress(1)).Work = 0
+	f.Target(driver.TargetAddress(1)).ProcessingTime = 0
 	for _, target := range intRange(1, 14) {
-		f.Target(driver.TargetAddress(target)).Work = 2500 * time.Millisecond
+		f.Target(driver.TargetAddress(target)).ProcessingTime = 2500 * time.Millisecond
 	}
-	f.Call("", first, requestPacket(openWrite))
+	f.SendPacket("", first, requestPacket(openWrite))
 	f.Step(2200 * time.Millisecond)
 	reply, refused := replyTo(f, first)
 	require.True(t, refused, "the deadline of 2 s is over")
@@ -58,7 +58,7 @@
 
 	second := first
 	second.Exchange.MessageID++
-	f.Call("", second, requestPacket(openWrite))
+	f.SendPacket("", second, requestPacket(openWrite))
 	f.Step(time.Second)
 	require.False(t, answered(f, first), "the late answer reached the caller")
 	f.Step(3 * time.Second)
@@ -73,11 +73,11 @@
 	f := newFleet(t, threeZoneTree())
 	ids := []driver.RequestID{requestID(1, 1, 1), requestID(1, 1, 2), requestID(2, 1, 1), requestID(3, 1, 1)}
 	for _, id := range ids {
-		f.Call("", id, requestPacket(openRead))
+		f.SendPacket("", id, requestPacket(openRead))
 	}
 	f.Step(100 * time.Millisecond)
 	for i := len(ids) - 1; i >= 0; i-- {
-		f.AnswerFrom(targetOf(t, f, ids[i]), f.ReturnAddress(ids[i]), ids[i], messenger.FlagPiggybacked)
+		f.SendResponse(targetOf(t, f, ids[i]), f.ReturnAddress(ids[i]), ids[i], messenger.FlagPiggybacked)
 	}
 	f.Step(100 * time.Millisecond)
 	for _, a := range f.Answers {
@@ -95,13 +95,13 @@
 func TestLateResponseNotDeliveredToNextUserOfPort(t *testing.T) {
 	f := newFleet(t, threeZoneTree())
 	for _, target := range intRange(1, 14) {
-		f.Target(driver.TargetAddress(target)).Work = 3 * time.Second
+		f.Target(driver.TargetAddress(target)).ProcessingTime = 3 * time.Second
 	}
 	first := requestID(1, 1, 1)
-	f.Call("", first, requestPacket(openWrite))
+	f.SendPacket("", first, requestPacket(openWrite))
 	f.Step(2200 * time.Millisecond)
 	next := requestID(1, 1, 77)
-	f.Call("", next, requestPacket(openRead))
+	f.SendPacket("", next, requestPacket(openRead))
 	f.Step(1500 * time.Millisecond)
 	require.False(t, answered(f, first))
 }
--- a/core/reducer/bench_test.go
+++ b/core/reducer/bench_test.go
@@ -18,7 +18,7 @@
 func readySingleHost(tb testing.TB) (*reducer.Reducer, timekeeper.Instant) {
 	tb.Helper()
 	tree := threeZoneTree()
-	tree.Zones = []int{1}
+	tree.HostsPerZone = []int{1}
 	tree.Defaults = []string{"exchangeLifetime: 1s", "slots: 10000", "queueLength: 0"}
 	now := timekeeper.Instant(time.Second)
 	host := reducer.New(reducer.Config{Self: "a1", Incarnation: 1, Seed: 1, Timing: detector.DefaultTiming(), Start: now})
--- a/core/reducer/fixture_test.go
+++ b/core/reducer/fixture_test.go
@@ -17,12 +17,12 @@
 )
 
 // threeZoneTree is eight hosts in three zones before two services.
-func threeZoneTree() driver.Tree {
-	return driver.Tree{
-		Zones: []int{3, 3, 2},
-		Services: []driver.TreeService{
-			{Targets: intRange(1, 14), Address: 1},
-			{Targets: intRange(21, 24), Address: 2},
+func threeZoneTree() driver.SettingsTree {
+	return driver.SettingsTree{
+		HostsPerZone: []int{3, 3, 2},
+		Services: []driver.SettingsService{
+			{TargetNumbers: intRange(1, 14), AddressNumber: 1},
+			{TargetNumbers: intRange(21, 24), AddressNumber: 2},
 		},
 		Defaults: []string{"exchangeLifetime: 10s", "flowMemory: 5m", "slots: 50"},
 	}
@@ -37,7 +37,7 @@
 }
 
 // newFleet starts every host of a tree and waits until all are ready.
-func newFleet(t testing.TB, tree driver.Tree) *driver.Fleet {
+func newFleet(t testing.TB, tree driver.SettingsTree) *driver.Simulation {
 	t.Helper()
 	f := driver.New(1, tree.Document())
 	f.Start(tree.HostNames()...)
@@ -45,7 +45,7 @@
 	return f
 }
 
-func waitReady(t testing.TB, f *driver.Fleet, names ...string) {
+func waitReady(t testing.TB, f *driver.Simulation, names ...string) {
 	t.Helper()
 	ready := func() bool {
 		for _, name := range names {
@@ -87,8 +87,8 @@
 	return key
 }
 
-func ownerOf(f *driver.Fleet, id driver.RequestID, service int) string {
-	for _, name := range f.Names() {
+func ownerOf(f *driver.Simulation, id driver.RequestID, service int) string {
+	for _, name := range f.HostNames() {
 		if f.Running(name) {
 			return f.Reducer(name).Owner(flowKeyOf(id, service))
 		}
@@ -97,9 +97,9 @@
 }
 
 // targetsOf returns the targets that packets of a request reached.
-func targetsOf(f *driver.Fleet, id driver.RequestID) []netip.AddrPort {
+func targetsOf(f *driver.Simulation, id driver.RequestID) []netip.AddrPort {
 	var targets []netip.AddrPort
-	for _, p := range f.Sent {
+	for _, p := range f.TargetPackets {
 		if p.ID == id && !slices.Contains(targets, p.Target) {
 			targets = append(targets, p.Target)
 		}
@@ -108,18 +108,18 @@
 }
 
 // targetOf returns the only target that packets of a request reached, or fails.
-func targetOf(t testing.TB, f *driver.Fleet, id driver.RequestID) netip.AddrPort {
+func targetOf(t testing.TB, f *driver.Simulation, id driver.RequestID) netip.AddrPort {
 	t.Helper()
 	targets := targetsOf(f, id)
 	require.Len(t, targets, 1, "request %v", id)
 	return targets[0]
 }
 
-func answered(f *driver.Fleet, id driver.RequestID) bool {
+func answered(f *driver.Simulation, id driver.RequestID) bool {
 	return slices.ContainsFunc(f.Answers, func(a driver.CallerAnswer) bool { return a.ID == id && a.Caller == id.Caller })
 }
 
-func replyTo(f *driver.Fleet, id driver.RequestID) (driver.CallerReply, bool) {
+func replyTo(f *driver.Simulation, id driver.RequestID) (driver.CallerReply, bool) {
 	for _, r := range f.Replies {
 		if r.ID == id {
 			return r, true
@@ -130,26 +130,26 @@
 
 // requireAtMostOnce checks the two promises about requests: none ran twice, and
 // none ran that its caller was told did not run.
-func requireAtMostOnce(t testing.TB, f *driver.Fleet) {
+func requireAtMostOnce(t testing.TB, f *driver.Simulation) {
 	t.Helper()
 	for _, target := range f.Targets() {
-		for id, n := range target.Runs {
+		for id, n := range target.Executions {
 			if f.IsNonIdempotent(id) {
-				require.LessOrEqual(t, f.Runs(id), 1, "request %v ran %d times here: %s", id, n, sendTrace(f, id))
+				require.LessOrEqual(t, f.Executions(id), 1, "request %v ran %d times here: %s", id, n, sendTrace(f, id))
 			}
 		}
 	}
 	for _, r := range f.Replies {
 		if r.Outcome == reducer.OutcomeNotRun {
-			require.Zero(t, f.Runs(r.ID), "request %v ran after it was refused as not run (%v)", r.ID, r.Reason)
+			require.Zero(t, f.Executions(r.ID), "request %v ran after it was refused as not run (%v)", r.ID, r.Reason)
 		}
 	}
 }
 
 // sendTrace tells which hosts sent a request to targets, and when.
-func sendTrace(f *driver.Fleet, id driver.RequestID) string {
+func sendTrace(f *driver.Simulation, id driver.RequestID) string {
 	var b strings.Builder
-	for _, p := range f.Sent {
+	for _, p := range f.TargetPackets {
 		if p.ID == id {
 			fmt.Fprintf(&b, "by %s to %v at %v; ", p.Host, p.Target, time.Duration(p.At))
 		}
--- a/core/reducer/flows_test.go
+++ b/core/reducer/flows_test.go
@@ -17,48 +17,48 @@
 // settings, under which the flow would be placed elsewhere.
 func TestEstablishedFlowsKeepTargetAcrossPlannedChanges(t *testing.T) {
 	drained := threeZoneTree()
-	drained.Services[0].Draining = []int{3, 7}
+	drained.Services[0].DrainingTargetNumbers = []int{3, 7}
 	added := threeZoneTree()
-	added.Services[0].Targets = intRange(1, 18)
+	added.Services[0].TargetNumbers = intRange(1, 18)
 	replaced := threeZoneTree()
-	replaced.Services[0].Targets = intRange(1, 18)
-	replaced.Services[0].Draining = intRange(1, 4)
+	replaced.Services[0].TargetNumbers = intRange(1, 18)
+	replaced.Services[0].DrainingTargetNumbers = intRange(1, 4)
 
-	replaceHosts := func(t *testing.T, f *driver.Fleet, names ...string) {
+	replaceHosts := func(t *testing.T, f *driver.Simulation, names ...string) {
 		for _, name := range names {
 			f.Shutdown(name)
-			require.True(t, f.StepUntil(10*time.Second, func() bool { return f.Ended(name) }), "%s has not left", name)
+			require.True(t, f.StepUntil(10*time.Second, func() bool { return f.HasLeft(name) }), "%s has not left", name)
 			f.Start(name)
 			waitReady(t, f, name)
 		}
 	}
 	tests := []struct {
 		name   string
-		change func(t *testing.T, f *driver.Fleet)
+		change func(t *testing.T, f *driver.Simulation)
 	}{
-		{"target added", func(_ *testing.T, f *driver.Fleet) { f.Publish(added.Document()) }},
-		{"targets drained", func(_ *testing.T, f *driver.Fleet) { f.Publish(drained.Document()) }},
-		{"targets replaced", func(_ *testing.T, f *driver.Fleet) { f.Publish(replaced.Document()) }},
-		{"host drained", func(t *testing.T, f *driver.Fleet) {
+		{"target added", func(_ *testing.T, f *driver.Simulation) { f.Publish(added.Document()) }},
+		{"targets drained", func(_ *testing.T, f *driver.Simulation) { f.Publish(drained.Document()) }},
+		{"targets replaced", func(_ *testing.T, f *driver.Simulation) { f.Publish(replaced.Document()) }},
+		{"host drained", func(t *testing.T, f *driver.Simulation) {
 			f.Shutdown("a2")
-			require.True(t, f.StepUntil(10*time.Second, func() bool { return f.Ended("a2") }))
+			require.True(t, f.StepUntil(10*time.Second, func() bool { return f.HasLeft("a2") }))
 		}},
-		{"all hosts replaced in turn", func(t *testing.T, f *driver.Fleet) { replaceHosts(t, f, f.Names()...) }},
-		{"targets drained, then all hosts replaced", func(t *testing.T, f *driver.Fleet) {
+		{"all hosts replaced in turn", func(t *testing.T, f *driver.Simulation) { replaceHosts(t, f, f.HostNames()...) }},
+		{"targets drained, then all hosts replaced", func(t *testing.T, f *driver.Simulation) {
 			f.Publish(drained.Document())
 			f.Step(time.Second)
-			replaceHosts(t, f, f.Names()...)
+			replaceHosts(t, f, f.HostNames()...)
 		}},
-		{"hosts replaced while targets are", func(t *testing.T, f *driver.Fleet) {
+		{"hosts replaced while targets are", func(t *testing.T, f *driver.Simulation) {
 			f.Shutdown("a1")
 			f.Publish(replaced.Document())
 			f.Shutdown("b2")
 			f.Step(300 * time.Millisecond)
 			replaceHosts(t, f, "c1")
 		}},
-		{"half of the hosts one revision behind", func(_ *testing.T, f *driver.Fleet) {
+		{"half of the hosts one revision behind", func(_ *testing.T, f *driver.Simulation) {
 			for _, name := range []string{"a1", "a2", "a3", "c1"} {
-				f.CutPlatform(name, true)
+				f.SetPlatformCut(name, true)
 			}
 			f.Publish(drained.Document())
 		}},
@@ -77,14 +77,14 @@
 }
 
 // establishFlows opens flows: streams and uploads in turn.
-func establishFlows(t *testing.T, f *driver.Fleet, flows int) []netip.AddrPort {
+func establishFlows(t *testing.T, f *driver.Simulation, flows int) []netip.AddrPort {
 	t.Helper()
 	for n := range flows {
 		flags := openRead | stream
 		if n%2 == 1 {
 			flags = openRead | block
 		}
-		require.True(t, f.Call("", requestID(n, 1, 1), requestPacket(flags)))
+		require.True(t, f.SendPacket("", requestID(n, 1, 1), requestPacket(flags)))
 	}
 	f.Step(500 * time.Millisecond)
 	targets := make([]netip.AddrPort, flows)
@@ -96,14 +96,14 @@
 
 // requireSameTargets sends each flow's next packet, through two hosts, and checks
 // that it reaches the flow's target.
-func requireSameTargets(t *testing.T, f *driver.Fleet, targets []netip.AddrPort, number int) {
+func requireSameTargets(t *testing.T, f *driver.Simulation, targets []netip.AddrPort, number int) {
 	t.Helper()
 	for i := range 2 {
 		for n := range targets {
 			if n%2 == 0 {
-				require.True(t, f.Call("", requestID(n, 1, number+i), controlPacket()))
+				require.True(t, f.SendPacket("", requestID(n, 1, number+i), controlPacket()))
 			} else {
-				require.True(t, f.Call("", requestID(n, 1, number+i), requestPacket(idempotent|block)))
+				require.True(t, f.SendPacket("", requestID(n, 1, number+i), requestPacket(idempotent|block)))
 			}
 		}
 	}
@@ -128,7 +128,7 @@
 func TestNotificationsReachCallerThroughAnyHost(t *testing.T) {
 	f := newFleet(t, threeZoneTree())
 	id := requestID(1, 1, 1)
-	f.Call("", id, requestPacket(openRead|stream))
+	f.SendPacket("", id, requestPacket(openRead|stream))
 	f.Step(100 * time.Millisecond)
 	require.True(t, answered(f, id))
 	target := targetOf(t, f, id)
@@ -136,7 +136,7 @@
 	f.Kill(owner)
 	back := f.ReturnAddress(id)
 	for range 50 {
-		f.AnswerFrom(target, back, id, stream)
+		f.SendResponse(target, back, id, stream)
 	}
 	before := len(f.Answers)
 	f.Step(100 * time.Millisecond)
@@ -172,7 +172,7 @@
 // Cause: a packet that can only continue a flow is placed like a new one.
 func TestUnknownFlowUsesPreviousPlacement(t *testing.T) {
 	added := threeZoneTree()
-	added.Services[0].Targets = intRange(1, 20)
+	added.Services[0].TargetNumbers = intRange(1, 20)
 	f := newFleet(t, threeZoneTree())
 	targets := establishFlows(t, f, 200)
 	f.Publish(added.Document())
@@ -183,7 +183,7 @@
 	f.Step(1500 * time.Millisecond)
 	moved, reached := 0, 0
 	for n := 1; n < len(targets); n += 2 {
-		f.Call("a3", requestID(n, 1, 100), requestPacket(idempotent|block))
+		f.SendPacket("a3", requestID(n, 1, 100), requestPacket(idempotent|block))
 	}
 	f.Step(500 * time.Millisecond)
 	for n := 1; n < len(targets); n += 2 {
@@ -204,22 +204,22 @@
 // Cause: one target remembered for two kinds of work.
 func TestUploadStartedWhileStreamTargetDrains(t *testing.T) {
 	drained := threeZoneTree()
-	drained.Services[0].Draining = intRange(1, 7)
+	drained.Services[0].DrainingTargetNumbers = intRange(1, 7)
 	f := newFleet(t, threeZoneTree())
 	const flows = 60
 	for n := range flows {
-		f.Call("", requestID(n, 1, 1), requestPacket(openRead|stream))
+		f.SendPacket("", requestID(n, 1, 1), requestPacket(openRead|stream))
 	}
 	f.Step(200 * time.Millisecond)
 	f.Publish(drained.Document())
 	f.Step(2 * time.Second)
 	for n := range flows {
-		f.Call("", requestID(n, 1, 2), requestPacket(openRead|block))
+		f.SendPacket("", requestID(n, 1, 2), requestPacket(openRead|block))
 	}
 	f.Step(200 * time.Millisecond)
 	blocks := func(number int) {
 		for n := range flows {
-			f.Call("", requestID(n, 1, number), requestPacket(idempotent|block))
+			f.SendPacket("", requestID(n, 1, number), requestPacket(idempotent|block))
 		}
 		f.Step(200 * time.Millisecond)
 		for n := range flows {
@@ -228,10 +228,10 @@
 	}
 	blocks(3)
 	f.Shutdown("a1")
-	require.True(t, f.StepUntil(10*time.Second, func() bool { return f.Ended("a1") }))
+	require.True(t, f.StepUntil(10*time.Second, func() bool { return f.HasLeft("a1") }))
 	blocks(4)
 	for n := range flows {
-		f.Call("", requestID(n, 1, 5), controlPacket())
+		f.SendPacket("", requestID(n, 1, 5), controlPacket())
 	}
 	f.Step(200 * time.Millisecond)
 	for n := range flows {
--- a/core/reducer/fuzz_test.go
+++ b/core/reducer/fuzz_test.go
@@ -59,8 +59,8 @@
 
 // fleetMachine drives a fleet and keeps the oracle.
 type fleetMachine struct {
-	f               *driver.Fleet
-	tree            driver.Tree
+	f               *driver.Simulation
+	tree            driver.SettingsTree
 	down            map[string]bool
 	requests        []sentRequest
 	lastNumber      int
@@ -76,21 +76,21 @@
 
 func newFleetMachine(t *rapid.T) *fleetMachine {
 	tree := threeZoneTree()
-	tree.Zones = []int{3, 2}
-	tree.Services[0].Targets = intRange(1, 6)
-	tree.Services[1].Targets = intRange(21, 22)
+	tree.HostsPerZone = []int{3, 2}
+	tree.Services[0].TargetNumbers = intRange(1, 6)
+	tree.Services[1].TargetNumbers = intRange(21, 22)
 	tree.Defaults = []string{"exchangeLifetime: 10s", "slots: 4", "queueLength: 8"}
 	f := driver.New(rapid.Uint64().Draw(t, "seed"), tree.Document())
 	f.Start(tree.HostNames()...)
 	for _, n := range append(intRange(1, 6), 21, 22) {
-		f.Target(driver.TargetAddress(n)).Work = time.Duration(rapid.IntRange(1, 400).Draw(t, "work")) * time.Millisecond
+		f.Target(driver.TargetAddress(n)).ProcessingTime = time.Duration(rapid.IntRange(1, 400).Draw(t, "work")) * time.Millisecond
 	}
 	f.Step(15 * time.Second)
 	return &fleetMachine{f: f, tree: tree, down: map[string]bool{}, highestRevision: map[string]uint64{}}
 }
 
 func (m *fleetMachine) drawHost(t *rapid.T) string {
-	return rapid.SampledFrom(m.f.Names()).Draw(t, "host")
+	return rapid.SampledFrom(m.f.HostNames()).Draw(t, "host")
 }
 
 func (m *fleetMachine) traffic(t *rapid.T) {
@@ -103,7 +103,7 @@
 		}
 		c := sentRequest{id: requestID(rapid.IntRange(0, 30).Draw(t, "caller"), service, m.lastNumber), flags: flags, repeatUntil: m.f.Now.Add(8 * time.Second)}
 		m.requests = append(m.requests, c)
-		m.f.Call("", c.id, requestPacket(flags))
+		m.f.SendPacket("", c.id, requestPacket(flags))
 	}
 	m.f.Step(time.Duration(rapid.IntRange(0, 30).Draw(t, "ms")) * time.Millisecond)
 }
@@ -116,7 +116,7 @@
 		if rapid.Bool().Draw(t, "any") {
 			host = m.drawHost(t)
 		}
-		m.f.Call(host, c.id, requestPacket(c.flags))
+		m.f.SendPacket(host, c.id, requestPacket(c.flags))
 	}
 	m.f.Step(time.Duration(rapid.IntRange(0, 100).Draw(t, "ms")) * time.Millisecond)
 }
@@ -135,7 +135,7 @@
 
 func (m *fleetMachine) resume(t *rapid.T) {
 	if name := m.drawHost(t); !m.down[name] {
-		m.f.Wake(name)
+		m.f.Resume(name)
 	}
 }
 
@@ -148,7 +148,7 @@
 
 func (m *fleetMachine) start(t *rapid.T) {
 	name := m.drawHost(t)
-	if m.down[name] || m.f.Ended(name) {
+	if m.down[name] || m.f.HasLeft(name) {
 		delete(m.down, name)
 		delete(m.highestRevision, name)
 		m.f.Start(name)
@@ -157,16 +157,16 @@
 
 func (m *fleetMachine) cut(t *rapid.T) {
 	a, b := m.drawHost(t), m.drawHost(t)
-	m.f.Cut(a, b)
+	m.f.CutLink(a, b)
 	m.cuts = append(m.cuts, [2]string{a, b})
 }
 
 func (m *fleetMachine) split(t *rapid.T) {
 	group := rapid.SampledFrom([][]string{{"a1", "a2", "a3"}, {"a1", "b1"}, {"a2"}, {"b1"}}).Draw(t, "group")
 	for _, a := range group {
-		for _, b := range m.f.Names() {
+		for _, b := range m.f.HostNames() {
 			if !slices.Contains(group, b) {
-				m.f.Cut(a, b)
+				m.f.CutLink(a, b)
 				m.cuts = append(m.cuts, [2]string{a, b})
 			}
 		}
@@ -175,7 +175,7 @@
 
 func (m *fleetMachine) heal(*rapid.T) {
 	for _, c := range m.cuts {
-		m.f.Heal(c[0], c[1])
+		m.f.HealLink(c[0], c[1])
 	}
 	m.cuts = nil
 }
@@ -183,13 +183,13 @@
 func (m *fleetMachine) publish(t *rapid.T) {
 	next := m.tree
 	next.Services = slices.Clone(m.tree.Services)
-	next.Services[0].Draining = rapid.SliceOfNDistinct(rapid.IntRange(1, 6), 0, 3, rapid.ID[int]).Draw(t, "draining")
+	next.Services[0].DrainingTargetNumbers = rapid.SliceOfNDistinct(rapid.IntRange(1, 6), 0, 3, rapid.ID[int]).Draw(t, "draining")
 	m.f.Publish(next.Document())
 }
 
 func (m *fleetMachine) platform(t *rapid.T) {
 	m.f.PlatformDown = rapid.Bool().Draw(t, "down")
-	m.f.Serving = uint64(rapid.IntRange(0, 1).Draw(t, "serving"))
+	m.f.ServedRevision = uint64(rapid.IntRange(0, 1).Draw(t, "serving"))
 }
 
 func (m *fleetMachine) wait(t *rapid.T) {
@@ -199,7 +199,7 @@
 // check is the oracle.
 func (m *fleetMachine) check(t *rapid.T) {
 	services := serviceOf(m.tree)
-	for _, p := range m.f.Sent {
+	for _, p := range m.f.TargetPackets {
 		want := 1
 		if p.ID.Service == driver.ServiceAddress(2) {
 			want = 2
@@ -208,16 +208,16 @@
 			t.Fatalf("a packet of service %d reached %v", want, p.Target)
 		}
 	}
-	m.f.Sent = slices.DeleteFunc(m.f.Sent, func(p driver.TargetPacket) bool { return p.At.Add(30*time.Second) < m.f.Now })
+	m.f.TargetPackets = slices.DeleteFunc(m.f.TargetPackets, func(p driver.TargetPacket) bool { return p.At.Add(30*time.Second) < m.f.Now })
 	for _, target := range m.f.Targets() {
-		for id := range target.Runs {
-			if m.f.IsNonIdempotent(id) && m.f.Runs(id) > 1 {
-				t.Fatalf("request %v ran %d times: %s", id, m.f.Runs(id), sendTrace(m.f, id))
+		for id := range target.Executions {
+			if m.f.IsNonIdempotent(id) && m.f.Executions(id) > 1 {
+				t.Fatalf("request %v ran %d times: %s", id, m.f.Executions(id), sendTrace(m.f, id))
 			}
 		}
 	}
 	for _, r := range m.f.Replies {
-		if m.f.IsNonIdempotent(r.ID) && fmt.Sprint(r.Outcome) == "not run" && m.f.Runs(r.ID) > 0 {
+		if m.f.IsNonIdempotent(r.ID) && fmt.Sprint(r.Outcome) == "not run" && m.f.Executions(r.ID) > 0 {
 			t.Fatalf("request %v was refused as not run (%v) at %v: %s", r.ID, r.Reason, time.Duration(r.At), sendTrace(m.f, r.ID))
 		}
 	}
@@ -226,7 +226,7 @@
 			t.Fatalf("an answer to %v reached %v", a.ID, a.Caller)
 		}
 	}
-	for _, name := range m.f.Names() {
+	for _, name := range m.f.HostNames() {
 		revision := m.f.Reducer(name).Revision()
 		if revision < m.highestRevision[name] {
 			t.Fatalf("%s went back from revision %d to %d", name, m.highestRevision[name], revision)
@@ -247,7 +247,7 @@
 		f.Shutdown("b1")
 		f.Step(4 * time.Second)
 		trace := ""
-		for _, p := range f.Sent {
+		for _, p := range f.TargetPackets {
 			trace += fmt.Sprintln(p.At, p.Host, p.Target)
 		}
 		return trace
--- a/core/reducer/health_test.go
+++ b/core/reducer/health_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func ejectedCount(f *driver.Fleet, host string, service int) int {
+func ejectedCount(f *driver.Simulation, host string, service int) int {
 	ejected := 0
 	for _, t := range f.Reducer(host).Snapshot().Services[service-1].Targets {
 		if t.Ejected {
@@ -26,12 +26,12 @@
 	f := newFleet(t, threeZoneTree())
 	f.Target(driver.TargetAddress(3)).Down = true
 	f.Step(6 * time.Second)
-	for _, name := range f.Names() {
+	for _, name := range f.HostNames() {
 		require.Equal(t, 1, ejectedCount(f, name, 1), name)
 	}
 	f.Target(driver.TargetAddress(3)).Down = false
 	f.Step(3 * time.Second)
-	for _, name := range f.Names() {
+	for _, name := range f.HostNames() {
 		require.Zero(t, ejectedCount(f, name, 1), name)
 	}
 }
@@ -42,12 +42,12 @@
 func TestFalseProbeFailuresDoNotEjectAllTargets(t *testing.T) {
 	f := newFleet(t, threeZoneTree())
 	for _, n := range intRange(1, 14) {
-		f.Target(driver.TargetAddress(n)).Lies = true
+		f.Target(driver.TargetAddress(n)).FailsHealthChecks = true
 	}
 	f.Step(8 * time.Second)
 	require.LessOrEqual(t, ejectedCount(f, "a1", 1), 7)
 	for n := range 100 {
-		f.Call("", requestID(n, 1, 1), requestPacket(openWrite))
+		f.SendPacket("", requestID(n, 1, 1), requestPacket(openWrite))
 	}
 	f.Step(2 * time.Second)
 	for n := range 100 {
@@ -61,15 +61,15 @@
 func TestRetriesStayWithinBudget(t *testing.T) {
 	f := newFleet(t, threeZoneTree())
 	for _, n := range intRange(1, 14) {
-		f.Target(driver.TargetAddress(n)).Work = time.Hour
+		f.Target(driver.TargetAddress(n)).ProcessingTime = time.Hour
 	}
 	const reads = 400
 	for n := range reads {
-		f.Call("", requestID(n, 1, 1), requestPacket(openRead))
+		f.SendPacket("", requestID(n, 1, 1), requestPacket(openRead))
 	}
 	f.Step(3 * time.Second)
 	retries := uint64(0)
-	for _, name := range f.Names() {
+	for _, name := range f.HostNames() {
 		retries += f.Reducer(name).Count(reducer.CountRetries)
 	}
 	require.Positive(t, retries)
@@ -80,13 +80,13 @@
 // Cause: its full share from the first moment, before its caches are warm.
 func TestNewTargetWarmsUp(t *testing.T) {
 	added := threeZoneTree()
-	added.Services[0].Targets = intRange(1, 15)
+	added.Services[0].TargetNumbers = intRange(1, 15)
 	f := newFleet(t, threeZoneTree())
 	f.Publish(added.Document())
 	f.Step(500 * time.Millisecond)
 	share := func(from int) int {
 		for n := range 600 {
-			f.Call("", requestID(from+n, 1, 1), requestPacket(openRead))
+			f.SendPacket("", requestID(from+n, 1, 1), requestPacket(openRead))
 		}
 		f.Step(200 * time.Millisecond)
 		got := 0
--- a/core/reducer/leaving_test.go
+++ b/core/reducer/leaving_test.go
@@ -17,34 +17,34 @@
 func TestDrainingTargetGetsNoNewWork(t *testing.T) {
 	const after = 5 * time.Second
 	drained := threeZoneTree()
-	drained.Services[0].Draining = intRange(1, 7)
+	drained.Services[0].DrainingTargetNumbers = intRange(1, 7)
 	tests := []struct {
 		name   string
-		during func(f *driver.Fleet)
-		end    func(f *driver.Fleet)
+		during func(f *driver.Simulation)
+		end    func(f *driver.Simulation)
 	}{
-		{"platform down after one read", func(f *driver.Fleet) {
+		{"platform down after one read", func(f *driver.Simulation) {
 			f.Step(tickInterval)
 			f.PlatformDown = true
-		}, func(*driver.Fleet) {}},
-		{"leave seen by one host only", func(f *driver.Fleet) {
-			for _, name := range f.Names() {
-				f.CutPlatform(name, name != "b1")
+		}, func(*driver.Simulation) {}},
+		{"leave seen by one host only", func(f *driver.Simulation) {
+			for _, name := range f.HostNames() {
+				f.SetPlatformCut(name, name != "b1")
 			}
-		}, func(*driver.Fleet) {}},
-		{"one host cut off", func(f *driver.Fleet) {
-			f.CutPlatform("a1", true)
-			f.Split("a1")
-		}, func(f *driver.Fleet) { f.Join("a1") }},
-		{"paused host wakes", func(f *driver.Fleet) { f.Pause("a1") }, func(f *driver.Fleet) { f.Wake("a1") }},
-		{"two paused hosts wake, one cut off", func(f *driver.Fleet) {
+		}, func(*driver.Simulation) {}},
+		{"one host cut off", func(f *driver.Simulation) {
+			f.SetPlatformCut("a1", true)
+			f.Partition("a1")
+		}, func(f *driver.Simulation) { f.HealPartition("a1") }},
+		{"paused host wakes", func(f *driver.Simulation) { f.Pause("a1") }, func(f *driver.Simulation) { f.Resume("a1") }},
+		{"two paused hosts wake, one cut off", func(f *driver.Simulation) {
 			f.Pause("a1")
 			f.Pause("c1")
-		}, func(f *driver.Fleet) {
-			f.CutPlatform("c1", true)
-			f.Split("c1")
-			f.Wake("a1")
-			f.Wake("c1")
+		}, func(f *driver.Simulation) {
+			f.SetPlatformCut("c1", true)
+			f.Partition("c1")
+			f.Resume("a1")
+			f.Resume("c1")
 		}},
 	}
 	for _, test := range tests {
@@ -64,7 +64,7 @@
 				f.Step(time.Second)
 			}
 			given := 0
-			for _, p := range f.Sent {
+			for _, p := range f.TargetPackets {
 				draining := false
 				for _, n := range intRange(1, 7) {
 					draining = draining || p.Target == driver.TargetAddress(n)
@@ -79,10 +79,10 @@
 }
 
 // sendNewWork brings new flows, and new requests of established flows.
-func sendNewWork(f *driver.Fleet, round int) {
+func sendNewWork(f *driver.Simulation, round int) {
 	sendNewFlows(f, 30)
 	for n := range 60 {
-		f.Call("", requestID(n, 1, 1000+round), requestPacket(openRead))
+		f.SendPacket("", requestID(n, 1, 1000+round), requestPacket(openRead))
 	}
 }
 
@@ -93,12 +93,12 @@
 // hosts that know nothing of them.
 func TestGracefulShutdownLosesNoRequests(t *testing.T) {
 	drained := threeZoneTree()
-	drained.Services[0].Draining = intRange(1, 7)
+	drained.Services[0].DrainingTargetNumbers = intRange(1, 7)
 	for _, dead := range []string{"", "a2", "b1"} {
 		t.Run("dead "+dead, func(t *testing.T) {
 			f := newFleet(t, threeZoneTree())
 			for _, n := range intRange(1, 14) {
-				f.Target(driver.TargetAddress(n)).Work = 600 * time.Millisecond
+				f.Target(driver.TargetAddress(n)).ProcessingTime = 600 * time.Millisecond
 			}
 			if dead != "" {
 				f.Kill(dead)
@@ -114,7 +114,7 @@
 					if n%2 == 0 {
 						flags = openRead
 					}
-					f.Call("", requestID(n, 1, 5000+number), requestPacket(flags))
+					f.SendPacket("", requestID(n, 1, 5000+number), requestPacket(flags))
 				}
 				f.Step(50 * time.Millisecond)
 			}
@@ -124,7 +124,7 @@
 			for range 20 {
 				burst()
 			}
-			require.True(t, f.StepUntil(10*time.Second, func() bool { return f.Ended("a1") }))
+			require.True(t, f.StepUntil(10*time.Second, func() bool { return f.HasLeft("a1") }))
 			f.Step(5 * time.Second)
 			burst()
 			f.Step(3 * time.Second)
@@ -148,20 +148,20 @@
 // over, so that for a while no host of the cell had a quorum.
 func TestRollingReplacementRefusesNothing(t *testing.T) {
 	tree := threeZoneTree()
-	tree.Zones = []int{2, 3}
+	tree.HostsPerZone = []int{2, 3}
 	f := newFleet(t, tree)
 	const flows = 40
 	number := 0
 	burst := func() {
 		number++
 		for n := range flows {
-			f.Call("", requestID(n, 1, number), requestPacket(openWrite))
+			f.SendPacket("", requestID(n, 1, number), requestPacket(openWrite))
 		}
 		f.Step(40 * time.Millisecond)
 	}
 	for _, name := range tree.HostNames() {
 		f.Shutdown(name)
-		for !f.Ended(name) {
+		for !f.HasLeft(name) {
 			burst()
 		}
 		f.Start(name)
@@ -195,11 +195,11 @@
 	f.Step(5 * time.Millisecond)
 	const flows = 60
 	for n := range flows {
-		f.Call("a1", requestID(n, 2, 1), requestPacket(openRead|block))
+		f.SendPacket("a1", requestID(n, 2, 1), requestPacket(openRead|block))
 	}
 	f.Step(500 * time.Millisecond)
 	for n := range flows {
-		f.Call("a1", requestID(n, 2, 2), requestPacket(idempotent|block))
+		f.SendPacket("a1", requestID(n, 2, 2), requestPacket(idempotent|block))
 		f.Step(20 * time.Millisecond)
 	}
 	f.Step(time.Second)
@@ -222,17 +222,17 @@
 	f := newFleet(t, tree)
 	f.Kill("a1")
 	f.Step(4 * time.Second)
-	f.Split("a1") // Others dial a host that has just come back only after a pause.
+	f.Partition("a1") // Others dial a host that has just come back only after a pause.
 	f.Start("a1")
 	const flows = 40
 	number := 0
 	for round := range 30 {
 		if round == 8 {
-			f.Join("a1")
+			f.HealPartition("a1")
 		}
 		number++
 		for n := range flows {
-			f.Call("", requestID(n, 2, number), requestPacket(openRead|block))
+			f.SendPacket("", requestID(n, 2, number), requestPacket(openRead|block))
 		}
 		f.Step(40 * time.Millisecond)
 	}
@@ -256,7 +256,7 @@
 // an answer that nobody will give.
 func TestUnsentRequestRunsDespiteWitnessedIdentity(t *testing.T) {
 	tree := threeZoneTree()
-	tree.Zones = []int{3}
+	tree.HostsPerZone = []int{3}
 	tree.Defaults = []string{"exchangeLifetime: 10s", "flowMemory: 5m", "slots: 500"}
 	f := newFleet(t, tree)
 	var joining []int // The callers whose flows a host owns that joins below.
@@ -266,7 +266,7 @@
 		}
 	}
 	f.Shutdown("a3")
-	require.True(t, f.StepUntil(10*time.Second, func() bool { return f.Ended("a3") }))
+	require.True(t, f.StepUntil(10*time.Second, func() bool { return f.HasLeft("a3") }))
 	f.Step(time.Second)
 	var checks []int
 	for _, n := range joining {
@@ -275,7 +275,7 @@
 			continue
 		}
 		// The other owner has more records, so it hands over later.
-		f.Call("a1", requestID(n, 1, 1), requestPacket(openRead))
+		f.SendPacket("a1", requestID(n, 1, 1), requestPacket(openRead))
 		f.Step(tickInterval / 10)
 	}
 	f.Start("a3")
@@ -283,7 +283,7 @@
 	for !f.Reducer("a3").Ready() {
 		number++
 		for ms := range 20 {
-			f.CallAfter(time.Duration(ms)*time.Millisecond, "a2", requestID(checks[ms], 1, number), requestPacket(openWrite))
+			f.SendPacketAfter(time.Duration(ms)*time.Millisecond, "a2", requestID(checks[ms], 1, number), requestPacket(openWrite))
 		}
 		f.Step(20 * time.Millisecond)
 	}
--- a/core/reducer/once_test.go
+++ b/core/reducer/once_test.go
@@ -16,13 +16,13 @@
 func TestDuplicatesAtManyHostsRunOnce(t *testing.T) {
 	f := newFleet(t, threeZoneTree())
 	for n := range 50 {
-		for _, host := range f.Names() {
-			f.Call(host, requestID(n, 1, 1), requestPacket(openWrite))
+		for _, host := range f.HostNames() {
+			f.SendPacket(host, requestID(n, 1, 1), requestPacket(openWrite))
 		}
 	}
 	f.Step(time.Second)
 	for n := range 50 {
-		require.Equal(t, 1, f.Runs(requestID(n, 1, 1)))
+		require.Equal(t, 1, f.Executions(requestID(n, 1, 1)))
 		require.True(t, answered(f, requestID(n, 1, 1)))
 	}
 }
@@ -37,7 +37,7 @@
 			f := newFleet(t, threeZoneTree())
 			const flows = 150
 			for n := range flows {
-				f.Call("", requestID(n, 1, 1), requestPacket(openWrite))
+				f.SendPacket("", requestID(n, 1, 1), requestPacket(openWrite))
 				f.Step(tickInterval)
 				if n == flows/2 {
 					for _, name := range victims {
@@ -47,7 +47,7 @@
 			}
 			for range 20 {
 				for n := range flows {
-					f.Call("", requestID(n, 1, 1), requestPacket(openWrite))
+					f.SendPacket("", requestID(n, 1, 1), requestPacket(openWrite))
 				}
 				f.Step(300 * time.Millisecond)
 			}
@@ -74,20 +74,20 @@
 			f.Pause("b2")
 			for n := range flows {
 				for range 3 {
-					f.Call("", requestID(n, 1, 1), requestPacket(openWrite))
+					f.SendPacket("", requestID(n, 1, 1), requestPacket(openWrite))
 				}
 			}
 			repeat := func() {
 				for n := range flows {
-					f.Call("", requestID(n, 1, number()), requestPacket(openWrite))
+					f.SendPacket("", requestID(n, 1, number()), requestPacket(openWrite))
 				}
 				f.Step(250 * time.Millisecond)
 			}
 			for end := f.Now.Add(pause); f.Now < end; {
 				repeat()
 			}
-			f.Wake("a1")
-			f.Wake("b2")
+			f.Resume("a1")
+			f.Resume("b2")
 			for range 30 {
 				repeat()
 			}
@@ -105,11 +105,11 @@
 	for _, group := range groups {
 		t.Run(fmt.Sprint(group), func(t *testing.T) {
 			f := newFleet(t, threeZoneTree())
-			f.Split(group...)
+			f.Partition(group...)
 			repeat := func(from, to int) {
 				for n := from; n < to; n++ {
-					for _, host := range f.Names() {
-						f.Call(host, requestID(n, 1, 1), requestPacket(openWrite))
+					for _, host := range f.HostNames() {
+						f.SendPacket(host, requestID(n, 1, 1), requestPacket(openWrite))
 					}
 				}
 				f.Step(300 * time.Millisecond)
@@ -117,14 +117,14 @@
 			for round := range 25 {
 				repeat(round*4, round*4+60)
 			}
-			f.Join(group...)
+			f.HealPartition(group...)
 			for round := range 25 {
 				repeat(100+round*4, 160+round*4)
 			}
 			requireAtMostOnce(t, f)
 			ran := 0
 			for n := range 100 {
-				ran += f.Runs(requestID(n, 1, 1))
+				ran += f.Executions(requestID(n, 1, 1))
 			}
 			require.Positive(t, ran, "something is served on one side at least")
 		})
@@ -136,13 +136,13 @@
 // and callers repeat all the while.
 // Cause: records that are on their way while both hosts act.
 func TestRetransmissionsDuringHandoverRunOnce(t *testing.T) {
-	disturb := map[string]func(f *driver.Fleet){
-		"nothing else":       func(*driver.Fleet) {},
-		"a host dies":        func(f *driver.Fleet) { f.Kill("a3") },
-		"a host is paused":   func(f *driver.Fleet) { f.Pause("a3") },
-		"the leaver dies":    func(f *driver.Fleet) { f.Kill("a1") },
-		"the leaver freezes": func(f *driver.Fleet) { f.Pause("a1") },
-		"the link breaks":    func(f *driver.Fleet) { f.Cut("a1", "a2") },
+	disturb := map[string]func(f *driver.Simulation){
+		"nothing else":       func(*driver.Simulation) {},
+		"a host dies":        func(f *driver.Simulation) { f.Kill("a3") },
+		"a host is paused":   func(f *driver.Simulation) { f.Pause("a3") },
+		"the leaver dies":    func(f *driver.Simulation) { f.Kill("a1") },
+		"the leaver freezes": func(f *driver.Simulation) { f.Pause("a1") },
+		"the link breaks":    func(f *driver.Simulation) { f.CutLink("a1", "a2") },
 	}
 	for name, disturbance := range disturb {
 		t.Run(name, func(t *testing.T) {
@@ -153,8 +153,8 @@
 				for range rounds {
 					number++
 					for n := range flows {
-						f.Call("", requestID(n, 1, 1+number/8), requestPacket(openWrite))
-						f.Call("", requestID(n, 1, 1+number/8), requestPacket(openWrite))
+						f.SendPacket("", requestID(n, 1, 1+number/8), requestPacket(openWrite))
+						f.SendPacket("", requestID(n, 1, 1+number/8), requestPacket(openWrite))
 					}
 					f.Step(60 * time.Millisecond)
 				}
@@ -165,10 +165,10 @@
 			disturbance(f)
 			repeat(60)
 			f.Start("a1")
-			f.Heal("a1", "a2")
+			f.HealLink("a1", "a2")
 			repeat(40)
 			if !f.Running("a3") {
-				f.Wake("a3")
+				f.Resume("a3")
 			}
 			repeat(60)
 			requireAtMostOnce(t, f)
@@ -194,7 +194,7 @@
 		t.Run(fmt.Sprint(v.cut, v.later), func(t *testing.T) {
 			cut := v.cut
 			f := newFleet(t, threeZoneTree())
-			f.Cut(cut[0], cut[1])
+			f.CutLink(cut[0], cut[1])
 			f.Step(time.Second)
 			f.Shutdown("a2")
 			f.Step(v.later)
@@ -202,28 +202,28 @@
 			const flows = 40
 			for number := 1; number <= 3; number++ {
 				for n := range flows {
-					f.Call("", requestID(n, 1, number), requestPacket(openWrite))
+					f.SendPacket("", requestID(n, 1, number), requestPacket(openWrite))
 				}
 				f.Step(tickInterval)
 			}
-			f.Heal(cut[0], cut[1])
+			f.HealLink(cut[0], cut[1])
 			for range 50 {
 				for number := 1; number <= 3; number++ {
 					for n := range flows {
-						f.Call("", requestID(n, 1, number), requestPacket(openWrite))
+						f.SendPacket("", requestID(n, 1, number), requestPacket(openWrite))
 					}
 				}
 				f.Step(100 * time.Millisecond)
 			}
-			require.True(t, f.Ended("a1"))
-			require.True(t, f.Ended("a2"))
+			require.True(t, f.HasLeft("a1"))
+			require.True(t, f.HasLeft("a2"))
 			requireAtMostOnce(t, f)
 			for n := range flows {
-				f.Call("", requestID(n, 1, 9), requestPacket(openWrite))
+				f.SendPacket("", requestID(n, 1, 9), requestPacket(openWrite))
 			}
 			f.Step(2 * time.Second)
 			for n := range flows {
-				require.Equal(t, 1, f.Runs(requestID(n, 1, 9)), "the cell goes on with the host that stays")
+				require.Equal(t, 1, f.Executions(requestID(n, 1, 9)), "the cell goes on with the host that stays")
 			}
 		})
 	}
@@ -242,12 +242,12 @@
 			t.Run(fmt.Sprint(order, ticks), func(t *testing.T) {
 				f := newFleet(t, threeZoneTree())
 				for _, n := range intRange(1, 14) {
-					f.Target(driver.TargetAddress(n)).Work = 1500 * time.Millisecond
+					f.Target(driver.TargetAddress(n)).ProcessingTime = 1500 * time.Millisecond
 				}
 				ask := func(numbers int) {
 					for number := 1; number <= numbers; number++ {
 						for n := range 60 {
-							f.Call("", requestID(n, 1, number), requestPacket(openWrite))
+							f.SendPacket("", requestID(n, 1, number), requestPacket(openWrite))
 						}
 					}
 				}
@@ -275,11 +275,11 @@
 // can't hand a packet to its owner.
 func TestSingleLinkFailureInCellRefusesNothing(t *testing.T) {
 	f := newFleet(t, threeZoneTree())
-	f.Cut("a1", "a3")
+	f.CutLink("a1", "a3")
 	const flows = 200
 	ask := func(number int) {
 		for n := range flows {
-			f.Call("", requestID(n, 1, number), requestPacket(openWrite))
+			f.SendPacket("", requestID(n, 1, number), requestPacket(openWrite))
 		}
 		f.Step(3 * time.Second)
 	}
@@ -291,7 +291,7 @@
 			require.True(t, answered(f, requestID(n, 1, number)), "request %d of caller %d", number, n)
 		}
 	}
-	f.Heal("a1", "a3")
+	f.HealLink("a1", "a3")
 	f.Step(5 * time.Second)
 	ask(4)
 	for n := range flows {
--- a/core/reducer/refusals_test.go
+++ b/core/reducer/refusals_test.go
@@ -10,10 +10,10 @@
 )
 
 // singleSlotTree is one target with one slot before each service, so that requests queue.
-func singleSlotTree() driver.Tree {
+func singleSlotTree() driver.SettingsTree {
 	tree := threeZoneTree()
-	tree.Services[0].Targets = []int{1}
-	tree.Services[1].Targets = []int{21}
+	tree.Services[0].TargetNumbers = []int{1}
+	tree.Services[1].TargetNumbers = []int{21}
 	tree.Defaults = []string{"exchangeLifetime: 12s", "slots: 1", "queueLength: 8"}
 	return tree
 }
@@ -25,21 +25,21 @@
 // Cause: a copy that is taken for a new request.
 func TestNotRunRefusalNeverRan(t *testing.T) {
 	f := newFleet(t, singleSlotTree())
-	f.Target(driver.TargetAddress(1)).Work = 700 * time.Millisecond
+	f.Target(driver.TargetAddress(1)).ProcessingTime = 700 * time.Millisecond
 	const flows = 120
 	for n := range flows {
-		f.Call("", requestID(n, 1, 1), requestPacket(openWrite))
+		f.SendPacket("", requestID(n, 1, 1), requestPacket(openWrite))
 	}
 	f.Step(3 * time.Second)
 	for n := range flows {
-		f.Call("", requestID(n, 1, 1), requestPacket(openWrite))
+		f.SendPacket("", requestID(n, 1, 1), requestPacket(openWrite))
 	}
 	f.Step(20 * time.Millisecond)
 	f.Kill("a1")
 	f.Kill("b1")
 	f.Step(4 * time.Second)
 	for n := range flows {
-		f.Call("", requestID(n, 1, 1), requestPacket(openWrite))
+		f.SendPacket("", requestID(n, 1, 1), requestPacket(openWrite))
 	}
 	f.Step(6 * time.Second)
 	refused := map[reducer.Reason]int{}
@@ -57,16 +57,16 @@
 func TestTimeoutAfterSendIsUnknown(t *testing.T) {
 	f := newFleet(t, threeZoneTree())
 	for _, n := range intRange(1, 14) {
-		f.Target(driver.TargetAddress(n)).Work = time.Hour
+		f.Target(driver.TargetAddress(n)).ProcessingTime = time.Hour
 	}
 	id := requestID(1, 1, 1)
-	f.Call("", id, requestPacket(openWrite))
+	f.SendPacket("", id, requestPacket(openWrite))
 	began := f.Now
 	f.Step(3 * time.Second)
 	reply, ok := replyTo(f, id)
 	require.True(t, ok)
 	require.Equal(t, reducer.OutcomeUnknown, reply.Outcome)
-	require.Equal(t, 1, f.Runs(id))
+	require.Equal(t, 1, f.Executions(id))
 	require.LessOrEqual(t, reply.At, began.Add(2100*time.Millisecond), "the final answer comes at once with the deadline")
 }
 
@@ -76,21 +76,21 @@
 func TestShedIdempotentRequestRunsElsewhere(t *testing.T) {
 	f := newFleet(t, threeZoneTree())
 	read, write := requestID(1, 1, 1), requestID(1, 1, 2)
-	f.Call("", requestID(1, 1, 9), requestPacket(openRead))
+	f.SendPacket("", requestID(1, 1, 9), requestPacket(openRead))
 	f.Step(100 * time.Millisecond)
 	// The budget allows retries as a share of requests, so there must be some.
 	for n := range 40 {
-		f.Call("", requestID(1, 1, 100+n), requestPacket(openRead))
+		f.SendPacket("", requestID(1, 1, 100+n), requestPacket(openRead))
 	}
 	f.Step(200 * time.Millisecond)
-	f.Target(targetOf(t, f, requestID(1, 1, 9))).Shed = true
-	f.Call("", read, requestPacket(openRead))
-	f.Call("", write, requestPacket(openWrite))
+	f.Target(targetOf(t, f, requestID(1, 1, 9))).RefusesRequests = true
+	f.SendPacket("", read, requestPacket(openRead))
+	f.SendPacket("", write, requestPacket(openWrite))
 	f.Step(time.Second)
 	require.True(t, answered(f, read))
-	require.Equal(t, 1, f.Runs(read), "the read ran at another target")
+	require.Equal(t, 1, f.Executions(read), "the read ran at another target")
 	require.True(t, answered(f, write), "the refusal is passed on")
-	require.Zero(t, f.Runs(write), "what must not run twice is handed to one target only")
+	require.Zero(t, f.Executions(write), "what must not run twice is handed to one target only")
 }
 
 // Symptom: one tenant's flood leaves another tenant's checks waiting.
@@ -101,11 +101,11 @@
 	tree.Defaults = []string{"exchangeLifetime: 10s", "slots: 2", "queueLength: 1000", "tenantInFlight: 20"}
 	f := newFleet(t, tree)
 	for _, n := range intRange(1, 14) {
-		f.Target(driver.TargetAddress(n)).Work = time.Second
+		f.Target(driver.TargetAddress(n)).ProcessingTime = time.Second
 	}
 	const flows = 600
 	for n := range flows {
-		f.Call("", requestID(n, 1, 1), requestPacket(openWrite))
+		f.SendPacket("", requestID(n, 1, 1), requestPacket(openWrite))
 	}
 	f.Step(time.Second)
 	full := 0
@@ -114,7 +114,7 @@
 			full++
 		}
 	}
-	require.GreaterOrEqual(t, full, flows-20*len(f.Names()))
+	require.GreaterOrEqual(t, full, flows-20*len(f.HostNames()))
 	f.Step(10 * time.Second)
 	requireAtMostOnce(t, f)
 }
@@ -126,15 +126,15 @@
 	tree := singleSlotTree()
 	tree.Defaults = []string{"exchangeLifetime: 12s", "slots: 1", "queueLength: 1000"}
 	f := newFleet(t, tree)
-	f.Target(driver.TargetAddress(1)).Work = 300 * time.Millisecond
+	f.Target(driver.TargetAddress(1)).ProcessingTime = 300 * time.Millisecond
 	for n := range 8 {
-		f.Call("", requestID(n, 1, 1), requestPacket(openWrite))
+		f.SendPacket("", requestID(n, 1, 1), requestPacket(openWrite))
 		f.Step(400 * time.Millisecond)
 	}
 	began := f.Now
 	const flows = 200
 	for n := range flows {
-		f.Call("", requestID(n, 1, 2), requestPacket(openWrite))
+		f.SendPacket("", requestID(n, 1, 2), requestPacket(openWrite))
 	}
 	f.Step(500 * time.Millisecond)
 	soon := 0
--- a/core/reducer/services_test.go
+++ b/core/reducer/services_test.go
@@ -18,27 +18,27 @@
 func TestNoPacketCrossesServices(t *testing.T) {
 	const inForceWithin = 9 * time.Second
 	moved := threeZoneTree()
-	moved.Services[0].Targets = append(intRange(1, 14), 24)
-	moved.Services[1].Targets = intRange(21, 23)
+	moved.Services[0].TargetNumbers = append(intRange(1, 14), 24)
+	moved.Services[1].TargetNumbers = intRange(21, 23)
 	swapped := threeZoneTree()
-	swapped.Services[0].Targets = intRange(21, 24)
-	swapped.Services[1].Targets = intRange(1, 14)
+	swapped.Services[0].TargetNumbers = intRange(21, 24)
+	swapped.Services[1].TargetNumbers = intRange(1, 14)
 	tests := []struct {
 		name string
-		tree driver.Tree
-		skew func(f *driver.Fleet)
+		tree driver.SettingsTree
+		skew func(f *driver.Simulation)
 	}{
-		{"target moves", moved, func(*driver.Fleet) {}},
-		{"targets swapped", swapped, func(*driver.Fleet) {}},
-		{"target moves, zone cut from the platform", moved, func(f *driver.Fleet) {
+		{"target moves", moved, func(*driver.Simulation) {}},
+		{"targets swapped", swapped, func(*driver.Simulation) {}},
+		{"target moves, zone cut from the platform", moved, func(f *driver.Simulation) {
 			for _, name := range []string{"a1", "a2", "a3"} {
-				f.CutPlatform(name, true)
+				f.SetPlatformCut(name, true)
 			}
 		}},
-		{"target moves, host paused", moved, func(f *driver.Fleet) { f.Pause("b1") }},
-		{"targets swapped, host cut off from all", swapped, func(f *driver.Fleet) {
-			f.CutPlatform("c1", true)
-			f.Split("c1")
+		{"target moves, host paused", moved, func(f *driver.Simulation) { f.Pause("b1") }},
+		{"targets swapped, host cut off from all", swapped, func(f *driver.Simulation) {
+			f.SetPlatformCut("c1", true)
+			f.Partition("c1")
 		}},
 	}
 	for _, test := range tests {
@@ -53,7 +53,7 @@
 				sendNewFlows(f, 20)
 			}
 			if !f.Running("b1") {
-				f.Wake("b1")
+				f.Resume("b1")
 			}
 			sendNewFlows(f, 20)
 			f.Step(2 * time.Second)
@@ -66,21 +66,21 @@
 var lastCaller = 1000
 
 // sendNewFlows sends requests of new flows to both services.
-func sendNewFlows(f *driver.Fleet, n int) {
+func sendNewFlows(f *driver.Simulation, n int) {
 	for range n {
 		lastCaller++
-		f.Call("", requestID(lastCaller, 1, 1), requestPacket(openRead))
-		f.Call("", requestID(lastCaller, 2, 1), requestPacket(openWrite))
+		f.SendPacket("", requestID(lastCaller, 1, 1), requestPacket(openRead))
+		f.SendPacket("", requestID(lastCaller, 2, 1), requestPacket(openWrite))
 	}
 }
 
 // requireNoCrossServicePackets checks every packet against the revisions that may be in
 // force: before the change the old one, then for a while none of the two for an
 // address that moved, then the new one.
-func requireNoCrossServicePackets(t *testing.T, f *driver.Fleet, before, after driver.Tree, published timekeeper.Instant, span time.Duration) {
+func requireNoCrossServicePackets(t *testing.T, f *driver.Simulation, before, after driver.SettingsTree, published timekeeper.Instant, span time.Duration) {
 	t.Helper()
 	was, is := serviceOf(before), serviceOf(after)
-	for _, p := range f.Sent {
+	for _, p := range f.TargetPackets {
 		service := 1
 		if p.ID.Service == driver.ServiceAddress(2) {
 			service = 2
@@ -93,10 +93,10 @@
 	}
 }
 
-func serviceOf(tree driver.Tree) map[netip.AddrPort]int {
+func serviceOf(tree driver.SettingsTree) map[netip.AddrPort]int {
 	of := map[netip.AddrPort]int{}
 	for i, s := range tree.Services {
-		for _, n := range s.Targets {
+		for _, n := range s.TargetNumbers {
 			of[driver.TargetAddress(n)] = i + 1
 		}
 	}
@@ -110,11 +110,11 @@
 func TestResponsesFromUnknownTargetsDropped(t *testing.T) {
 	f := newFleet(t, threeZoneTree())
 	id := requestID(1, 1, 1)
-	f.Call("", id, requestPacket(openRead|stream))
+	f.SendPacket("", id, requestPacket(openRead|stream))
 	f.Step(100 * time.Millisecond)
 	before := len(f.Answers)
-	f.AnswerFrom(driver.TargetAddress(21), f.ReturnAddress(id), id, stream)
-	f.AnswerFrom(driver.TargetAddress(999), f.ReturnAddress(id), id, stream)
+	f.SendResponse(driver.TargetAddress(21), f.ReturnAddress(id), id, stream)
+	f.SendResponse(driver.TargetAddress(999), f.ReturnAddress(id), id, stream)
 	f.Step(100 * time.Millisecond)
 	require.Len(t, f.Answers, before)
 }
@@ -124,8 +124,8 @@
 // Cause: a rest that is kept for the first move only.
 func TestAddressMovedTwiceIsQuarantinedTwice(t *testing.T) {
 	moved := threeZoneTree()
-	moved.Services[0].Targets = append(intRange(1, 14), 24)
-	moved.Services[1].Targets = intRange(21, 23)
+	moved.Services[0].TargetNumbers = append(intRange(1, 14), 24)
+	moved.Services[1].TargetNumbers = intRange(21, 23)
 	f := newFleet(t, threeZoneTree())
 	f.Publish(moved.Document())
 	f.Step(40 * time.Second)
@@ -136,7 +136,7 @@
 		f.Step(time.Second)
 	}
 	given := 0
-	for _, p := range f.Sent {
+	for _, p := range f.TargetPackets {
 		if p.Target != driver.TargetAddress(24) || p.At < back || p.ID.Service != driver.ServiceAddress(2) {
 			continue
 		}
--- a/core/reducer/settings_test.go
+++ b/core/reducer/settings_test.go
@@ -15,13 +15,13 @@
 func TestRevisionReachesAllHostsAndIsNeverReverted(t *testing.T) {
 	const within = 9 * time.Second
 	next := threeZoneTree()
-	next.Services[0].Draining = []int{1}
+	next.Services[0].DrainingTargetNumbers = []int{1}
 	last := threeZoneTree()
-	last.Services[0].Draining = []int{2}
-	all := func(t *testing.T, f *driver.Fleet, revision uint64) {
+	last.Services[0].DrainingTargetNumbers = []int{2}
+	all := func(t *testing.T, f *driver.Simulation, revision uint64) {
 		t.Helper()
 		inForce := func() bool {
-			for _, name := range f.Names() {
+			for _, name := range f.HostNames() {
 				if f.Running(name) && f.Reducer(name).Revision() != revision {
 					return false
 				}
@@ -32,34 +32,34 @@
 	}
 	tests := []struct {
 		name string
-		run  func(t *testing.T, f *driver.Fleet)
+		run  func(t *testing.T, f *driver.Simulation)
 	}{
-		{"read by one host, then the platform is down", func(t *testing.T, f *driver.Fleet) {
-			for _, name := range f.Names() {
-				f.CutPlatform(name, name != "c2")
+		{"read by one host, then the platform is down", func(t *testing.T, f *driver.Simulation) {
+			for _, name := range f.HostNames() {
+				f.SetPlatformCut(name, name != "c2")
 			}
-			f.CutPlatform("c1", false)
+			f.SetPlatformCut("c1", false)
 			f.Publish(next.Document())
 			f.Step(tickInterval)
 			f.PlatformDown = true
 			all(t, f, 2)
 		}},
-		{"platform serves an older revision", func(t *testing.T, f *driver.Fleet) {
+		{"platform serves an older revision", func(t *testing.T, f *driver.Simulation) {
 			f.Publish(next.Document())
 			all(t, f, 2)
-			f.Serving = 1
+			f.ServedRevision = 1
 			f.Step(10 * time.Second)
 			all(t, f, 2)
 		}},
-		{"host starts while the platform is stale", func(t *testing.T, f *driver.Fleet) {
+		{"host starts while the platform is stale", func(t *testing.T, f *driver.Simulation) {
 			f.Publish(next.Document())
 			all(t, f, 2)
-			f.Serving = 1
+			f.ServedRevision = 1
 			f.Kill("a1")
 			f.Start("a1")
 			all(t, f, 2)
 		}},
-		{"host starts while the platform is down", func(t *testing.T, f *driver.Fleet) {
+		{"host starts while the platform is down", func(t *testing.T, f *driver.Simulation) {
 			f.Publish(next.Document())
 			all(t, f, 2)
 			f.PlatformDown = true
@@ -69,26 +69,26 @@
 			all(t, f, 2)
 			waitReady(t, f, "a1")
 		}},
-		{"platforms differ by zone", func(t *testing.T, f *driver.Fleet) {
+		{"platforms differ by zone", func(t *testing.T, f *driver.Simulation) {
 			for _, name := range []string{"a1", "a2", "a3"} {
-				f.CutPlatform(name, true)
+				f.SetPlatformCut(name, true)
 			}
 			f.Publish(next.Document())
 			all(t, f, 2)
 		}},
-		{"zone cut off from all and back", func(t *testing.T, f *driver.Fleet) {
+		{"zone cut off from all and back", func(t *testing.T, f *driver.Simulation) {
 			zone := []string{"b1", "b2", "b3"}
-			f.Split(zone...)
+			f.Partition(zone...)
 			for _, name := range zone {
-				f.CutPlatform(name, true)
+				f.SetPlatformCut(name, true)
 			}
 			f.Publish(next.Document())
 			f.Step(20 * time.Second)
 			require.EqualValues(t, 1, f.Reducer("b1").Revision(), "nobody could tell it")
-			f.Join(zone...)
+			f.HealPartition(zone...)
 			all(t, f, 2)
 		}},
-		{"invalid revision between two valid ones", func(t *testing.T, f *driver.Fleet) {
+		{"invalid revision between two valid ones", func(t *testing.T, f *driver.Simulation) {
 			f.Publish([]byte("version: 1\nregions: {r: {returnPrefix: nonsense}}\n"))
 			f.Step(3 * time.Second)
 			require.EqualValues(t, 1, f.Reducer("a1").Revision())
@@ -96,7 +96,7 @@
 			f.Publish(last.Document())
 			all(t, f, 3)
 		}},
-		{"operators race", func(t *testing.T, f *driver.Fleet) {
+		{"operators race", func(t *testing.T, f *driver.Simulation) {
 			f.Publish(next.Document())
 			f.Step(5 * time.Millisecond)
 			f.Publish(last.Document())
@@ -114,7 +114,7 @@
 			test.run(t, f)
 			for range 100 {
 				f.Step(50 * time.Millisecond)
-				for _, name := range f.Names() {
+				for _, name := range f.HostNames() {
 					revision := f.Reducer(name).Revision()
 					require.GreaterOrEqual(t, revision, highest[name], "%s went back", name)
 					highest[name] = revision
@@ -129,16 +129,16 @@
 // Cause: every host watches for itself.
 func TestOnlyWatchersReadPlatform(t *testing.T) {
 	tree := threeZoneTree()
-	tree.Zones = []int{8, 8, 8}
+	tree.HostsPerZone = []int{8, 8, 8}
 	f := newFleet(t, tree)
 	f.Step(5 * time.Second)
 	before := f.PlatformReads
 	next := tree
-	next.Services = append([]driver.TreeService(nil), tree.Services...)
-	next.Services[0].Draining = []int{1}
+	next.Services = append([]driver.SettingsService(nil), tree.Services...)
+	next.Services[0].DrainingTargetNumbers = []int{1}
 	f.Publish(next.Document())
 	f.Step(5 * time.Second)
-	for _, name := range f.Names() {
+	for _, name := range f.HostNames() {
 		require.EqualValues(t, 2, f.Reducer(name).Revision())
 	}
 	require.Equal(t, 3*2, f.PlatformReads-before)
--- a/standin/internal/measurer/measurer.go
+++ b/standin/internal/measurer/measurer.go
@@ -49,19 +49,19 @@
 }
 
 // LargeTree is a tree with so many targets behind so many services.
-func LargeTree(hosts, targets, services int) driver.Tree {
-	tree := driver.Tree{Defaults: []string{"exchangeLifetime: 2s"}}
+func LargeTree(hosts, targets, services int) driver.SettingsTree {
+	tree := driver.SettingsTree{Defaults: []string{"exchangeLifetime: 2s"}}
 	for zone := range TargetZones {
 		n := (hosts + TargetZones - 1 - zone) / TargetZones
-		tree.Zones = append(tree.Zones, n)
-		tree.Cells = max(tree.Cells, (n+resolver.MaxCellHosts-1)/resolver.MaxCellHosts)
+		tree.HostsPerZone = append(tree.HostsPerZone, n)
+		tree.CellsPerZone = max(tree.CellsPerZone, (n+resolver.MaxCellHosts-1)/resolver.MaxCellHosts)
 	}
 	next := 1
 	for i := range services {
 		n := targets*(i+1)/services - targets*i/services
-		s := driver.TreeService{Address: i + 1}
+		s := driver.SettingsService{AddressNumber: i + 1}
 		for range n {
-			s.Targets = append(s.Targets, next)
+			s.TargetNumbers = append(s.TargetNumbers, next)
 			next++
 		}
 		tree.Services = append(tree.Services, s)
@@ -84,7 +84,7 @@
 	began = time.Now()
 	host.Reduce(&reducer.SettingsPublished{At: now, Revision: 1, Document: document})
 	point.Adopt = time.Since(began)
-	tree.Services[0].Draining = tree.Services[0].Targets[:1]
+	tree.Services[0].DrainingTargetNumbers = tree.Services[0].TargetNumbers[:1]
 	changed := tree.Document()
 	began = time.Now()
 	host.Reduce(&reducer.SettingsPublished{At: now, Revision: 2, Document: changed})
@@ -134,23 +134,23 @@
 	f.Start(tree.HostNames()...)
 	// The rumors of so many hosts starting at once must have died down.
 	f.Step(75 * time.Second)
-	f.Measure = true
-	f.Messages = 0
+	f.MeasureControlBytes = true
+	f.ControlMessages = 0
 	f.Probes = 0
 	const span = 5 * time.Second
 	began := time.Now()
 	f.Step(span)
 	worked := time.Since(began)
-	point := FleetPoint{Hosts: hosts, Messages: perHostSecond(f.Messages, hosts, span)}
+	point := FleetPoint{Hosts: hosts, Messages: perHostSecond(f.ControlMessages, hosts, span)}
 	total := 0
-	for _, bytes := range f.Bytes {
+	for _, bytes := range f.ControlBytes {
 		total += bytes
 		point.MaxBytes = max(point.MaxBytes, float64(bytes)/span.Seconds())
 	}
 	point.Bytes = perHostSecond(total, hosts, span)
 	point.Processor = worked.Seconds() / float64(hosts) / span.Seconds()
 	point.Probes = perHostSecond(f.Probes, hosts, span)
-	tree.Services[0].Draining = tree.Services[0].Targets[:1]
+	tree.Services[0].DrainingTargetNumbers = tree.Services[0].TargetNumbers[:1]
 	reads := f.PlatformReads
 	revision := f.Publish(tree.Document())
 	published := f.Now
@@ -164,8 +164,8 @@
 	return float64(n) / float64(hosts) / span.Seconds()
 }
 
-func inForce(f *driver.Fleet, revision uint64) bool {
-	for _, name := range f.Names() {
+func inForce(f *driver.Simulation, revision uint64) bool {
+	for _, name := range f.HostNames() {
 		if f.Reducer(name).Revision() != revision {
 			return false
 		}
@@ -187,7 +187,7 @@
 
 // Flows measures one size.
 func Flows(flows int) FlowPoint {
-	tree := driver.Tree{Zones: []int{1}, Services: []driver.TreeService{{Targets: []int{1, 2, 3, 4}, Address: 1}}, Defaults: []string{"exchangeLifetime: 1s"}}
+	tree := driver.SettingsTree{HostsPerZone: []int{1}, Services: []driver.SettingsService{{TargetNumbers: []int{1, 2, 3, 4}, AddressNumber: 1}}, Defaults: []string{"exchangeLifetime: 1s"}}
 	now := timekeeper.Instant(time.Second)
 	host := reducer.New(reducer.Config{Self: "a1", Incarnation: 1, Seed: 1, Timing: detector.DefaultTiming(), Start: now})
 	host.Reduce(&reducer.SettingsPublished{At: now, Revision: 1, Document: tree.Document()})
@@ -240,24 +240,24 @@
 
 // Handover measures one size, in a cell of three hosts.
 func Handover(flows int) HandoverPoint {
-	tree := driver.Tree{Zones: []int{3}, Services: []driver.TreeService{{Targets: []int{1, 2, 3, 4}, Address: 1}}, Defaults: []string{"exchangeLifetime: 1s"}}
+	tree := driver.SettingsTree{HostsPerZone: []int{3}, Services: []driver.SettingsService{{TargetNumbers: []int{1, 2, 3, 4}, AddressNumber: 1}}, Defaults: []string{"exchangeLifetime: 1s"}}
 	f := driver.New(1, tree.Document())
 	f.Start(tree.HostNames()...)
 	f.Step(5 * time.Second)
 	for n := range 3 * flows {
 		id := driver.RequestID{Caller: flowPacket(n, 0).Caller, Service: driver.ServiceAddress(1)}
-		f.Call(f.Reducer("a1").Owner(keyOf(id)), id, messenger.Packet{Kind: messenger.KindControl})
+		f.SendPacket(f.Reducer("a1").Owner(keyOf(id)), id, messenger.Packet{Kind: messenger.KindControl})
 		if n%1000 == 0 {
 			f.Step(reducer.TickInterval)
 		}
 	}
 	f.Step(time.Second)
 	owned := f.Reducer("a1").Snapshot().Flows
-	f.Measure = true
+	f.MeasureControlBytes = true
 	began := f.Now
 	f.Shutdown("a1")
 	f.StepUntil(5*time.Minute, func() bool { return f.Reducer("a1").Snapshot().Phase == "left" })
-	return HandoverPoint{Flows: owned, Span: f.Now.Until(began), Bytes: f.Bytes["a1"]}
+	return HandoverPoint{Flows: owned, Span: f.Now.Until(began), Bytes: f.ControlBytes["a1"]}
 }
 
 func keyOf(id driver.RequestID) resolver.FlowKey {
@@ -274,11 +274,11 @@
 
 // Requests measures one rate, over a cell of three hosts.
 func Requests(aSecond int) RequestPoint {
-	tree := driver.Tree{Zones: []int{3}, Services: []driver.TreeService{{Targets: []int{1, 2, 3, 4}, Address: 1}}, Defaults: []string{"exchangeLifetime: 1s", "slots: 10000"}}
+	tree := driver.SettingsTree{HostsPerZone: []int{3}, Services: []driver.SettingsService{{TargetNumbers: []int{1, 2, 3, 4}, AddressNumber: 1}}, Defaults: []string{"exchangeLifetime: 1s", "slots: 10000"}}
 	f := driver.New(1, tree.Document())
 	f.Start(tree.HostNames()...)
 	f.Step(5 * time.Second)
-	f.Measure = true
+	f.MeasureControlBytes = true
 	const span = 4 * time.Second
 	idle := measureBytes(f, func() { f.Step(span) })
 	perTick := max(1, aSecond*int(reducer.TickInterval)/int(time.Second))
@@ -288,7 +288,7 @@
 			for range perTick {
 				n++
 				id := driver.RequestID{Caller: flowPacket(n, 0).Caller, Service: driver.ServiceAddress(1), Exchange: messenger.Exchange{MessageID: uint16(n), Token: uint64(n), TokenLength: 8}}
-				f.CallAfter(time.Duration(n%20)*time.Millisecond, "", id, messenger.Packet{Kind: messenger.KindRequest, Flags: messenger.FlagOpensFlow})
+				f.SendPacketAfter(time.Duration(n%20)*time.Millisecond, "", id, messenger.Packet{Kind: messenger.KindRequest, Flags: messenger.FlagOpensFlow})
 			}
 			f.Step(reducer.TickInterval)
 		}
@@ -296,11 +296,11 @@
 	return RequestPoint{ASecond: n * int(time.Second) / int(span), BytesARequest: float64(busy-idle) / float64(n)}
 }
 
-func measureBytes(f *driver.Fleet, do func()) int {
-	clear(f.Bytes)
+func measureBytes(f *driver.Simulation, do func()) int {
+	clear(f.ControlBytes)
 	do()
 	total := 0
-	for _, bytes := range f.Bytes {
+	for _, bytes := range f.ControlBytes {
 		total += bytes
 	}
 	return total
--- a/standin/main.go
+++ b/standin/main.go
@@ -157,7 +157,7 @@
 func compare(context.Context, *cli.Command) error {
 	fmt.Print("| story | planned |")
 	for _, p := range comparer.Policies() {
-		fmt.Printf(" %s |", comparer.Name(p))
+		fmt.Printf(" %s |", comparer.PolicyName(p))
 	}
 	fmt.Println(" control bytes a second |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- |")
@@ -165,16 +165,16 @@
 		fmt.Printf("| %s | %v |", s.Name, s.Planned)
 		bytes := 0.0
 		for _, p := range comparer.Policies() {
-			result := comparer.Run(p, s, 1)
-			fmt.Printf(" %.0f |", result.BrokenPer10000())
-			bytes = result.ControlBytes
+			result := comparer.RunScenario(p, s, 1)
+			fmt.Printf(" %.0f |", result.BrokenFlowsPer10000())
+			bytes = result.ControlBytesPerSecond
 		}
 		fmt.Printf(" %.0f |\n", bytes)
 	}
 	for _, skewed := range []bool{false, true} {
 		fmt.Printf("| variation of work, skewed %v | |", skewed)
 		for _, p := range comparer.Policies() {
-			fmt.Printf(" %.3f |", comparer.MeasureBalance(p, skewed, 1).WorkVariation)
+			fmt.Printf(" %.3f |", comparer.MeasureBalance(p, skewed, 1).LoadVariation)
 		}
 		fmt.Println(" |")
 	}
