--- a/standin/internal/answerer/answerer.go
+++ b/standin/internal/answerer/answerer.go
@@ -203,7 +203,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	clear(t.flows)
-	t.config.Entry.Born = time.Now().UnixMilli()
+	t.config.Entry.StartedAtMs = time.Now().UnixMilli()
 	t.config.Entry.Draining = false
 	t.lives++
 	return t.config.Entry
@@ -244,7 +244,7 @@
 			continue // An earlier packet came back undeliverable.
 		}
 		number, p, ok := platformtest.DecodeForTarget(append([]byte(nil), buffer[:n]...))
-		if !ok || !p.Genuine {
+		if !ok || !p.ChecksumValid {
 			t.record.problem("%s got a packet that its sender did not write", t.config.Entry.ID)
 			continue
 		}
--- a/standin/internal/asker/asker.go
+++ b/standin/internal/asker/asker.go
@@ -150,7 +150,7 @@
 	switch {
 	case p.Flags&platformtest.FlagReset != 0:
 		f.reset(p)
-	case !p.Genuine:
+	case !p.ChecksumValid:
 		f.finish(OutcomeWrong)
 	case p.Flags&platformtest.FlagOpen != 0 && !f.open:
 		f.open = true
@@ -168,7 +168,7 @@
 	switch {
 	case !f.open:
 		f.finish(OutcomeNotOpened)
-	case p.Genuine:
+	case p.ChecksumValid:
 		f.finish(OutcomeReset)
 	default:
 		f.finish(OutcomeCut)
--- a/standin/internal/soaker/faults.go
+++ b/standin/internal/soaker/faults.go
@@ -182,9 +182,9 @@
 
 func harmStore(ctx context.Context, s *soak) string {
 	h, mode, span := s.host(), s.mode(), s.span(5*time.Second)
-	s.fleet.store.Treat(h.Name, mode)
+	s.fleet.store.SetMode(h.Name, mode)
 	wait(ctx, span)
-	s.fleet.store.Treat(h.Name, platformtest.ModeServing)
+	s.fleet.store.SetMode(h.Name, platformtest.ModeServing)
 	return fmt.Sprintf("%s mode %d for %s", h.Name, mode, span)
 }
 
@@ -230,7 +230,7 @@
 	t := s.target()
 	t.Darken()
 	wait(ctx, entryLapse)
-	s.fleet.store.Remove(t.Entry().ID)
+	s.fleet.store.RemoveTarget(t.Entry().ID)
 	t.Stop()
 	s.addTarget(ctx, t.Entry().Service, s.pick(len(s.config.Zones)), s.newAddress())
 	return t.Entry().ID
@@ -248,7 +248,7 @@
 	}
 	s.addTarget(ctx, service, s.pick(len(s.config.Zones)), entry.Address)
 	wait(ctx, entryLapse-2*time.Second)
-	s.fleet.store.Remove(entry.ID)
+	s.fleet.store.RemoveTarget(entry.ID)
 	s.addTarget(ctx, entry.Service, s.pick(len(s.config.Zones)), s.newAddress())
 	return entry.ID
 }
@@ -256,10 +256,10 @@
 func replaceTarget(ctx context.Context, s *soak) string {
 	t := s.target()
 	s.addTarget(ctx, t.Entry().Service, s.pick(len(s.config.Zones)), s.newAddress())
-	s.fleet.store.Put(t.Drain())
+	s.fleet.store.PutTarget(t.Drain())
 	wait(ctx, drainLimit+2*time.Second)
 	t.Stop()
-	s.fleet.store.Remove(t.Entry().ID)
+	s.fleet.store.RemoveTarget(t.Entry().ID)
 	return t.Entry().ID
 }
 
@@ -301,13 +301,13 @@
 	var names []string
 	for _, h := range s.fleet.hosts {
 		if s.pick(2) > 0 {
-			s.fleet.store.Treat(h.Name, platformtest.ModeLost)
+			s.fleet.store.SetMode(h.Name, platformtest.ModeAborting)
 			names = append(names, h.Name)
 		}
 	}
 	wait(ctx, span)
 	for _, name := range names {
-		s.fleet.store.Treat(name, platformtest.ModeServing)
+		s.fleet.store.SetMode(name, platformtest.ModeServing)
 	}
 	return fmt.Sprintf("%v for %s", names, span)
 }
@@ -318,9 +318,9 @@
 	t := s.target()
 	turns := 1 + s.pick(3)
 	for range turns {
-		s.fleet.store.Remove(t.Entry().ID)
+		s.fleet.store.RemoveTarget(t.Entry().ID)
 		wait(ctx, s.span(2*time.Second))
-		s.fleet.store.Put(t.Entry())
+		s.fleet.store.PutTarget(t.Entry())
 		wait(ctx, s.span(2*time.Second))
 	}
 	s.giveBack(t)
@@ -347,7 +347,7 @@
 	t := s.target()
 	turns := 1 + s.pick(3)
 	for range turns {
-		s.fleet.store.Put(t.Restart())
+		s.fleet.store.PutTarget(t.Restart())
 		wait(ctx, s.span(2*time.Second))
 	}
 	s.giveBack(t)
@@ -380,7 +380,7 @@
 func forgetHistory(ctx context.Context, s *soak) string {
 	forgotten := make(chan struct{})
 	go func() {
-		s.fleet.store.Forget(blindSpan)
+		s.fleet.store.CompactHistory(blindSpan)
 		close(forgotten)
 	}()
 	replaced := replaceTarget(ctx, s)
@@ -395,12 +395,12 @@
 		return "nothing, since it is under way"
 	}
 	defer s.restoring.Unlock()
-	from, age := s.fleet.store.Copy(), s.span(5*time.Second)
+	from, age := s.fleet.store.Snapshot(), s.span(5*time.Second)
 	wait(ctx, age)
 	times := 1 + s.pick(2)
 	for range times {
 		away := s.span(time.Second)
-		s.treatAll(platformtest.ModeLost)
+		s.treatAll(platformtest.ModeAborting)
 		wait(ctx, away)
 		rewrite := s.fleet.store.Restore(from)
 		s.treatAll(platformtest.ModeServing)
@@ -416,7 +416,7 @@
 // treatAll sets how the store treats all hosts.
 func (s *soak) treatAll(mode platformtest.Mode) {
 	for _, h := range s.fleet.hosts {
-		s.fleet.store.Treat(h.Name, mode)
+		s.fleet.store.SetMode(h.Name, mode)
 	}
 }
 
--- a/standin/internal/soaker/soaker.go
+++ b/standin/internal/soaker/soaker.go
@@ -236,7 +236,7 @@
 	s.targets = append(s.targets, t)
 	s.started = append(s.started, t)
 	s.mu.Unlock()
-	s.fleet.store.Put(entry)
+	s.fleet.store.PutTarget(entry)
 }
 
 // target takes a target out of those that later faults may choose.
@@ -266,8 +266,8 @@
 
 func (s *soak) routes() []platformtest.Route {
 	routes := []platformtest.Route{
-		{Name: "read", Address: readRoute, Service: ledger, Kind: "idempotent", Timeout: 2500 * time.Millisecond, Objective: objective},
-		{Name: "check", Address: checkRoute, Service: ledger, Kind: "non_idempotent", Timeout: 3 * time.Second, Objective: objective},
+		{Name: "read", Address: readRoute, Service: ledger, Kind: "idempotent", Timeout: 2500 * time.Millisecond, LatencyObjective: objective},
+		{Name: "check", Address: checkRoute, Service: ledger, Kind: "non_idempotent", Timeout: 3 * time.Second, LatencyObjective: objective},
 		{Name: "upload", Address: uploadRoute, Service: intake, Kind: "upload", Timeout: 5 * time.Second},
 	}
 	if s.optional {
@@ -510,5 +510,5 @@
 	s.fleet.mu.Lock()
 	defer s.fleet.mu.Unlock()
 	problems := slices.Concat(s.problems, s.fleet.problems, s.record.Problems())
-	return Report{Seed: s.config.Seed, Outcomes: s.outcomes, Faults: s.faults, Problems: problems, Reads: s.fleet.store.Reads(), Logs: dir}
+	return Report{Seed: s.config.Seed, Outcomes: s.outcomes, Faults: s.faults, Problems: problems, Reads: s.fleet.store.CallCount(), Logs: dir}
 }
