--- a/balancer/flows.go
+++ b/balancer/flows.go
@@ -15,13 +15,13 @@
 	"github.com/urfave/cli/v3"
 )
 
-// memoryHeadroom is the part of a host's memory up to which the garbage
+// heapMemoryFraction is the part of a host's memory up to which the garbage
 // collector may let the heap grow; the rest is for stacks and received bytes.
-const memoryHeadroom = 0.7
+const heapMemoryFraction = 0.7
 
-// flowCommand runs a host that steers flows to targets which answer callers
+// flowsCommand runs a host that steers flows to targets which answer callers
 // directly.
-func flowCommand(code *int) *cli.Command {
+func flowsCommand(code *int) *cli.Command {
 	return &cli.Command{
 		Name:  "flows",
 		Usage: "run one entry host in front of targets that answer callers directly",
@@ -39,18 +39,18 @@
 		fmt.Fprintln(os.Stderr, err)
 		return exitUsage
 	}
-	debug.SetMemoryLimit(int64(float64(config.MemoryBytes) * memoryHeadroom))
+	debug.SetMemoryLimit(int64(float64(config.MemoryBytes) * heapMemoryFraction))
 	log := logger.New(os.Stdout)
-	logging, stopLogging := context.WithCancel(context.WithoutCancel(ctx))
-	logged := log.Run(logging)
+	logCtx, stopLog := context.WithCancel(context.WithoutCancel(ctx))
+	logDone := log.Run(logCtx)
 	defer func() {
-		stopLogging()
-		if err := <-logged; err != nil {
+		stopLog()
+		if err := <-logDone; err != nil {
 			fmt.Fprintln(os.Stderr, err)
 		}
 	}()
-	host, err := flowrunner.New(path, config, flowrunner.Platform{
-		NewCalls: func(address netip.AddrPort, dial flowrunner.Dial) fetcher.Platform {
+	host, err := flowrunner.New(path, config, flowrunner.PlatformAdapter{
+		NewClient: func(address netip.AddrPort, dial flowrunner.DialFunc) fetcher.PlatformClient {
 			return platform.NewStore(address, platform.Dial(dial))
 		},
 		Codec:            platform.Codec{},
@@ -60,7 +60,7 @@
 	}, log)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		return exitSockets
+		return exitStartFailed
 	}
-	return untilSignal(ctx, host.Run)
+	return runUntilSignal(ctx, host.Run)
 }
--- a/balancer/internal/carrier/carrier.go
+++ b/balancer/internal/carrier/carrier.go
@@ -54,27 +54,27 @@
 
 // Carrier owns the two sockets of a host.
 type Carrier struct {
-	fabric   netip.AddrPort
-	packets  *net.UDPConn
-	peers    *net.UDPConn
-	sealer   *atomic.Pointer[encoder.MessageCodec]
-	clock    func() timekeeper.Instant
-	events   chan<- reducer.Event
-	Counters Counters
+	fabric     netip.AddrPort
+	fabricConn *net.UDPConn
+	peerConn   *net.UDPConn
+	sealer     *atomic.Pointer[encoder.MessageCodec]
+	clock      func() timekeeper.Instant
+	events     chan<- reducer.Event
+	Counters   Counters
 }
 
 // New opens the sockets. Packets become events; clock stamps deadlines.
 func New(fabricAddress, peerAddress, fabric netip.AddrPort, sealer *atomic.Pointer[encoder.MessageCodec], clock func() timekeeper.Instant, events chan<- reducer.Event) (*Carrier, error) {
-	packets, err := listen(fabricAddress)
+	fabricConn, err := listen(fabricAddress)
 	if err != nil {
 		return nil, err
 	}
-	peers, err := listen(peerAddress)
+	peerConn, err := listen(peerAddress)
 	if err != nil {
-		_ = packets.Close()
+		_ = fabricConn.Close()
 		return nil, err
 	}
-	return &Carrier{fabric: fabric, packets: packets, peers: peers, sealer: sealer, clock: clock, events: events}, nil
+	return &Carrier{fabric: fabric, fabricConn: fabricConn, peerConn: peerConn, sealer: sealer, clock: clock, events: events}, nil
 }
 
 func listen(address netip.AddrPort) (*net.UDPConn, error) {
@@ -85,7 +85,7 @@
 	// A larger buffer than the kernel allows is cut by the kernel.
 	_ = conn.SetReadBuffer(socketBufferBytes)
 	_ = conn.SetWriteBuffer(socketBufferBytes)
-	if err := enableArrivalTimes(conn); err != nil {
+	if err := enableReceiveTimestamps(conn); err != nil {
 		_ = conn.Close()
 		return nil, &Error{Op: "listen for datagrams", Kind: KindSocket, Err: err}
 	}
@@ -95,19 +95,19 @@
 // Run reads both sockets until the context ends. Each reader reports its end on
 // the returned channel, which gets two values.
 func (c *Carrier) Run(ctx context.Context) <-chan error {
-	ends := make(chan error, 2)
+	done := make(chan error, 2)
 	context.AfterFunc(ctx, func() {
-		_ = c.packets.Close()
-		_ = c.peers.Close()
+		_ = c.fabricConn.Close()
+		_ = c.peerConn.Close()
 	})
-	go func() { ends <- c.read(ctx, c.packets, c.newPacketReader()) }()
-	go func() { ends <- c.read(ctx, c.peers, c.peerMessage) }()
-	return ends
+	go func() { done <- c.read(ctx, c.fabricConn, c.newPacketDecoder()) }()
+	go func() { done <- c.read(ctx, c.peerConn, c.decodePeerMessage) }()
+	return done
 }
 
-func (c *Carrier) read(ctx context.Context, conn *net.UDPConn, handle func([]byte, timekeeper.Instant) reducer.Event) error {
+func (c *Carrier) read(ctx context.Context, conn *net.UDPConn, decode func([]byte, timekeeper.Instant) reducer.Event) error {
 	buffer := make([]byte, encoder.MaxDatagramBytes)
-	control := make([]byte, controlBytes)
+	control := make([]byte, controlBufferBytes)
 	for {
 		n, m, _, _, err := conn.ReadMsgUDPAddrPort(buffer, control)
 		if ctx.Err() != nil {
@@ -116,7 +116,7 @@
 		if err != nil {
 			return &Error{Op: "read datagram", Kind: KindSocket, Err: err}
 		}
-		event := handle(buffer[:n], c.clock().Add(-waited(control[:m], time.Now())))
+		event := decode(buffer[:n], c.clock().Add(-socketDelay(control[:m], time.Now())))
 		if event == nil {
 			continue
 		}
@@ -130,27 +130,27 @@
 	}
 }
 
-func (c *Carrier) newPacketReader() func([]byte, timekeeper.Instant) reducer.Event {
-	reader := translator.New()
-	return func(data []byte, arrived timekeeper.Instant) reducer.Event {
+func (c *Carrier) newPacketDecoder() func([]byte, timekeeper.Instant) reducer.Event {
+	decoder := translator.New()
+	return func(data []byte, receivedAt timekeeper.Instant) reducer.Event {
 		delivery, err := encoder.DecodeEncapsulatedPacket(data)
 		if err != nil {
 			c.Counters.Malformed.Add(1)
 			return nil
 		}
-		packet, err := reader.Decode(delivery.Payload, arrived)
+		packet, err := decoder.Decode(delivery.Payload, receivedAt)
 		if err != nil {
 			c.Counters.Malformed.Add(1)
 			return nil
 		}
 		if delivery.To.Addr().Is4() {
-			return &reducer.CallerPacket{Arrived: arrived, Caller: delivery.From, Service: delivery.To, Packet: packet}
+			return &reducer.CallerPacket{Arrived: receivedAt, Caller: delivery.From, Service: delivery.To, Packet: packet}
 		}
 		return &reducer.TargetPacket{Target: delivery.From, Return: delivery.To.Addr(), Packet: packet}
 	}
 }
 
-func (c *Carrier) peerMessage(data []byte, arrived timekeeper.Instant) reducer.Event {
+func (c *Carrier) decodePeerMessage(data []byte, receivedAt timekeeper.Instant) reducer.Event {
 	from, body, err := c.sealer.Load().Decode(data)
 	if err != nil {
 		c.countOpenError(err)
@@ -161,7 +161,7 @@
 		c.Counters.Unknown.Add(1)
 		return nil
 	}
-	return &reducer.PeerMessage{Arrived: arrived, From: from, Body: forward}
+	return &reducer.PeerMessage{Arrived: receivedAt, From: from, Body: forward}
 }
 
 func (c *Carrier) countOpenError(err error) {
@@ -178,25 +178,25 @@
 	}
 }
 
-// ToCaller sends a packet to a caller from its service's address.
-func (c *Carrier) ToCaller(service, caller netip.AddrPort, payload []byte) {
-	c.deliver(encoder.EncapsulatedPacket{From: service, To: caller, Payload: payload})
+// SendToCaller sends a packet to a caller from its service's address.
+func (c *Carrier) SendToCaller(service, caller netip.AddrPort, payload []byte) {
+	c.sendToFabric(encoder.EncapsulatedPacket{From: service, To: caller, Payload: payload})
 }
 
-// ToTarget sends a packet to a target from a return address.
-func (c *Carrier) ToTarget(e *reducer.ToTarget) {
+// SendToTarget sends a packet to a target from a return address.
+func (c *Carrier) SendToTarget(e *reducer.ToTarget) {
 	if e.Deadline != 0 && e.Deadline.Passed(c.clock()) {
 		// The process was paused after the decision; the right to send is gone.
 		c.Counters.Fenced.Add(1)
 		return
 	}
-	c.deliver(encoder.EncapsulatedPacket{From: netip.AddrPortFrom(e.Return, returnPort), To: e.Target, Payload: e.Payload})
+	c.sendToFabric(encoder.EncapsulatedPacket{From: netip.AddrPortFrom(e.Return, returnPort), To: e.Target, Payload: e.Payload})
 }
 
-func (c *Carrier) deliver(d encoder.EncapsulatedPacket) {
+func (c *Carrier) sendToFabric(d encoder.EncapsulatedPacket) {
 	data, err := encoder.EncodeEncapsulatedPacket(d)
 	if err == nil {
-		_, err = c.packets.WriteToUDPAddrPort(data, c.fabric)
+		_, err = c.fabricConn.WriteToUDPAddrPort(data, c.fabric)
 	}
 	if err != nil {
 		c.Counters.SendFailed.Add(1)
@@ -207,18 +207,18 @@
 func (c *Carrier) Announce(host string, accepting bool) {
 	data, err := encoder.EncodeAnnouncement(encoder.Announcement{Host: host, Accepting: accepting})
 	if err == nil {
-		_, err = c.packets.WriteToUDPAddrPort(data, c.fabric)
+		_, err = c.fabricConn.WriteToUDPAddrPort(data, c.fabric)
 	}
 	if err != nil {
 		c.Counters.SendFailed.Add(1)
 	}
 }
 
-// ToPeer sends a forwarded packet to a host.
-func (c *Carrier) ToPeer(name string, address netip.AddrPort, body *messenger.Forward) {
+// SendToPeer sends a forwarded packet to a host.
+func (c *Carrier) SendToPeer(name string, address netip.AddrPort, body *messenger.Forward) {
 	data, err := c.sealer.Load().Encode(name, body)
 	if err == nil {
-		_, err = c.peers.WriteToUDPAddrPort(data, address)
+		_, err = c.peerConn.WriteToUDPAddrPort(data, address)
 	}
 	if err != nil {
 		c.Counters.SendFailed.Add(1)
--- a/balancer/internal/carrier/carrier_test.go
+++ b/balancer/internal/carrier/carrier_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestArrivalTimeIsTheKernels(t *testing.T) {
+func TestSocketDelayUsesKernelTimestamp(t *testing.T) {
 	conn, err := listen(netip.MustParseAddrPort("127.0.0.1:0"))
 	require.NoError(t, err)
 	defer func() { _ = conn.Close() }()
@@ -23,42 +23,42 @@
 	defer func() { _ = sender.Close() }()
 	_, err = sender.Write([]byte("x"))
 	require.NoError(t, err)
-	control := make([]byte, controlBytes)
+	control := make([]byte, controlBufferBytes)
 	_, n, _, _, err := conn.ReadMsgUDPAddrPort(make([]byte, 16), control)
 	require.NoError(t, err)
 	// Seen from an hour later, the datagram has waited for an hour.
-	late := waited(control[:n], time.Now().Add(time.Hour))
-	require.InDelta(t, time.Hour.Seconds(), late.Seconds(), 60)
-	require.Zero(t, waited(control[:n], time.Now().Add(-time.Hour)), "a clock that went back")
-	require.Zero(t, waited(nil, time.Now()))
-	require.Zero(t, waited([]byte{1, 2, 3}, time.Now()))
+	delay := socketDelay(control[:n], time.Now().Add(time.Hour))
+	require.InDelta(t, time.Hour.Seconds(), delay.Seconds(), 60)
+	require.Zero(t, socketDelay(control[:n], time.Now().Add(-time.Hour)), "a clock that went back")
+	require.Zero(t, socketDelay(nil, time.Now()))
+	require.Zero(t, socketDelay([]byte{1, 2, 3}, time.Now()))
 }
 
 // Symptom: a host that was paused sends what it decided before.
 // Sequence: the reducer decides to send; the process sleeps; it wakes after the
 // host's right has ended. Cause: a decision without an end.
-func TestDecisionThatIsTooOldIsNotSent(t *testing.T) {
+func TestSendAfterDeadlineIsFenced(t *testing.T) {
 	fabric, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(t, err)
 	defer func() { _ = fabric.Close() }()
 	now := timekeeper.Instant(time.Second)
 	var sealer atomic.Pointer[encoder.MessageCodec]
 	sealer.Store(encoder.New("a", nil))
-	anywhere := netip.MustParseAddrPort("127.0.0.1:0")
-	c, err := New(anywhere, anywhere, fabric.LocalAddr().(*net.UDPAddr).AddrPort(), &sealer, func() timekeeper.Instant { return now }, make(chan reducer.Event, 1))
+	anyPort := netip.MustParseAddrPort("127.0.0.1:0")
+	c, err := New(anyPort, anyPort, fabric.LocalAddr().(*net.UDPAddr).AddrPort(), &sealer, func() timekeeper.Instant { return now }, make(chan reducer.Event, 1))
 	require.NoError(t, err)
 	ctx, stop := context.WithCancel(context.Background())
-	ends := c.Run(ctx)
+	done := c.Run(ctx)
 	e := &reducer.ToTarget{Target: netip.MustParseAddrPort("10.2.0.1:5683"), Return: netip.MustParseAddr("fd00::1"), Deadline: now.Add(time.Millisecond), Payload: []byte("x")}
-	c.ToTarget(e)
+	c.SendToTarget(e)
 	now = now.Add(time.Second)
-	c.ToTarget(e)
+	c.SendToTarget(e)
 	require.EqualValues(t, 1, c.Counters.Fenced.Load())
 	require.NoError(t, fabric.SetReadDeadline(time.Now().Add(10*time.Second)))
 	n, err := fabric.Read(make([]byte, 2048))
 	require.NoError(t, err)
 	require.Positive(t, n)
 	stop()
-	require.NoError(t, <-ends)
-	require.NoError(t, <-ends)
+	require.NoError(t, <-done)
+	require.NoError(t, <-done)
 }
--- a/balancer/internal/configurer/configurer.go
+++ b/balancer/internal/configurer/configurer.go
@@ -36,8 +36,8 @@
 // Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Text is a host's own settings as written in flags, environment or file.
-type Text struct {
+// RawConfig is a host's own settings as written in flags, environment or file.
+type RawConfig struct {
 	Name          string `yaml:"name"`
 	Address       string `yaml:"address"`
 	FabricAddress string `yaml:"fabricAddress"`
@@ -74,74 +74,74 @@
 }
 
 // ReadFile reads a YAML file. An empty path gives an empty Text.
-func ReadFile(path string) (Text, error) {
+func ReadFile(path string) (RawConfig, error) {
 	if path == "" {
-		return Text{}, nil
+		return RawConfig{}, nil
 	}
 	file, err := os.Open(path)
 	if err != nil {
-		return Text{}, &Error{Op: "read host settings", Kind: KindFile, Err: err}
+		return RawConfig{}, &Error{Op: "read host settings", Kind: KindFile, Err: err}
 	}
 	defer func() { _ = file.Close() }()
 	decoder := yaml.NewDecoder(file)
 	decoder.KnownFields(true)
-	var text Text
-	if err := decoder.Decode(&text); err != nil {
-		return Text{}, &Error{Op: "read host settings", Kind: KindFile, Err: err}
+	var raw RawConfig
+	if err := decoder.Decode(&raw); err != nil {
+		return RawConfig{}, &Error{Op: "read host settings", Kind: KindFile, Err: err}
 	}
-	return text, nil
+	return raw, nil
 }
 
-// Over returns a copy in which the values that t sets go before those of other.
-func (t Text) Over(other Text) Text {
-	pick := func(first, second string) string {
+// WithFallback returns a copy in which the values that t sets go before those of other.
+func (r RawConfig) WithFallback(other RawConfig) RawConfig {
+	firstNonEmpty := func(first, second string) string {
 		if first != "" {
 			return first
 		}
 		return second
 	}
-	return Text{
-		Name:          pick(t.Name, other.Name),
-		Address:       pick(t.Address, other.Address),
-		FabricAddress: pick(t.FabricAddress, other.FabricAddress),
-		Fabric:        pick(t.Fabric, other.Fabric),
-		Platform:      pick(t.Platform, other.Platform),
-		Admin:         pick(t.Admin, other.Admin),
-		LogLevel:      pick(t.LogLevel, other.LogLevel),
-		Seeds:         pick(t.Seeds, other.Seeds),
-		SeedKey:       pick(t.SeedKey, other.SeedKey),
+	return RawConfig{
+		Name:          firstNonEmpty(r.Name, other.Name),
+		Address:       firstNonEmpty(r.Address, other.Address),
+		FabricAddress: firstNonEmpty(r.FabricAddress, other.FabricAddress),
+		Fabric:        firstNonEmpty(r.Fabric, other.Fabric),
+		Platform:      firstNonEmpty(r.Platform, other.Platform),
+		Admin:         firstNonEmpty(r.Admin, other.Admin),
+		LogLevel:      firstNonEmpty(r.LogLevel, other.LogLevel),
+		Seeds:         firstNonEmpty(r.Seeds, other.Seeds),
+		SeedKey:       firstNonEmpty(r.SeedKey, other.SeedKey),
 	}
 }
 
-// Check turns the text into a Config.
-func (t Text) Check() (Config, error) {
-	config := Config{Name: t.Name, LogLevel: t.LogLevel}
-	if t.Name == "" {
-		return Config{}, missing("name")
+// Parse turns the text into a Config.
+func (r RawConfig) Parse() (Config, error) {
+	config := Config{Name: r.Name, LogLevel: r.LogLevel}
+	if r.Name == "" {
+		return Config{}, missingError("name")
 	}
 	for _, a := range []struct {
 		key  string
 		text string
-		into *netip.AddrPort
+		dest *netip.AddrPort
 	}{
-		{"address", t.Address, &config.Address},
-		{"fabricAddress", t.FabricAddress, &config.FabricAddress},
-		{"fabric", t.Fabric, &config.Fabric},
-		{"admin", t.Admin, &config.Admin},
+		{"address", r.Address, &config.Address},
+		{"fabricAddress", r.FabricAddress, &config.FabricAddress},
+		{"fabric", r.Fabric, &config.Fabric},
+		{"admin", r.Admin, &config.Admin},
 	} {
 		address, err := parseAddress(a.key, a.text)
 		if err != nil {
 			return Config{}, err
 		}
-		*a.into = address
+		*a.dest = address
 	}
-	platform, err := url.Parse(t.Platform)
+	platform, err := url.Parse(r.Platform)
 	if err != nil || platform.Host == "" {
-		return Config{}, invalid("platform: %q is no URL such as http://10.0.0.9:8080", t.Platform)
+		return Config{}, invalidError("platform: %q is no URL such as http://10.0.0.9:8080", r.Platform)
 	}
 	config.Platform = platform
-	config.SeedKey = resolver.Secret(t.SeedKey)
-	if config.Seeds, err = parseSeeds(t.Seeds); err != nil {
+	config.SeedKey = resolver.Secret(r.SeedKey)
+	if config.Seeds, err = parseSeeds(r.Seeds); err != nil {
 		return Config{}, err
 	}
 	return config, nil
@@ -156,13 +156,13 @@
 		name, address, _ := strings.Cut(part, "=")
 		parsed, err := netip.ParseAddrPort(address)
 		if err != nil || name == "" {
-			return nil, invalid("seeds: %q is no NAME=ADDRESS such as pa-2=10.0.0.2:7000", part)
+			return nil, invalidError("seeds: %q is no NAME=ADDRESS such as pa-2=10.0.0.2:7000", part)
 		}
 		seeds[name] = parsed
 	}
 	return seeds, nil
 }
 
-func missing(key string) error {
-	return invalid("%s is missing: give it as a flag, in the environment or in the file", key)
+func missingError(key string) error {
+	return invalidError("%s is missing: give it as a flag, in the environment or in the file", key)
 }
--- a/balancer/internal/configurer/flows.go
+++ b/balancer/internal/configurer/flows.go
@@ -13,8 +13,8 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// flowText is the file of a host that steers flows.
-type flowText struct {
+// rawFlowConfig is the file of a host that steers flows.
+type rawFlowConfig struct {
 	Name             string `yaml:"name"`
 	AvailabilityZone string `yaml:"availabilityZone"`
 	Address          string `yaml:"address"`
@@ -30,19 +30,19 @@
 	MemoryMegabytes int64    `yaml:"memoryMegabytes"`
 	// LinkMegabits may be left out.
 	LinkMegabits float64 `yaml:"linkMegabits"`
-	FirstStart   bool    `yaml:"firstStart"`
-	// SettingsWithin and DrainingWithin are durations such as "3000ms".
-	SettingsWithin string `yaml:"settingsWithin"`
-	DrainingWithin string `yaml:"drainingWithin"`
-	// EvacuatedWithin may be left out, and then is SettingsWithin.
-	EvacuatedWithin string `yaml:"evacuatedWithin"`
+	Bootstrap    bool    `yaml:"firstStart"`
+	// SettingsPropagationLimit and DrainingPropagationLimit are durations such as "3000ms".
+	SettingsPropagationLimit string `yaml:"settingsWithin"`
+	DrainingPropagationLimit string `yaml:"drainingWithin"`
+	// EvacuationPropagationLimit may be left out, and then is SettingsPropagationLimit.
+	EvacuationPropagationLimit string `yaml:"evacuatedWithin"`
 	// Regions gives the region of each availability zone. It may be left out where no
 	// route names regions.
 	Regions map[string]string `yaml:"regions"`
-	// ColdOverage and ColdAllowance may be left out, and then are 1 and 0.
-	ColdOverage   *float64 `yaml:"coldOverage"`
-	ColdAllowance *float64 `yaml:"coldAllowance"`
-	Forwarding    string   `yaml:"forwarding"`
+	// ColdBurstFactor and ColdBurstAllowance may be left out, and then are 1 and 0.
+	ColdBurstFactor    *float64 `yaml:"coldOverage"`
+	ColdBurstAllowance *float64 `yaml:"coldAllowance"`
+	Forwarding         string   `yaml:"forwarding"`
 	// Quotas may be left out.
 	Quotas []throttler.QuotaSpec `yaml:"quotas"`
 }
@@ -73,21 +73,21 @@
 	MemoryBytes int64
 	// LinkBytesPerSecond is what the host's link carries each way; 0 if unknown.
 	LinkBytesPerSecond int
-	// FirstStart says that the whole fleet starts for the first time.
-	FirstStart bool
-	// SettingsWithin and DrainingWithin are the times within which the host has to
+	// Bootstrap says that the whole fleet starts for the first time.
+	Bootstrap bool
+	// SettingsPropagationLimit and DrainingPropagationLimit are the times within which the host has to
 	// know new settings, and targets that drain.
-	SettingsWithin time.Duration
-	DrainingWithin time.Duration
-	// EvacuatedWithin is the time within which the host has to know orders to evacuate a
+	SettingsPropagationLimit time.Duration
+	DrainingPropagationLimit time.Duration
+	// EvacuationPropagationLimit is the time within which the host has to know orders to evacuate a
 	// zone.
-	EvacuatedWithin time.Duration
+	EvacuationPropagationLimit time.Duration
 	// Regions gives the region of each availability zone.
 	Regions map[string]string
-	// ColdOverage times the new flows a second that a cold target bears for long, and
-	// ColdAllowance more, is what it bears in any one second.
-	ColdOverage   float64
-	ColdAllowance float64
+	// ColdBurstFactor times the new flows a second that a cold target bears for long, and
+	// ColdBurstAllowance more, is what it bears in any one second.
+	ColdBurstFactor    float64
+	ColdBurstAllowance float64
 	// Quotas bound the requests of some callers, over all hosts of this host's zone together.
 	Quotas []throttler.Quota
 }
@@ -114,10 +114,10 @@
 const (
 	// bytesPerMegabit turns a link's rate, which networks give in decimal megabits.
 	bytesPerMegabit = 1_000_000 / 8
-	// minWithin leaves time for a read and a report to the other hosts.
-	minWithin = time.Second
-	// maxWithin keeps a slip of the pen from hiding changes for ever.
-	maxWithin = 10 * time.Minute
+	// minPropagationLimit leaves time for a read and a report to the other hosts.
+	minPropagationLimit = time.Second
+	// maxPropagationLimit keeps a slip of the pen from hiding changes for ever.
+	maxPropagationLimit = 10 * time.Minute
 )
 
 // ReadFlowFile reads and checks the file of a host that steers flows.
@@ -130,111 +130,111 @@
 	defer func() { _ = file.Close() }()
 	decoder := yaml.NewDecoder(file)
 	decoder.KnownFields(true)
-	var text flowText
-	if err := decoder.Decode(&text); err != nil {
+	var raw rawFlowConfig
+	if err := decoder.Decode(&raw); err != nil {
 		return FlowConfig{}, &Error{Op: op, Kind: KindFile, Err: err}
 	}
-	return text.check()
+	return raw.parse()
 }
 
-func (t flowText) check() (FlowConfig, error) {
+func (r rawFlowConfig) parse() (FlowConfig, error) {
 	config := FlowConfig{
-		Name: t.Name, AvailabilityZone: t.AvailabilityZone, Regions: t.Regions, FirstStart: t.FirstStart,
-		MemoryBytes: t.MemoryMegabytes << 20, LinkBytesPerSecond: int(t.LinkMegabits * bytesPerMegabit),
-		ColdOverage: valueOr(t.ColdOverage, 1), ColdAllowance: valueOr(t.ColdAllowance, 0),
+		Name: r.Name, AvailabilityZone: r.AvailabilityZone, Regions: r.Regions, Bootstrap: r.Bootstrap,
+		MemoryBytes: r.MemoryMegabytes << 20, LinkBytesPerSecond: int(r.LinkMegabits * bytesPerMegabit),
+		ColdBurstFactor: valueOr(r.ColdBurstFactor, 1), ColdBurstAllowance: valueOr(r.ColdBurstAllowance, 0),
 	}
 	switch {
-	case t.Name == "":
-		return FlowConfig{}, missing("name")
-	case t.AvailabilityZone == "":
-		return FlowConfig{}, missing("availabilityZone")
-	case t.MemoryMegabytes <= 0:
-		return FlowConfig{}, invalid("memoryMegabytes: %d is no size; write the megabytes that the process may take", t.MemoryMegabytes)
-	case t.LinkMegabits < 0:
-		return FlowConfig{}, invalid("linkMegabits: %g is no rate; write the megabits a second that the host's link carries each way", t.LinkMegabits)
-	case !(config.ColdOverage >= 1):
-		return FlowConfig{}, invalid("coldOverage: %g is below 1; write how many times its rate a cold target bears in one second", config.ColdOverage)
-	case !(config.ColdAllowance >= 0):
-		return FlowConfig{}, invalid("coldAllowance: %g is below 0; write how many new flows a cold target bears beyond its rate in one second", config.ColdAllowance)
-	case t.Forwarding != forwardingEcho:
-		return FlowConfig{}, invalid("forwarding: %q is not known; only %q is", t.Forwarding, forwardingEcho)
+	case r.Name == "":
+		return FlowConfig{}, missingError("name")
+	case r.AvailabilityZone == "":
+		return FlowConfig{}, missingError("availabilityZone")
+	case r.MemoryMegabytes <= 0:
+		return FlowConfig{}, invalidError("memoryMegabytes: %d is no size; write the megabytes that the process may take", r.MemoryMegabytes)
+	case r.LinkMegabits < 0:
+		return FlowConfig{}, invalidError("linkMegabits: %g is no rate; write the megabits a second that the host's link carries each way", r.LinkMegabits)
+	case !(config.ColdBurstFactor >= 1):
+		return FlowConfig{}, invalidError("coldOverage: %g is below 1; write how many times its rate a cold target bears in one second", config.ColdBurstFactor)
+	case !(config.ColdBurstAllowance >= 0):
+		return FlowConfig{}, invalidError("coldAllowance: %g is below 0; write how many new flows a cold target bears beyond its rate in one second", config.ColdBurstAllowance)
+	case r.Forwarding != forwardingEcho:
+		return FlowConfig{}, invalidError("forwarding: %q is not known; only %q is", r.Forwarding, forwardingEcho)
 	}
-	if t.AdvertisedAddress == "" {
-		t.AdvertisedAddress = t.Address
+	if r.AdvertisedAddress == "" {
+		r.AdvertisedAddress = r.Address
 	}
-	if t.EvacuatedWithin == "" {
-		t.EvacuatedWithin = t.SettingsWithin
+	if r.EvacuationPropagationLimit == "" {
+		r.EvacuationPropagationLimit = r.SettingsPropagationLimit
 	}
 	for _, a := range []struct {
 		key  string
 		text string
-		into *netip.AddrPort
+		dest *netip.AddrPort
 	}{
-		{"address", t.Address, &config.Address},
-		{"advertisedAddress", t.AdvertisedAddress, &config.AdvertisedAddress},
-		{"packetAddress", t.PacketAddress, &config.PacketAddress},
-		{"readyAddress", t.ReadyAddress, &config.ReadyAddress},
-		{"adminAddress", t.AdminAddress, &config.AdminAddress},
-		{"platform", t.Platform, &config.Platform},
+		{"address", r.Address, &config.Address},
+		{"advertisedAddress", r.AdvertisedAddress, &config.AdvertisedAddress},
+		{"packetAddress", r.PacketAddress, &config.PacketAddress},
+		{"readyAddress", r.ReadyAddress, &config.ReadyAddress},
+		{"adminAddress", r.AdminAddress, &config.AdminAddress},
+		{"platform", r.Platform, &config.Platform},
 	} {
 		address, err := parseAddress(a.key, a.text)
 		if err != nil {
 			return FlowConfig{}, err
 		}
-		*a.into = address
+		*a.dest = address
 	}
 	for _, d := range []struct {
 		key  string
 		text string
-		into *time.Duration
+		dest *time.Duration
 	}{
-		{"settingsWithin", t.SettingsWithin, &config.SettingsWithin},
-		{"drainingWithin", t.DrainingWithin, &config.DrainingWithin},
-		{"evacuatedWithin", t.EvacuatedWithin, &config.EvacuatedWithin},
+		{"settingsWithin", r.SettingsPropagationLimit, &config.SettingsPropagationLimit},
+		{"drainingWithin", r.DrainingPropagationLimit, &config.DrainingPropagationLimit},
+		{"evacuatedWithin", r.EvacuationPropagationLimit, &config.EvacuationPropagationLimit},
 	} {
-		within, err := time.ParseDuration(d.text)
-		if err != nil || within < minWithin || within > maxWithin {
-			return FlowConfig{}, invalid("%s: %q is no duration from %s to %s, such as 3s", d.key, d.text, minWithin, maxWithin)
+		limit, err := time.ParseDuration(d.text)
+		if err != nil || limit < minPropagationLimit || limit > maxPropagationLimit {
+			return FlowConfig{}, invalidError("%s: %q is no duration from %s to %s, such as 3s", d.key, d.text, minPropagationLimit, maxPropagationLimit)
 		}
-		*d.into = within
+		*d.dest = limit
 	}
-	for _, part := range strings.FieldsFunc(t.Seeds, func(c rune) bool { return c == ',' || c == ' ' }) {
+	for _, part := range strings.FieldsFunc(r.Seeds, func(c rune) bool { return c == ',' || c == ' ' }) {
 		address, err := parseAddress("seeds", part)
 		if err != nil {
 			return FlowConfig{}, err
 		}
 		config.Seeds = append(config.Seeds, address)
 	}
-	quotas, err := throttler.ParseQuotas(t.Quotas)
+	quotas, err := throttler.ParseQuotas(r.Quotas)
 	if err != nil {
-		return FlowConfig{}, invalid("%w", err)
+		return FlowConfig{}, invalidError("%w", err)
 	}
 	config.Quotas = quotas
-	for _, key := range t.PeerKeys {
+	for _, key := range r.PeerKeys {
 		config.PeerKeys = append(config.PeerKeys, resolver.Secret(key))
 	}
 	return config, nil
 }
 
 // valueOr returns what was written, or a default if nothing was.
-func valueOr(written *float64, otherwise float64) float64 {
-	if written == nil {
-		return otherwise
+func valueOr(value *float64, fallback float64) float64 {
+	if value == nil {
+		return fallback
 	}
-	return *written
+	return *value
 }
 
 func parseAddress(key, text string) (netip.AddrPort, error) {
 	if text == "" {
-		return netip.AddrPort{}, missing(key)
+		return netip.AddrPort{}, missingError(key)
 	}
 	address, err := netip.ParseAddrPort(text)
 	if err != nil {
-		return netip.AddrPort{}, invalid("%s: %q is no address and port such as 10.0.0.1:7000", key, text)
+		return netip.AddrPort{}, invalidError("%s: %q is no address and port such as 10.0.0.1:7000", key, text)
 	}
 	return address, nil
 }
 
-func invalid(format string, args ...any) error {
+func invalidError(format string, args ...any) error {
 	return &Error{Op: "check host settings", Kind: KindInvalid, Err: fmt.Errorf(format, args...)}
 }
--- a/balancer/internal/configurer/flows_test.go
+++ b/balancer/internal/configurer/flows_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const flowFile = `name: a1
+const validFlowFile = `name: a1
 availabilityZone: a
 address: 10.0.0.1:7000
 packetAddress: 10.0.0.1:7001
@@ -26,7 +26,7 @@
 drainingWithin: 3s
 `
 
-func readFlows(t *testing.T, text string) (FlowConfig, error) {
+func readFlowText(t *testing.T, text string) (FlowConfig, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "host.yaml")
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
@@ -34,18 +34,18 @@
 }
 
 func TestReadFlowFile(t *testing.T) {
-	config, err := readFlows(t, flowFile)
+	config, err := readFlowText(t, validFlowFile)
 	require.NoError(t, err)
 	require.Equal(t, config.Address, config.AdvertisedAddress, "as long as nothing translates it")
 	require.Len(t, config.Seeds, 2)
-	require.Equal(t, 3*time.Second, config.SettingsWithin)
+	require.Equal(t, 3*time.Second, config.SettingsPropagationLimit)
 	require.Equal(t, int64(128<<20), config.MemoryBytes)
 	require.False(t, config.Differs(config.WithSeeds(config.Seeds)))
 	require.True(t, config.Differs(config.WithSeeds(nil)))
 }
 
-func TestReadFlowFileSaysWhatIsWrong(t *testing.T) {
-	for _, fault := range []struct{ old, changed, says string }{
+func TestReadFlowFileErrors(t *testing.T) {
+	for _, test := range []struct{ old, replacement, wantErr string }{
 		{"name: a1\n", "", "name is missing"},
 		{"availabilityZone: a\n", "", "availabilityZone is missing"},
 		{"10.0.0.1:7001", "here", `packetAddress: "here" is no address and port`},
@@ -58,13 +58,13 @@
 		{"name: a1", "name: a1\nquotas:\n- {prefix: here, requestsPerSecond: 1}", `quotas[0]: prefix: "here" is no prefix`},
 		{"name: a1", "name: a1\nquotas:\n- {route: read}", "requestsPerSecond: 0 is no rate above 0"},
 	} {
-		_, err := readFlows(t, strings.Replace(flowFile, fault.old, fault.changed, 1))
-		require.ErrorContains(t, err, fault.says)
+		_, err := readFlowText(t, strings.Replace(validFlowFile, test.old, test.replacement, 1))
+		require.ErrorContains(t, err, test.wantErr)
 	}
 }
 
-func TestReadFlowFileTakesQuotas(t *testing.T) {
-	config, err := readFlows(t, flowFile+"quotas:\n- prefix: 203.0.113.0/24\n  requestsPerSecond: 50\n- route: read\n  requestsPerSecond: 200\n")
+func TestReadFlowFileQuotas(t *testing.T) {
+	config, err := readFlowText(t, validFlowFile+"quotas:\n- prefix: 203.0.113.0/24\n  requestsPerSecond: 50\n- route: read\n  requestsPerSecond: 200\n")
 	require.NoError(t, err)
 	require.Equal(t, []throttler.Quota{
 		{Prefix: netip.MustParsePrefix("203.0.113.0/24"), PerSecond: 50},
--- a/balancer/internal/exporter/exporter.go
+++ b/balancer/internal/exporter/exporter.go
@@ -39,29 +39,29 @@
 func (e *Error) Unwrap() error { return e.Err }
 
 const (
-	readTimeout = 5 * time.Second
-	// shortestBucket, bucketGrowth and buckets span the latencies that matter to
+	readHeaderTimeout = 5 * time.Second
+	// smallestBucket, bucketGrowth and buckets span the latencies that matter to
 	// callers, from a quarter of a millisecond to half a minute.
-	shortestBucket = 250 * time.Microsecond
+	smallestBucket = 250 * time.Microsecond
 	bucketGrowth   = 2
-	buckets        = 18
+	bucketCount    = 18
 )
 
 // Exporter owns the admin address and the metrics of a host.
 type Exporter struct {
 	Scope tally.Scope
 	// Mux takes further handlers before Run.
-	Mux        *http.ServeMux
-	flushEvery time.Duration
-	listener   net.Listener
-	closer     func() error
-	buckets    tally.Buckets
-	last       map[string]uint64
+	Mux           *http.ServeMux
+	flushInterval time.Duration
+	listener      net.Listener
+	closeScope    func() error
+	buckets       tally.Buckets
+	lastValues    map[string]uint64
 }
 
-// New listens on the admin address. flushEvery is the age that a figure may have
+// New listens on the admin address. flushInterval is the age that a figure may have
 // when it is read.
-func New(admin netip.AddrPort, host string, flushEvery time.Duration) (*Exporter, error) {
+func New(admin netip.AddrPort, host string, flushInterval time.Duration) (*Exporter, error) {
 	listener, err := net.Listen("tcp", admin.String())
 	if err != nil {
 		return nil, &Error{Op: "listen for admin", Kind: KindListen, Err: err}
@@ -75,62 +75,62 @@
 		// The library's metrics about itself have names that scrapers refuse.
 		OmitCardinalityMetrics: true,
 		SanitizeOptions:        &prometheus.DefaultSanitizerOpts,
-	}, flushEvery)
+	}, flushInterval)
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", metrics.HTTPHandler())
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprintln(w, "ok") })
 	return &Exporter{
-		Scope:      scope,
-		Mux:        mux,
-		flushEvery: flushEvery,
-		listener:   listener,
-		closer:     closer.Close,
-		buckets:    tally.MustMakeExponentialDurationBuckets(shortestBucket, bucketGrowth, buckets),
-		last:       map[string]uint64{},
+		Scope:         scope,
+		Mux:           mux,
+		flushInterval: flushInterval,
+		listener:      listener,
+		closeScope:    closer.Close,
+		buckets:       tally.MustMakeExponentialDurationBuckets(smallestBucket, bucketGrowth, bucketCount),
+		lastValues:    map[string]uint64{},
 	}, nil
 }
 
 // Run serves, and calls collect before each flush, until the context ends. Server
 // and collector report their ends on the returned channel, which gets two values.
 func (e *Exporter) Run(ctx context.Context, collect func(ctx context.Context)) <-chan error {
-	ends := make(chan error, 2)
-	server := &http.Server{Handler: e.Mux, ReadHeaderTimeout: readTimeout}
+	done := make(chan error, 2)
+	server := &http.Server{Handler: e.Mux, ReadHeaderTimeout: readHeaderTimeout}
 	context.AfterFunc(ctx, func() { _ = server.Close() })
 	go func() {
 		err := server.Serve(e.listener)
 		if errors.Is(err, http.ErrServerClosed) {
-			ends <- nil
+			done <- nil
 			return
 		}
-		ends <- &Error{Op: "serve admin", Kind: KindServe, Err: err}
+		done <- &Error{Op: "serve admin", Kind: KindServe, Err: err}
 	}()
-	go func() { ends <- e.collect(ctx, collect) }()
-	return ends
+	go func() { done <- e.collect(ctx, collect) }()
+	return done
 }
 
 func (e *Exporter) collect(ctx context.Context, collect func(ctx context.Context)) error {
-	ticker := time.NewTicker(e.flushEvery)
+	ticker := time.NewTicker(e.flushInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			return e.closer()
+			return e.closeScope()
 		case <-ticker.C:
 			collect(ctx)
 		}
 	}
 }
 
-// Count brings a counter to a value that only grows. A counter is shown from the
+// SetCounter brings a counter to a value that only grows. A counter is shown from the
 // first call on, also while it is zero: whoever watches it has to see that it is
 // there.
-func (e *Exporter) Count(name, reason string, value uint64) {
+func (e *Exporter) SetCounter(name, reason string, value uint64) {
 	key := name + "/" + reason
-	if last, shown := e.last[key]; shown && value == last {
+	if last, exists := e.lastValues[key]; exists && value == last {
 		return
 	}
-	e.Scope.Tagged(map[string]string{"reason": reason}).Counter(name).Inc(int64(value - e.last[key]))
-	e.last[key] = value
+	e.Scope.Tagged(map[string]string{"reason": reason}).Counter(name).Inc(int64(value - e.lastValues[key]))
+	e.lastValues[key] = value
 }
 
 // Histogram returns a histogram of latencies with tags.
@@ -138,8 +138,8 @@
 	return e.Scope.Tagged(tags).Histogram(name, e.buckets)
 }
 
-// OneIf is 1 if a condition holds and 0 otherwise.
-func OneIf(condition bool) float64 {
+// BoolToFloat is 1 if a condition holds and 0 otherwise.
+func BoolToFloat(condition bool) float64 {
 	if condition {
 		return 1
 	}
--- a/balancer/internal/exporter/exporter_test.go
+++ b/balancer/internal/exporter/exporter_test.go
@@ -15,12 +15,12 @@
 // Symptom: an alarm on a counter never fires, or fires for a host that is well.
 // Sequence: nothing was counted yet. Cause: counters that appear with their first
 // event only.
-func TestCountersAreShownWhileZero(t *testing.T) {
+func TestZeroCountersAreExported(t *testing.T) {
 	e, err := New(netip.MustParseAddrPort("127.0.0.1:0"), "a1", 20*time.Millisecond)
 	require.NoError(t, err)
 	e.Histogram("answer_latency", map[string]string{"route": "r"}).RecordDuration(time.Millisecond)
 	ctx, cancel := context.WithCancel(context.Background())
-	ends := e.Run(ctx, func(context.Context) { e.Count("decisions", "flowReset", 0) })
+	done := e.Run(ctx, func(context.Context) { e.SetCounter("decisions", "flowReset", 0) })
 	require.Eventually(t, func() bool {
 		response, err := http.Get("http://" + e.listener.Addr().String() + "/metrics")
 		if err != nil {
@@ -32,6 +32,6 @@
 			strings.Contains(string(text), "cranberryspan_answer_latency_bucket")
 	}, 10*time.Second, 20*time.Millisecond)
 	cancel()
-	require.NoError(t, <-ends)
-	require.NoError(t, <-ends)
+	require.NoError(t, <-done)
+	require.NoError(t, <-done)
 }
--- a/balancer/internal/fetcher/fetcher.go
+++ b/balancer/internal/fetcher/fetcher.go
@@ -12,41 +12,41 @@
 	"cranberryspan.dev/core/timekeeper"
 )
 
-// Platform is what a host asks of its platform.
-type Platform interface {
+// PlatformClient is what a host asks of its platform.
+type PlatformClient interface {
 	ReadSettings(ctx context.Context, options steerer.ReadOptions) (steerer.Published, error)
 	ReadTargets(ctx context.Context, options steerer.ReadOptions) (steerer.TargetList, error)
-	Check(ctx context.Context, target string, address netip.AddrPort, path string, patience time.Duration) steerer.ProbeOutcome
+	Check(ctx context.Context, target string, address netip.AddrPort, path string, timeout time.Duration) steerer.ProbeOutcome
 }
 
 // Fetcher runs calls. Its caller bounds how many are under way: the steerer has
 // one read of each kind and one check of each target at a time.
 type Fetcher struct {
-	platform Platform
+	platform PlatformClient
 	clock    func() timekeeper.Instant
 	events   chan<- steerer.Event
-	calls    sync.WaitGroup
+	inFlight sync.WaitGroup
 }
 
 // New makes a Fetcher.
-func New(platform Platform, clock func() timekeeper.Instant, events chan<- steerer.Event) *Fetcher {
+func New(platform PlatformClient, clock func() timekeeper.Instant, events chan<- steerer.Event) *Fetcher {
 	return &Fetcher{platform: platform, clock: clock, events: events}
 }
 
-// Replace makes later calls go to another platform. It may not be called while
+// SetPlatform makes later calls go to another platform. It may not be called while
 // another goroutine starts calls.
-func (f *Fetcher) Replace(platform Platform) { f.platform = platform }
+func (f *Fetcher) SetPlatform(platform PlatformClient) { f.platform = platform }
 
 // Run reports on the returned channel when the context has ended and every call
 // has returned.
 func (f *Fetcher) Run(ctx context.Context) <-chan error {
-	end := make(chan error, 1)
+	done := make(chan error, 1)
 	go func() {
 		<-ctx.Done()
-		f.calls.Wait()
-		end <- nil
+		f.inFlight.Wait()
+		done <- nil
 	}()
-	return end
+	return done
 }
 
 // ReadSettings starts a read of what operators have published.
@@ -77,10 +77,10 @@
 }
 
 func (f *Fetcher) start(ctx context.Context, call func(started timekeeper.Instant) steerer.Event) {
-	f.calls.Add(1)
+	f.inFlight.Add(1)
 	started := f.clock()
 	go func() {
-		defer f.calls.Done()
+		defer f.inFlight.Done()
 		event := call(started)
 		select {
 		case f.events <- event:
--- a/balancer/internal/flowrunner/flowrunner.go
+++ b/balancer/internal/flowrunner/flowrunner.go
@@ -32,63 +32,63 @@
 )
 
 const (
-	// eventQueue bounds the events that wait for the steerer: about a tenth of a
+	// eventQueueSize bounds the events that wait for the steerer: about a tenth of a
 	// second of packets at the highest rate that a host can pass on.
-	eventQueue = 4096
-	// flowBytes is what a remembered flow takes in memory, with its place in the
+	eventQueueSize = 4096
+	// bytesPerFlow is what a remembered flow takes in memory, with its place in the
 	// map, rounded up: 381 bytes with 50,000 flows (TestFlowsTakeLittleMemory).
-	flowBytes = 512
-	// flowShare is the part of a host's memory that flows may take.
-	flowShare = 0.25
+	bytesPerFlow = 512
+	// flowMemoryFraction is the part of a host's memory that flows may take.
+	flowMemoryFraction = 0.25
 )
 
-// Platform is the host's way to its platform.
-type Platform struct {
-	// NewCalls makes a client of the platform at an address, which reads over
+// PlatformAdapter is the host's way to its platform.
+type PlatformAdapter struct {
+	// NewClient makes a client of the platform at an address, which reads over
 	// connections that dial opens.
-	NewCalls func(address netip.AddrPort, dial Dial) fetcher.Platform
-	Codec    forwarder.Codec
+	NewClient func(address netip.AddrPort, dial DialFunc) fetcher.PlatformClient
+	Codec     forwarder.Codec
 	// MaxDatagramBytes is the size of the largest datagram of Codec.
 	MaxDatagramBytes int
 	// DecodeSettings reads settings as they were published.
-	DecodeSettings exchanger.Decoder
+	DecodeSettings exchanger.SettingsDecoder
 	// ReadyPath is where the fabric asks whether the host takes packets.
 	ReadyPath string
 }
 
-// Dial opens a connection.
-type Dial func(ctx context.Context, network, address string) (net.Conn, error)
+// DialFunc opens a connection.
+type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
 // Runner is one host's daemon.
 type Runner struct {
 	// path is where the settings file lies.
 	path      string
 	config    configurer.FlowConfig
-	platform  Platform
+	platform  PlatformAdapter
 	log       *logger.Logger
-	start     time.Time
+	startTime time.Time
 	steerer   *steerer.Steerer
 	events    chan steerer.Event
 	inspector inspector.Inspector[*steerer.Steerer]
 
-	meterer *meterer.Meterer
-	// bulk is what the meterer had counted at the last tick.
-	bulk      bulk
-	forwarder *forwarder.Forwarder
-	gossiper  *gossiper.Gossiper
-	exchanger *exchanger.Exchanger
-	fetcher   *fetcher.Fetcher
-	readier   *readier.Readier
-	reloader  *reloader.Reloader
-	metrics   metrics
-	transport map[string]func() uint64
-	ready     bool
+	meter *meterer.Meter
+	// transferTotals is what the meterer had counted at the last tick.
+	lastTransferTotals      transferTotals
+	forwarder               *forwarder.Forwarder
+	gossiper                *gossiper.Gossiper
+	exchanger               *exchanger.Exchanger
+	fetcher                 *fetcher.Fetcher
+	readier                 *readier.Server
+	reloader                *reloader.Reloader
+	metrics                 metrics
+	transportCounterReaders map[string]func() uint64
+	ready                   bool
 }
 
 // New opens the host's sockets. The settings in config were read from path.
-func New(path string, config configurer.FlowConfig, platform Platform, log *logger.Logger) (*Runner, error) {
-	r := &Runner{path: path, config: config, platform: platform, log: log, start: time.Now(), events: make(chan steerer.Event, eventQueue), meterer: meterer.New(), inspector: inspector.New[*steerer.Steerer]()}
-	incarnation := uint64(r.start.UnixMilli())
+func New(path string, config configurer.FlowConfig, platform PlatformAdapter, log *logger.Logger) (*Runner, error) {
+	r := &Runner{path: path, config: config, platform: platform, log: log, startTime: time.Now(), events: make(chan steerer.Event, eventQueueSize), meter: meterer.New(), inspector: inspector.New[*steerer.Steerer]()}
+	incarnation := uint64(r.startTime.UnixMilli())
 	r.steerer = steerer.New(steerer.Config{
 		Self:                       config.Name,
 		Address:                    config.AdvertisedAddress,
@@ -96,15 +96,15 @@
 		Seeds:                      config.Seeds,
 		Incarnation:                incarnation,
 		Seed:                       incarnation,
-		Bootstrap:                  config.FirstStart,
-		SettingsPropagationLimit:   config.SettingsWithin,
-		DrainingPropagationLimit:   config.DrainingWithin,
-		EvacuationPropagationLimit: config.EvacuatedWithin,
+		Bootstrap:                  config.Bootstrap,
+		SettingsPropagationLimit:   config.SettingsPropagationLimit,
+		DrainingPropagationLimit:   config.DrainingPropagationLimit,
+		EvacuationPropagationLimit: config.EvacuationPropagationLimit,
 		Regions:                    config.Regions,
-		ColdBurstFactor:            config.ColdOverage,
-		ColdBurstAllowance:         config.ColdAllowance,
+		ColdBurstFactor:            config.ColdBurstFactor,
+		ColdBurstAllowance:         config.ColdBurstAllowance,
 		Quotas:                     config.Quotas,
-		MaxFlows:                   int(float64(config.MemoryBytes) * flowShare / flowBytes),
+		MaxFlows:                   int(float64(config.MemoryBytes) * flowMemoryFraction / bytesPerFlow),
 		LinkBytesPerSecond:         config.LinkBytesPerSecond,
 		Start:                      r.now(),
 	})
@@ -116,21 +116,21 @@
 	if r.gossiper, err = gossiper.New(config.Address, sealer, r.events); err != nil {
 		return nil, errors.Wrap(err, "start")
 	}
-	if r.exchanger, err = exchanger.New(config.Address, config.LinkBytesPerSecond, sealer, platform.DecodeSettings, r.knowledge, r.meterer, r.events); err != nil {
+	if r.exchanger, err = exchanger.New(config.Address, config.LinkBytesPerSecond, sealer, platform.DecodeSettings, r.handleSyncRequest, r.meter, r.events); err != nil {
 		return nil, errors.Wrap(err, "start")
 	}
 	if r.readier, err = readier.New(config.ReadyAddress, platform.ReadyPath); err != nil {
 		return nil, errors.Wrap(err, "start")
 	}
-	r.fetcher = fetcher.New(platform.NewCalls(config.Platform, r.meterer.Dial), r.now, r.events)
+	r.fetcher = fetcher.New(platform.NewClient(config.Platform, r.meter.Dial), r.now, r.events)
 	r.reloader = reloader.New(path)
-	if r.metrics.exporter, err = exporter.New(config.AdminAddress, config.Name, flushEvery); err != nil {
+	if r.metrics.exporter, err = exporter.New(config.AdminAddress, config.Name, flushInterval); err != nil {
 		return nil, errors.Wrap(err, "start")
 	}
 	r.metrics.exporter.Mux.HandleFunc("GET /targets", serveState(r, (*steerer.Steerer).TargetStatuses))
 	r.metrics.exporter.Mux.HandleFunc("GET /knowledge", serveState(r, (*steerer.Steerer).SyncStatus))
-	r.metrics.latencies = map[string]tally.Histogram{}
-	r.transport = r.transportCounters()
+	r.metrics.latencyHistograms = map[string]tally.Histogram{}
+	r.transportCounterReaders = r.transportCounters()
 	return r, nil
 }
 
@@ -141,13 +141,13 @@
 func (r *Runner) now() timekeeper.Instant {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		return timekeeper.Instant(time.Since(r.start) + time.Second) // A kernel without that clock.
+		return timekeeper.Instant(time.Since(r.startTime) + time.Second) // A kernel without that clock.
 	}
 	return timekeeper.Instant(t.Nano()) + timekeeper.Instant(time.Second)
 }
 
-// knowledge answers another host's question.
-func (r *Runner) knowledge(ctx context.Context, request *messenger.SyncRequest) (*messenger.SyncResponse, error) {
+// handleSyncRequest answers another host's question.
+func (r *Runner) handleSyncRequest(ctx context.Context, request *messenger.SyncRequest) (*messenger.SyncResponse, error) {
 	var knowledge *messenger.SyncResponse
 	err := r.inspector.Inspect(ctx, func(s *steerer.Steerer) { knowledge = s.SyncResponse(request) })
 	return knowledge, err
@@ -155,28 +155,28 @@
 
 // Run serves until leave ends and the host has left, or until ctx ends, which
 // ends it at once.
-func (r *Runner) Run(ctx context.Context, leave <-chan struct{}) error {
-	parts, stop := context.WithCancel(ctx)
+func (r *Runner) Run(ctx context.Context, shutdown <-chan struct{}) error {
+	componentCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	ends := gatherer.New(
-		gatherer.Part{Ends: r.forwarder.Run(parts), Count: 1},
-		gatherer.Part{Ends: r.gossiper.Run(parts), Count: 1},
-		gatherer.Part{Ends: r.exchanger.Run(parts), Count: 1},
-		gatherer.Part{Ends: r.fetcher.Run(parts), Count: 1},
-		gatherer.Part{Ends: r.readier.Run(parts), Count: 1},
-		gatherer.Part{Ends: r.reloader.Run(parts), Count: 1},
-		gatherer.Part{Ends: r.metrics.exporter.Run(parts, r.collect), Count: 2},
+	components := gatherer.New(
+		gatherer.Component{Results: r.forwarder.Run(componentCtx), ResultCount: 1},
+		gatherer.Component{Results: r.gossiper.Run(componentCtx), ResultCount: 1},
+		gatherer.Component{Results: r.exchanger.Run(componentCtx), ResultCount: 1},
+		gatherer.Component{Results: r.fetcher.Run(componentCtx), ResultCount: 1},
+		gatherer.Component{Results: r.readier.Run(componentCtx), ResultCount: 1},
+		gatherer.Component{Results: r.reloader.Run(componentCtx), ResultCount: 1},
+		gatherer.Component{Results: r.metrics.exporter.Run(componentCtx, r.collect), ResultCount: 2},
 	)
 	r.log.Write("hostStarted", zap.String("host", r.config.Name), zap.String("zone", r.config.AvailabilityZone))
-	err := r.loop(parts, leave, ends.First())
+	err := r.loop(componentCtx, shutdown, components.FirstError())
 	stop()
-	ends.Wait()
+	components.Wait()
 	r.log.Write("hostEnded", zap.String("host", r.config.Name), zap.Error(err))
 	return err
 }
 
 // loop is the only place that touches the steerer.
-func (r *Runner) loop(ctx context.Context, leave <-chan struct{}, failed <-chan error) error {
+func (r *Runner) loop(ctx context.Context, shutdown <-chan struct{}, componentErrors <-chan error) error {
 	ticker := time.NewTicker(steerer.TickInterval)
 	defer ticker.Stop()
 	if r.handle(ctx, &steerer.Tick{}) { // The first reads need not wait for the ticker.
@@ -187,19 +187,19 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case err := <-failed:
+		case err := <-componentErrors:
 			return err
-		case <-leave:
-			leave = nil
+		case <-shutdown:
+			shutdown = nil
 			event = &steerer.Shutdown{}
 		case <-ticker.C:
-			event = r.tick()
+			event = r.newTickEvent()
 		case cause := <-r.reloader.Changed():
 			if event = r.reload(cause); event == nil {
 				continue
 			}
-		case look := <-r.inspector.Looks():
-			look.Run(r.steerer)
+		case inspection := <-r.inspector.Requests():
+			inspection.Run(r.steerer)
 			continue
 		case event = <-r.events:
 		}
@@ -209,45 +209,45 @@
 	}
 }
 
-// bulk is how many bytes have gone over connections that are not flows.
-type bulk struct{ received, sent uint64 }
+// transferTotals is how many bytes have gone over connections that are not flows.
+type transferTotals struct{ received, sent uint64 }
 
-// tick makes a Tick event.
-func (r *Runner) tick() *steerer.Tick {
-	var now bulk
-	now.received, now.sent = r.meterer.Totals()
+// newTickEvent makes a Tick event.
+func (r *Runner) newTickEvent() *steerer.Tick {
+	var now transferTotals
+	now.received, now.sent = r.meter.Totals()
 	event := &steerer.Tick{
-		TransfersReceived: int(now.received - r.bulk.received),
-		TransfersSent:     int(now.sent - r.bulk.sent),
+		TransfersReceived: int(now.received - r.lastTransferTotals.received),
+		TransfersSent:     int(now.sent - r.lastTransferTotals.sent),
 	}
-	r.bulk = now
+	r.lastTransferTotals = now
 	return event
 }
 
 // handle takes in one event and reports whether the host has left.
 func (r *Runner) handle(ctx context.Context, event steerer.Event) bool {
 	steerer.SetTime(event, r.now())
-	ended := r.carryOut(ctx, r.steerer.Reduce(event))
+	ended := r.executeEffects(ctx, r.steerer.Reduce(event))
 	if packet, ok := event.(*steerer.CallerPacket); ok {
 		r.forwarder.Release(packet)
 		return ended
 	}
 	if ready := r.steerer.Ready(); ready != r.ready {
 		r.ready = ready
-		r.readier.Set(ready)
-		r.log.Write("readyChanged", zap.Bool("ready", ready), zap.Int64("sinceStartMillis", time.Since(r.start).Milliseconds()))
+		r.readier.SetReady(ready)
+		r.log.Write("readyChanged", zap.Bool("ready", ready), zap.Int64("sinceStartMillis", time.Since(r.startTime).Milliseconds()))
 	}
 	return ended
 }
 
-func (r *Runner) carryOut(ctx context.Context, effects []steerer.Effect) bool {
+func (r *Runner) executeEffects(ctx context.Context, effects []steerer.Effect) bool {
 	ended := false
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case *steerer.ForwardPacket:
-			r.forwarder.ToTarget(e)
+			r.forwarder.SendToTarget(e)
 		case *steerer.ResetFlow:
-			r.forwarder.Reset(e)
+			r.forwarder.SendReset(e)
 		case *steerer.ReadSettings:
 			r.fetcher.ReadSettings(ctx, e)
 		case *steerer.ReadTargets:
@@ -257,9 +257,9 @@
 		case *steerer.SendReport:
 			r.gossiper.Send(e)
 		case *steerer.SendSyncRequest:
-			r.exchanger.Ask(ctx, e)
+			r.exchanger.Request(ctx, e)
 		case *steerer.ObserveLatency:
-			r.metrics.answered(e)
+			r.metrics.recordLatency(e)
 		case *steerer.WriteLog:
 			if r.log.Allow() {
 				r.log.Write(e.Event, logger.Fields(e.Line)...)
--- a/balancer/internal/flowrunner/metrics.go
+++ b/balancer/internal/flowrunner/metrics.go
@@ -10,34 +10,34 @@
 )
 
 const (
-	// flushEvery is the age that a figure may have when it is read. Operators
+	// flushInterval is the age that a figure may have when it is read. Operators
 	// read every 5 s.
-	flushEvery = 2 * time.Second
-	// maxRoutes bounds the histograms, of which a fleet may have thousands of
+	flushInterval = 2 * time.Second
+	// maxRouteHistograms bounds the histograms, of which a fleet may have thousands of
 	// routes; those beyond the bound share one.
-	maxRoutes = 64
-	// otherRoutes names the histogram of the routes beyond maxRoutes.
-	otherRoutes = "other"
+	maxRouteHistograms = 64
+	// otherRoutesLabel names the histogram of the routes beyond maxRouteHistograms.
+	otherRoutesLabel = "other"
 )
 
 // metrics keeps a host's figures for operators.
 type metrics struct {
-	exporter  *exporter.Exporter
-	latencies map[string]tally.Histogram
+	exporter          *exporter.Exporter
+	latencyHistograms map[string]tally.Histogram
 }
 
-// answered records how long a request took until its caller acknowledged the
+// recordLatency records how long a request took until its caller acknowledged the
 // answer's first bytes, as seen from this host.
-func (m *metrics) answered(e *steerer.ObserveLatency) {
+func (m *metrics) recordLatency(e *steerer.ObserveLatency) {
 	name := e.Route.Name
-	histogram, ok := m.latencies[name]
-	if !ok && len(m.latencies) >= maxRoutes {
-		name = otherRoutes
-		histogram, ok = m.latencies[name]
+	histogram, ok := m.latencyHistograms[name]
+	if !ok && len(m.latencyHistograms) >= maxRouteHistograms {
+		name = otherRoutesLabel
+		histogram, ok = m.latencyHistograms[name]
 	}
 	if !ok {
 		histogram = m.exporter.Histogram("answer_latency", map[string]string{"route": name, "kind": e.Route.Kind.String()})
-		m.latencies[name] = histogram
+		m.latencyHistograms[name] = histogram
 	}
 	histogram.RecordDuration(e.Latency)
 }
@@ -49,9 +49,9 @@
 		return // The host is about to end.
 	}
 	e := r.metrics.exporter
-	snapshot.Counters.Each(func(name string, value uint64) { e.Count("decisions", name, value) })
-	for name, read := range r.transport {
-		e.Count("transport", name, read())
+	snapshot.Counters.Each(func(name string, value uint64) { e.SetCounter("decisions", name, value) })
+	for name, read := range r.transportCounterReaders {
+		e.SetCounter("transport", name, read())
 	}
 	e.Scope.Gauge("flows").Update(float64(snapshot.Flows))
 	e.Scope.Gauge("targets").Update(float64(snapshot.Targets))
@@ -73,22 +73,22 @@
 	e.Scope.Gauge("fullest_service_demand_slots").Update(snapshot.Demand)
 	e.Scope.Gauge("connections").Update(float64(snapshot.Connections))
 	e.Scope.Gauge("connection_places").Update(float64(snapshot.ConnectionCapacity))
-	e.Scope.Gauge("ready").Update(exporter.OneIf(snapshot.Ready))
+	e.Scope.Gauge("ready").Update(exporter.BoolToFloat(snapshot.Ready))
 }
 
 // transportCounters lists what the parts count, by name.
 func (r *Runner) transportCounters() map[string]func() uint64 {
 	return map[string]func() uint64{
-		"packets":               r.forwarder.Counters.Packets.Load,
+		"packets":               r.forwarder.Counters.Received.Load,
 		"packetMalformed":       r.forwarder.Counters.Malformed.Load,
 		"packetOverflow":        r.forwarder.Counters.Overflow.Load,
 		"packetSendFailed":      r.forwarder.Counters.SendFailed.Load,
 		"reportUnreadable":      r.gossiper.Counters.Unreadable.Load,
 		"reportSendFailed":      r.gossiper.Counters.SendFailed.Load,
 		"reportBytes":           r.gossiper.Counters.SentBytes.Load,
-		"questionsRefused":      r.exchanger.Refused.Load,
-		"transferReceivedBytes": func() uint64 { received, _ := r.meterer.Totals(); return received },
-		"transferSentBytes":     func() uint64 { _, sent := r.meterer.Totals(); return sent },
-		"logLinesLeftOut":       r.log.LeftOut,
+		"questionsRefused":      r.exchanger.Rejected.Load,
+		"transferReceivedBytes": func() uint64 { received, _ := r.meter.Totals(); return received },
+		"transferSentBytes":     func() uint64 { _, sent := r.meter.Totals(); return sent },
+		"logLinesLeftOut":       r.log.Dropped,
 	}
 }
--- a/balancer/internal/flowrunner/reload.go
+++ b/balancer/internal/flowrunner/reload.go
@@ -18,7 +18,7 @@
 	r.log.Write("reloaded", zap.String("cause", cause), zap.Int("seeds", len(config.Seeds)),
 		zap.Stringer("platform", config.Platform), zap.Bool("restartNeeded", needsRestart))
 	if config.Platform != r.config.Platform {
-		r.fetcher.Replace(r.platform.NewCalls(config.Platform, r.meterer.Dial))
+		r.fetcher.SetPlatform(r.platform.NewClient(config.Platform, r.meter.Dial))
 	}
 	r.config = r.config.WithSeeds(config.Seeds).WithPlatform(config.Platform)
 	return &steerer.SeedsChanged{Seeds: config.Seeds}
--- a/balancer/internal/flowrunner/state.go
+++ b/balancer/internal/flowrunner/state.go
@@ -9,10 +9,10 @@
 )
 
 // serveState answers operators with a part of the host's state, as JSON.
-func serveState[T any](r *Runner, look func(*steerer.Steerer) T) http.HandlerFunc {
+func serveState[T any](r *Runner, read func(*steerer.Steerer) T) http.HandlerFunc {
 	return func(w http.ResponseWriter, request *http.Request) {
 		var state T
-		if err := r.inspector.Inspect(request.Context(), func(s *steerer.Steerer) { state = look(s) }); err != nil {
+		if err := r.inspector.Inspect(request.Context(), func(s *steerer.Steerer) { state = read(s) }); err != nil {
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 			return
 		}
--- a/balancer/internal/flowrunner/state_test.go
+++ b/balancer/internal/flowrunner/state_test.go
@@ -12,17 +12,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestTargetsAreServedBetweenTwoEvents(t *testing.T) {
+func TestServeStateReadsBetweenEvents(t *testing.T) {
 	r := &Runner{inspector: inspector.New[*steerer.Steerer](), log: logger.New(io.Discard)}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		look := <-r.inspector.Looks()
-		look.Run(steerer.New(steerer.Config{}))
+		inspection := <-r.inspector.Requests()
+		inspection.Run(steerer.New(steerer.Config{}))
 	}()
-	answer := httptest.NewRecorder()
-	serveState(r, (*steerer.Steerer).TargetStatuses)(answer, httptest.NewRequest(http.MethodGet, "/targets", nil))
+	recorder := httptest.NewRecorder()
+	serveState(r, (*steerer.Steerer).TargetStatuses)(recorder, httptest.NewRequest(http.MethodGet, "/targets", nil))
 	<-done
-	require.Equal(t, http.StatusOK, answer.Code)
-	require.JSONEq(t, "[]", answer.Body.String())
+	require.Equal(t, http.StatusOK, recorder.Code)
+	require.JSONEq(t, "[]", recorder.Body.String())
 }
--- a/balancer/internal/forwarder/forwarder.go
+++ b/balancer/internal/forwarder/forwarder.go
@@ -47,18 +47,18 @@
 	Malformed  atomic.Uint64
 	Overflow   atomic.Uint64
 	SendFailed atomic.Uint64
-	Packets    atomic.Uint64
+	Received   atomic.Uint64
 }
 
 // Forwarder owns the socket for packets.
 type Forwarder struct {
-	conn     *net.UDPConn
-	codec    Codec
-	events   chan<- steerer.Event
-	buffers  sync.Pool
-	out      []byte
-	port     uint16
-	Counters Counters
+	conn       *net.UDPConn
+	codec      Codec
+	events     chan<- steerer.Event
+	buffers    sync.Pool
+	sendBuffer []byte
+	port       uint16
+	Counters   Counters
 }
 
 // New opens the socket. Packets become events; maxBytes is the size of the
@@ -71,27 +71,27 @@
 	// A larger buffer than the kernel allows is cut by the kernel.
 	_ = conn.SetReadBuffer(socketBufferBytes)
 	f := &Forwarder{conn: conn, codec: codec, events: events, port: address.Port()}
-	f.buffers.New = func() any { return &delivery{buffer: make([]byte, maxBytes)} }
+	f.buffers.New = func() any { return &pooledPacket{buffer: make([]byte, maxBytes)} }
 	return f, nil
 }
 
-// delivery is a packet on its way through the host, with its memory.
-type delivery struct {
+// pooledPacket is a packet on its way through the host, with its memory.
+type pooledPacket struct {
 	event  steerer.CallerPacket
 	buffer []byte
 }
 
 // Run reads packets until the context ends, and reports its end.
 func (f *Forwarder) Run(ctx context.Context) <-chan error {
-	end := make(chan error, 1)
+	done := make(chan error, 1)
 	context.AfterFunc(ctx, func() { _ = f.conn.Close() })
-	go func() { end <- f.read(ctx) }()
-	return end
+	go func() { done <- f.read(ctx) }()
+	return done
 }
 
 func (f *Forwarder) read(ctx context.Context) error {
 	for {
-		d := f.buffers.Get().(*delivery)
+		d := f.buffers.Get().(*pooledPacket)
 		n, _, err := f.conn.ReadFromUDPAddrPort(d.buffer)
 		if ctx.Err() != nil {
 			return nil
@@ -99,7 +99,7 @@
 		if err != nil {
 			return &Error{Op: "read packet", Kind: KindSocket, Err: err}
 		}
-		f.Counters.Packets.Add(1)
+		f.Counters.Received.Add(1)
 		packet, err := f.codec.Decode(d.buffer[:n])
 		if err != nil {
 			f.Counters.Malformed.Add(1)
@@ -120,24 +120,24 @@
 
 // Release takes back the memory of a packet whose effects are carried out.
 func (f *Forwarder) Release(event *steerer.CallerPacket) {
-	f.buffers.Put(&delivery{buffer: event.Packet.Data[:cap(event.Packet.Data)]})
+	f.buffers.Put(&pooledPacket{buffer: event.Packet.Data[:cap(event.Packet.Data)]})
 }
 
-// ToTarget passes a packet on. Only one goroutine may send.
-func (f *Forwarder) ToTarget(e *steerer.ForwardPacket) {
-	f.out = f.codec.AppendToTarget(f.out[:0], e)
+// SendToTarget passes a packet on. Only one goroutine may send.
+func (f *Forwarder) SendToTarget(e *steerer.ForwardPacket) {
+	f.sendBuffer = f.codec.AppendToTarget(f.sendBuffer[:0], e)
 	f.send(e.Address)
 }
 
-// Reset tells a caller that its flow has ended. Callers take packets at the port
+// SendReset tells a caller that its flow has ended. Callers take packets at the port
 // at which hosts do.
-func (f *Forwarder) Reset(e *steerer.ResetFlow) {
-	f.out = f.codec.AppendReset(f.out[:0], e)
+func (f *Forwarder) SendReset(e *steerer.ResetFlow) {
+	f.sendBuffer = f.codec.AppendReset(f.sendBuffer[:0], e)
 	f.send(netip.AddrPortFrom(e.Caller.Addr(), f.port))
 }
 
 func (f *Forwarder) send(to netip.AddrPort) {
-	if _, err := f.conn.WriteToUDPAddrPort(f.out, to); err != nil {
+	if _, err := f.conn.WriteToUDPAddrPort(f.sendBuffer, to); err != nil {
 		f.Counters.SendFailed.Add(1)
 	}
 }
--- a/balancer/internal/gatherer/gatherer.go
+++ b/balancer/internal/gatherer/gatherer.go
@@ -1,53 +1,53 @@
 // Package gatherer waits for the ends of a program's parts.
 package gatherer
 
-// Part is a running part of a program, with the number of values that its
+// Component is a running part of a program, with the number of values that its
 // channel gets.
-type Part struct {
-	Ends  <-chan error
-	Count int
+type Component struct {
+	Results     <-chan error
+	ResultCount int
 }
 
-// Ends gathers the ends of parts.
-type Ends struct {
-	first chan error
-	all   chan struct{}
+// Group gathers the ends of parts.
+type Group struct {
+	firstError chan error
+	allDone    chan struct{}
 }
 
 // New gathers the ends of parts until all have ended.
-func New(parts ...Part) Ends {
-	ends := Ends{first: make(chan error, 1), all: make(chan struct{})}
+func New(components ...Component) Group {
+	group := Group{firstError: make(chan error, 1), allDone: make(chan struct{})}
 	finished := make(chan struct{})
-	for _, p := range parts {
+	for _, c := range components {
 		go func() {
-			ends.gather(p)
+			group.collect(c)
 			finished <- struct{}{}
 		}()
 	}
 	go func() {
-		for range parts {
+		for range components {
 			<-finished
 		}
-		close(ends.all)
+		close(group.allDone)
 	}()
-	return ends
+	return group
 }
 
-func (e Ends) gather(p Part) {
-	for range p.Count {
-		err := <-p.Ends
+func (g Group) collect(c Component) {
+	for range c.ResultCount {
+		err := <-c.Results
 		if err == nil {
 			continue
 		}
 		select {
-		case e.first <- err:
+		case g.firstError <- err:
 		default:
 		}
 	}
 }
 
-// First delivers the first failure of a part, if there is one.
-func (e Ends) First() <-chan error { return e.first }
+// FirstError delivers the first failure of a part, if there is one.
+func (g Group) FirstError() <-chan error { return g.firstError }
 
 // Wait returns when every part has ended.
-func (e Ends) Wait() { <-e.all }
+func (g Group) Wait() { <-g.allDone }
--- a/balancer/internal/gossiper/gossiper.go
+++ b/balancer/internal/gossiper/gossiper.go
@@ -59,10 +59,10 @@
 
 // Run reads reports until the context ends, and reports its end.
 func (g *Gossiper) Run(ctx context.Context) <-chan error {
-	end := make(chan error, 1)
+	done := make(chan error, 1)
 	context.AfterFunc(ctx, func() { _ = g.conn.Close() })
-	go func() { end <- g.read(ctx) }()
-	return end
+	go func() { done <- g.read(ctx) }()
+	return done
 }
 
 func (g *Gossiper) read(ctx context.Context) error {
--- a/balancer/internal/inspector/inspector.go
+++ b/balancer/internal/inspector/inspector.go
@@ -4,35 +4,35 @@
 
 import "context"
 
-// Look is one look that waits for its turn. The loop calls Run with its state.
-type Look[T any] struct {
-	run  func(T)
+// Request is one look that waits for its turn. The loop calls Run with its state.
+type Request[T any] struct {
+	fn   func(T)
 	done chan struct{}
 }
 
 // Run looks, and lets the asker go on.
-func (l Look[T]) Run(state T) {
-	l.run(state)
-	close(l.done)
+func (r Request[T]) Run(state T) {
+	r.fn(state)
+	close(r.done)
 }
 
 // Inspector hands looks to the loop.
-type Inspector[T any] struct{ looks chan Look[T] }
+type Inspector[T any] struct{ requests chan Request[T] }
 
 // New makes an Inspector.
-func New[T any]() Inspector[T] { return Inspector[T]{looks: make(chan Look[T])} }
+func New[T any]() Inspector[T] { return Inspector[T]{requests: make(chan Request[T])} }
 
-// Looks delivers the looks to the loop.
-func (i Inspector[T]) Looks() <-chan Look[T] { return i.looks }
+// Requests delivers the looks to the loop.
+func (i Inspector[T]) Requests() <-chan Request[T] { return i.requests }
 
 // Inspect runs a function between two events, and returns when it has run.
-func (i Inspector[T]) Inspect(ctx context.Context, run func(T)) error {
-	l := Look[T]{run: run, done: make(chan struct{})}
+func (i Inspector[T]) Inspect(ctx context.Context, fn func(T)) error {
+	request := Request[T]{fn: fn, done: make(chan struct{})}
 	select {
-	case i.looks <- l:
+	case i.requests <- request:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	<-l.done
+	<-request.done
 	return nil
 }
--- a/balancer/internal/linker/linker.go
+++ b/balancer/internal/linker/linker.go
@@ -42,19 +42,19 @@
 func (e *Error) Unwrap() error { return e.Err }
 
 const (
-	// queueLength bounds the messages that wait for a link; the oldest is
+	// queueCapacity bounds the messages that wait for a link; the oldest is
 	// dropped first, since heartbeats lose their worth with time and everything
 	// else is repeated.
-	queueLength  = 512
-	dialTimeout  = time.Second
-	writeTimeout = 2 * time.Second
-	firstBackoff = 100 * time.Millisecond
-	maxBackoff   = 2 * time.Second
-	path         = "/link"
+	queueCapacity = 512
+	dialTimeout   = time.Second
+	writeTimeout  = 2 * time.Second
+	minBackoff    = 100 * time.Millisecond
+	maxBackoff    = 2 * time.Second
+	linkPath      = "/link"
 	// messagesPerSecond bounds what one link may bring; what is more waits in the
 	// connection and so with its sender, whose queue drops the oldest.
 	messagesPerSecond = 5000
-	messagesAtOnce    = 1000
+	messageBurst      = 1000
 )
 
 // Counters count what happened on the links. They are safe for concurrent use.
@@ -75,12 +75,12 @@
 	listener net.Listener
 	Counters Counters
 
-	mu    sync.Mutex
-	links map[string]*link
-	ends  sync.WaitGroup
+	mu      sync.Mutex
+	links   map[string]*outgoingLink
+	writers sync.WaitGroup
 }
 
-type link struct {
+type outgoingLink struct {
 	address netip.AddrPort
 	queue   chan []byte
 }
@@ -91,25 +91,25 @@
 	if err != nil {
 		return nil, &Error{Op: "listen for links", Kind: KindListen, Err: err}
 	}
-	return &Linker{sealer: sealer, events: events, listener: listener, links: map[string]*link{}}, nil
+	return &Linker{sealer: sealer, events: events, listener: listener, links: map[string]*outgoingLink{}}, nil
 }
 
 // Run serves incoming links until the context ends, and reports its end.
 func (l *Linker) Run(ctx context.Context) <-chan error {
-	end := make(chan error, 1)
+	done := make(chan error, 1)
 	mux := http.NewServeMux()
-	mux.HandleFunc(path, func(w http.ResponseWriter, request *http.Request) { l.accept(ctx, w, request) })
+	mux.HandleFunc(linkPath, func(w http.ResponseWriter, request *http.Request) { l.accept(ctx, w, request) })
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: dialTimeout}
 	context.AfterFunc(ctx, func() { _ = server.Close() })
 	go func() {
 		err := server.Serve(l.listener)
-		l.ends.Wait()
+		l.writers.Wait()
 		if errors.Is(err, http.ErrServerClosed) {
 			err = nil
 		}
-		end <- err
+		done <- err
 	}()
-	return end
+	return done
 }
 
 func (l *Linker) accept(ctx context.Context, w http.ResponseWriter, request *http.Request) {
@@ -119,7 +119,7 @@
 	}
 	defer func() { _ = conn.CloseNow() }()
 	conn.SetReadLimit(encoder.MaxControlBytes)
-	limiter := rate.NewLimiter(messagesPerSecond, messagesAtOnce)
+	limiter := rate.NewLimiter(messagesPerSecond, messageBurst)
 	for {
 		if limiter.Wait(ctx) != nil {
 			return
@@ -167,51 +167,51 @@
 		l.Counters.Dropped.Add(1)
 		return
 	}
-	k := l.linkTo(ctx, name, address)
+	link := l.linkTo(ctx, name, address)
 	for {
 		select {
-		case k.queue <- data:
+		case link.queue <- data:
 			return
 		default:
 		}
 		select {
-		case <-k.queue:
+		case <-link.queue:
 			l.Counters.Dropped.Add(1)
 		default:
 		}
 	}
 }
 
-func (l *Linker) linkTo(ctx context.Context, name string, address netip.AddrPort) *link {
+func (l *Linker) linkTo(ctx context.Context, name string, address netip.AddrPort) *outgoingLink {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k, ok := l.links[name]
-	if ok && k.address == address {
-		return k
+	link, ok := l.links[name]
+	if ok && link.address == address {
+		return link
 	}
 	if ok {
-		close(k.queue)
+		close(link.queue)
 	}
-	k = &link{address: address, queue: make(chan []byte, queueLength)}
-	l.links[name] = k
-	l.ends.Add(1)
+	link = &outgoingLink{address: address, queue: make(chan []byte, queueCapacity)}
+	l.links[name] = link
+	l.writers.Add(1)
 	go func() {
-		defer l.ends.Done()
-		l.write(ctx, k)
+		defer l.writers.Done()
+		l.writeLoop(ctx, link)
 	}()
-	return k
+	return link
 }
 
-// write sends a link's queue, dialing anew with growing pauses when it breaks.
-func (l *Linker) write(ctx context.Context, k *link) {
-	backoff := firstBackoff
+// writeLoop sends a link's queue, dialing anew with growing pauses when it breaks.
+func (l *Linker) writeLoop(ctx context.Context, link *outgoingLink) {
+	backoff := minBackoff
 	for ctx.Err() == nil {
-		conn, err := dial(ctx, k.address)
+		conn, err := dial(ctx, link.address)
 		if err == nil {
-			backoff = firstBackoff
-			finished := l.pump(ctx, conn, k)
+			backoff = minBackoff
+			closed := l.writeQueue(ctx, conn, link)
 			_ = conn.CloseNow()
-			if finished {
+			if closed {
 				return
 			}
 		}
@@ -227,30 +227,30 @@
 func dial(ctx context.Context, address netip.AddrPort) (*websocket.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	conn, response, err := websocket.Dial(ctx, "ws://"+address.String()+path, nil)
+	conn, response, err := websocket.Dial(ctx, "ws://"+address.String()+linkPath, nil)
 	if response != nil && response.Body != nil {
 		_ = response.Body.Close()
 	}
 	return conn, err
 }
 
-// pump writes messages until the link breaks, and reports whether the link is
+// writeQueue writes messages until the link breaks, and reports whether the link is
 // of no more use.
-func (l *Linker) pump(ctx context.Context, conn *websocket.Conn, k *link) bool {
+func (l *Linker) writeQueue(ctx context.Context, conn *websocket.Conn, link *outgoingLink) bool {
 	// The peer never writes; reading notices that it closed the link.
-	broken := conn.CloseRead(ctx)
+	peerClosed := conn.CloseRead(ctx)
 	for {
 		select {
 		case <-ctx.Done():
 			return true
-		case <-broken.Done():
+		case <-peerClosed.Done():
 			return false
-		case data, ok := <-k.queue:
+		case data, ok := <-link.queue:
 			if !ok {
 				return true
 			}
-			writing, cancel := context.WithTimeout(ctx, writeTimeout)
-			err := conn.Write(writing, websocket.MessageBinary, data)
+			writeCtx, cancel := context.WithTimeout(ctx, writeTimeout)
+			err := conn.Write(writeCtx, websocket.MessageBinary, data)
 			cancel()
 			if err != nil {
 				return false
--- a/balancer/internal/logger/logger.go
+++ b/balancer/internal/logger/logger.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	// queueLines bounds the lines that wait to be written. A reader that stalls
+	// queueCapacity bounds the lines that wait to be written. A reader that stalls
 	// costs lines, never packets.
-	queueLines = 512
-	// LinesPerSecond and linesAtOnce bound the lines of a host. A line takes 2.3
+	queueCapacity = 512
+	// LinesPerSecond and lineBurst bound the lines of a host. A line takes 2.3
 	// microseconds to encode and queue, and a system call to write, so 100 a second
 	// are far below a hundredth of a core.
 	LinesPerSecond = 100
-	linesAtOnce    = 300
-	// tellEvery is how often the lines that were left out are counted in a line.
-	tellEvery = time.Second
+	lineBurst      = 300
+	// dropReportInterval is how often the lines that were left out are counted in a line.
+	dropReportInterval = time.Second
 )
 
 // Logger writes lines.
@@ -34,15 +34,15 @@
 	limiter *rate.Limiter
 	lines   chan []byte
 	out     io.Writer
-	// left counts the lines that were left out since the last line about it.
-	left    atomic.Uint64
-	dropped atomic.Uint64
+	// unreportedDrops counts the lines that were left out since the last line about it.
+	unreportedDrops atomic.Uint64
+	reportedDrops   atomic.Uint64
 }
 
 // New makes a Logger that writes to out.
 func New(out io.Writer) *Logger {
-	l := &Logger{limiter: rate.NewLimiter(LinesPerSecond, linesAtOnce), lines: make(chan []byte, queueLines), out: out}
-	l.core = zapcore.NewCore(NewEncoder(), queue{l}, zapcore.InfoLevel)
+	l := &Logger{limiter: rate.NewLimiter(LinesPerSecond, lineBurst), lines: make(chan []byte, queueCapacity), out: out}
+	l.core = zapcore.NewCore(NewEncoder(), queueWriter{l}, zapcore.InfoLevel)
 	return l
 }
 
@@ -62,21 +62,21 @@
 	return fields
 }
 
-// queue takes the lines of zap's core.
-type queue struct{ l *Logger }
+// queueWriter takes the lines of zap's core.
+type queueWriter struct{ logger *Logger }
 
 // Write queues a line, or leaves it out if the queue is full.
-func (q queue) Write(line []byte) (int, error) {
+func (q queueWriter) Write(line []byte) (int, error) {
 	select {
-	case q.l.lines <- append([]byte(nil), line...):
+	case q.logger.lines <- append([]byte(nil), line...):
 	default:
-		q.l.left.Add(1)
+		q.logger.unreportedDrops.Add(1)
 	}
 	return len(line), nil
 }
 
 // Sync does nothing: Run writes what is queued before it ends.
-func (queue) Sync() error { return nil }
+func (queueWriter) Sync() error { return nil }
 
 // Allow reports whether there is room for a line that may be left out, and
 // counts it if not.
@@ -84,7 +84,7 @@
 	if l.limiter.Allow() {
 		return true
 	}
-	l.left.Add(1)
+	l.unreportedDrops.Add(1)
 	return false
 }
 
@@ -92,46 +92,46 @@
 func (l *Logger) Write(event string, fields ...zap.Field) {
 	entry := zapcore.Entry{Level: zapcore.InfoLevel, Time: time.Now(), Message: event}
 	if err := l.core.Write(entry, fields); err != nil {
-		l.left.Add(1) // The line could not be encoded; the count shows it.
+		l.unreportedDrops.Add(1) // The line could not be encoded; the count shows it.
 	}
 }
 
-// LeftOut is how many lines were left out since the start.
-func (l *Logger) LeftOut() uint64 { return l.dropped.Load() + l.left.Load() }
+// Dropped is how many lines were left out since the start.
+func (l *Logger) Dropped() uint64 { return l.reportedDrops.Load() + l.unreportedDrops.Load() }
 
 // Run writes queued lines until the context ends and the queue is empty, and
 // reports its end.
 func (l *Logger) Run(ctx context.Context) <-chan error {
-	end := make(chan error, 1)
+	done := make(chan error, 1)
 	go func() {
-		ticker := time.NewTicker(tellEvery)
+		ticker := time.NewTicker(dropReportInterval)
 		defer ticker.Stop()
 		for {
 			select {
 			case line := <-l.lines:
-				l.put(line)
+				l.writeLine(line)
 			case <-ticker.C:
-				l.tell()
+				l.reportDropped()
 			case <-ctx.Done():
 				l.flush()
-				end <- nil
+				done <- nil
 				return
 			}
 		}
 	}()
-	return end
+	return done
 }
 
-func (l *Logger) put(line []byte) {
+func (l *Logger) writeLine(line []byte) {
 	if _, err := l.out.Write(line); err != nil {
-		l.left.Add(1) // Nobody reads the log; there is nowhere to say so.
+		l.unreportedDrops.Add(1) // Nobody reads the log; there is nowhere to say so.
 	}
 }
 
-func (l *Logger) tell() {
-	if left := l.left.Swap(0); left > 0 {
-		l.dropped.Add(left)
-		l.Write("linesLeftOut", zap.Uint64("lines", left), zap.Uint64("total", l.dropped.Load()))
+func (l *Logger) reportDropped() {
+	if unreportedDrops := l.unreportedDrops.Swap(0); unreportedDrops > 0 {
+		l.reportedDrops.Add(unreportedDrops)
+		l.Write("linesLeftOut", zap.Uint64("lines", unreportedDrops), zap.Uint64("total", l.reportedDrops.Load()))
 	}
 }
 
@@ -139,7 +139,7 @@
 	for {
 		select {
 		case line := <-l.lines:
-			l.put(line)
+			l.writeLine(line)
 		default:
 			return
 		}
--- a/balancer/internal/logger/logger_test.go
+++ b/balancer/internal/logger/logger_test.go
@@ -11,30 +11,30 @@
 	"go.uber.org/zap"
 )
 
-// reader stands for a log whose reader has stalled.
-type reader struct {
+// stalledWriter stands for a log whose reader has stalled.
+type stalledWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
-	text    bytes.Buffer
+	buffer  bytes.Buffer
 }
 
-func (r *reader) Write(p []byte) (int, error) {
-	<-r.release
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.text.Write(p)
+func (w *stalledWriter) Write(p []byte) (int, error) {
+	<-w.release
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.buffer.Write(p)
 }
 
 // Symptom: packets are late. Sequence: whoever reads the log stalls; lines go on.
 // Cause: writes that wait for the reader.
-func TestStalledReaderDelaysNothing(t *testing.T) {
-	out := &reader{release: make(chan struct{})}
+func TestWriteDoesNotBlockOnStalledOutput(t *testing.T) {
+	out := &stalledWriter{release: make(chan struct{})}
 	l := New(out)
 	ctx, cancel := context.WithCancel(context.Background())
-	end := l.Run(ctx)
+	done := l.Run(ctx)
 	written := make(chan struct{})
 	go func() {
-		for range 5 * queueLines {
+		for range 5 * queueCapacity {
 			l.Write("flowPlaced", zap.String("flow", "100.64.0.1:1"))
 		}
 		close(written)
@@ -44,22 +44,22 @@
 	case <-time.After(10 * time.Second):
 		t.Fatal("a line waited for the reader")
 	}
-	require.NotZero(t, l.LeftOut())
+	require.NotZero(t, l.Dropped())
 	close(out.release)
 	cancel()
-	require.NoError(t, <-end)
-	require.Contains(t, out.text.String(), "msg=flowPlaced flow=100.64.0.1:1")
+	require.NoError(t, <-done)
+	require.Contains(t, out.buffer.String(), "msg=flowPlaced flow=100.64.0.1:1")
 }
 
 // The volume is bounded, and what was left out is counted.
-func TestLinesAreBounded(t *testing.T) {
+func TestAllowLimitsLineRate(t *testing.T) {
 	l := New(&bytes.Buffer{})
 	allowed := 0
-	for range 10 * linesAtOnce {
+	for range 10 * lineBurst {
 		if l.Allow() {
 			allowed++
 		}
 	}
-	require.Less(t, allowed, 2*linesAtOnce)
-	require.Equal(t, uint64(10*linesAtOnce-allowed), l.LeftOut())
+	require.Less(t, allowed, 2*lineBurst)
+	require.Equal(t, uint64(10*lineBurst-allowed), l.Dropped())
 }
--- a/balancer/internal/meterer/meterer.go
+++ b/balancer/internal/meterer/meterer.go
@@ -9,39 +9,39 @@
 	"sync/atomic"
 )
 
-// Meterer counts the bytes of the connections that it opens and accepts. It is safe for
+// Meter counts the bytes of the connections that it opens and accepts. It is safe for
 // concurrent use.
-type Meterer struct {
+type Meter struct {
 	received atomic.Uint64
 	sent     atomic.Uint64
 	dialer   net.Dialer
 }
 
 // New makes a Meterer.
-func New() *Meterer { return &Meterer{} }
+func New() *Meter { return &Meter{} }
 
 // Totals returns the bytes received and sent so far.
-func (m *Meterer) Totals() (received, sent uint64) {
+func (m *Meter) Totals() (received, sent uint64) {
 	return m.received.Load(), m.sent.Load()
 }
 
 // Dial opens a connection whose bytes are counted.
-func (m *Meterer) Dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (m *Meter) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	conn, err := m.dialer.DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
-	return &meteredConn{Conn: conn, meterer: m}, nil
+	return &meteredConn{Conn: conn, meter: m}, nil
 }
 
-// Listener returns a listener whose connections are counted.
-func (m *Meterer) Listener(listener net.Listener) net.Listener {
-	return &meteredListener{Listener: listener, meterer: m}
+// WrapListener returns a listener whose connections are counted.
+func (m *Meter) WrapListener(listener net.Listener) net.Listener {
+	return &meteredListener{Listener: listener, meter: m}
 }
 
 type meteredListener struct {
 	net.Listener
-	meterer *Meterer
+	meter *Meter
 }
 
 func (l *meteredListener) Accept() (net.Conn, error) {
@@ -49,22 +49,22 @@
 	if err != nil {
 		return nil, err
 	}
-	return &meteredConn{Conn: conn, meterer: l.meterer}, nil
+	return &meteredConn{Conn: conn, meter: l.meter}, nil
 }
 
 type meteredConn struct {
 	net.Conn
-	meterer *Meterer
+	meter *Meter
 }
 
 func (c *meteredConn) Read(buffer []byte) (int, error) {
 	n, err := c.Conn.Read(buffer)
-	c.meterer.received.Add(uint64(n))
+	c.meter.received.Add(uint64(n))
 	return n, err
 }
 
 func (c *meteredConn) Write(data []byte) (int, error) {
 	n, err := c.Conn.Write(data)
-	c.meterer.sent.Add(uint64(n))
+	c.meter.sent.Add(uint64(n))
 	return n, err
 }
--- a/balancer/internal/meterer/meterer_test.go
+++ b/balancer/internal/meterer/meterer_test.go
@@ -11,11 +11,11 @@
 )
 
 // Each end counts what it sends and what it receives.
-func TestBytesOfBothEndsAreCounted(t *testing.T) {
+func TestMeterCountsBothDirections(t *testing.T) {
 	inner, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
-	served, asking := meterer.New(), meterer.New()
-	listener := served.Listener(inner)
+	serverMeter, clientMeter := meterer.New(), meterer.New()
+	listener := serverMeter.WrapListener(inner)
 	defer func() { _ = listener.Close() }()
 	done := make(chan error, 1)
 	go func() {
@@ -25,22 +25,22 @@
 			return
 		}
 		defer func() { _ = conn.Close() }()
-		question := make([]byte, 3)
-		if _, err = io.ReadFull(conn, question); err == nil {
+		request := make([]byte, 3)
+		if _, err = io.ReadFull(conn, request); err == nil {
 			_, err = conn.Write(make([]byte, 1000))
 		}
 		done <- err
 	}()
-	conn, err := asking.Dial(context.Background(), "tcp4", inner.Addr().String())
+	conn, err := clientMeter.Dial(context.Background(), "tcp4", inner.Addr().String())
 	require.NoError(t, err)
 	_, err = conn.Write([]byte("all"))
 	require.NoError(t, err)
-	answer, err := io.ReadAll(conn)
+	response, err := io.ReadAll(conn)
 	require.NoError(t, err)
-	require.Len(t, answer, 1000)
+	require.Len(t, response, 1000)
 	require.NoError(t, <-done)
-	received, sent := asking.Totals()
+	received, sent := clientMeter.Totals()
 	require.Equal(t, [2]uint64{1000, 3}, [2]uint64{received, sent})
-	received, sent = served.Totals()
+	received, sent = serverMeter.Totals()
 	require.Equal(t, [2]uint64{3, 1000}, [2]uint64{received, sent})
 }
--- a/balancer/internal/prober/prober.go
+++ b/balancer/internal/prober/prober.go
@@ -37,11 +37,11 @@
 func (e *Error) Unwrap() error { return e.Err }
 
 const (
-	timeout     = 700 * time.Millisecond
-	sweepEvery  = 100 * time.Millisecond
-	maxBytes    = 1500
-	maxOptions  = 16
-	tokenLength = 8
+	probeTimeout     = 700 * time.Millisecond
+	sweepInterval    = 100 * time.Millisecond
+	maxDatagramBytes = 1500
+	maxOptions       = 16
+	tokenLength      = 8
 )
 
 // Prober sends probes from a socket of its own. It trusts nothing but the
@@ -50,12 +50,12 @@
 	conn   *net.UDPConn
 	events chan<- reducer.Event
 
-	mu      sync.Mutex
-	next    uint64
-	waiting map[uint64]probe
+	mu        sync.Mutex
+	lastToken uint64
+	pending   map[uint64]pendingProbe
 }
 
-type probe struct {
+type pendingProbe struct {
 	target   netip.AddrPort
 	deadline time.Time
 }
@@ -66,31 +66,31 @@
 	if err != nil {
 		return nil, &Error{Op: "listen for probes", Kind: KindSocket, Err: err}
 	}
-	return &Prober{conn: conn, events: events, waiting: map[uint64]probe{}}, nil
+	return &Prober{conn: conn, events: events, pending: map[uint64]pendingProbe{}}, nil
 }
 
 // Run reads answers and watches deadlines until the context ends. Reader and
 // sweeper report their ends on the returned channel, which gets two values.
 func (p *Prober) Run(ctx context.Context) <-chan error {
-	ends := make(chan error, 2)
+	done := make(chan error, 2)
 	context.AfterFunc(ctx, func() { _ = p.conn.Close() })
 	go func() {
 		p.read(ctx)
-		ends <- nil
+		done <- nil
 	}()
 	go func() {
 		p.sweep(ctx)
-		ends <- nil
+		done <- nil
 	}()
-	return ends
+	return done
 }
 
 // Probe sends one probe.
 func (p *Prober) Probe(target netip.AddrPort) {
 	p.mu.Lock()
-	p.next++
-	token := p.next
-	p.waiting[token] = probe{target: target, deadline: time.Now().Add(timeout)}
+	p.lastToken++
+	token := p.lastToken
+	p.pending[token] = pendingProbe{target: target, deadline: time.Now().Add(probeTimeout)}
 	p.mu.Unlock()
 	data, err := encode(token)
 	if err == nil {
@@ -108,13 +108,13 @@
 		return nil, err
 	}
 	m := message.Message{Token: raw[:], Code: codes.GET, Options: options, MessageID: int32(uint16(token)), Type: message.NonConfirmable}
-	data := make([]byte, maxBytes)
+	data := make([]byte, maxDatagramBytes)
 	n, err := coder.DefaultCoder.Encode(m, data)
 	return data[:max(n, 0)], err
 }
 
 func (p *Prober) read(ctx context.Context) {
-	buffer := make([]byte, maxBytes)
+	buffer := make([]byte, maxDatagramBytes)
 	m := message.Message{Options: make(message.Options, 0, maxOptions)}
 	for {
 		n, from, err := p.conn.ReadFromUDPAddrPort(buffer)
@@ -128,16 +128,16 @@
 			continue
 		}
 		from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
-		p.answered(ctx, binary.BigEndian.Uint64(m.Token), from, m.Code == codes.Content, m.Payload)
+		p.handleResponse(ctx, binary.BigEndian.Uint64(m.Token), from, m.Code == codes.Content, m.Payload)
 	}
 }
 
-func (p *Prober) answered(ctx context.Context, token uint64, from netip.AddrPort, healthy bool, payload []byte) {
+func (p *Prober) handleResponse(ctx context.Context, token uint64, from netip.AddrPort, healthy bool, payload []byte) {
 	p.mu.Lock()
-	waiting, ok := p.waiting[token]
-	ok = ok && waiting.target == from
+	pending, ok := p.pending[token]
+	ok = ok && pending.target == from
 	if ok {
-		delete(p.waiting, token)
+		delete(p.pending, token)
 	}
 	p.mu.Unlock()
 	if !ok {
@@ -149,38 +149,38 @@
 	if json.Unmarshal(payload, &report) != nil {
 		report.InFlight = 0
 	}
-	p.offer(ctx, &reducer.ProbeAnswered{Target: from, Healthy: healthy, InFlight: report.InFlight})
+	p.emit(ctx, &reducer.ProbeAnswered{Target: from, Healthy: healthy, InFlight: report.InFlight})
 }
 
 func (p *Prober) sweep(ctx context.Context) {
-	ticker := time.NewTicker(sweepEvery)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			for _, target := range p.overdue(now) {
-				p.offer(ctx, &reducer.ProbeAnswered{Target: target})
+			for _, target := range p.takeExpired(now) {
+				p.emit(ctx, &reducer.ProbeAnswered{Target: target})
 			}
 		}
 	}
 }
 
-func (p *Prober) overdue(now time.Time) []netip.AddrPort {
+func (p *Prober) takeExpired(now time.Time) []netip.AddrPort {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var targets []netip.AddrPort
-	for token, waiting := range p.waiting {
-		if now.After(waiting.deadline) {
-			targets = append(targets, waiting.target)
-			delete(p.waiting, token)
+	for token, pending := range p.pending {
+		if now.After(pending.deadline) {
+			targets = append(targets, pending.target)
+			delete(p.pending, token)
 		}
 	}
 	return targets
 }
 
-func (p *Prober) offer(ctx context.Context, event reducer.Event) {
+func (p *Prober) emit(ctx context.Context, event reducer.Event) {
 	select {
 	case p.events <- event:
 	case <-ctx.Done():
--- a/balancer/internal/readier/readier.go
+++ b/balancer/internal/readier/readier.go
@@ -33,42 +33,42 @@
 // headerTimeout ends connections on which no question comes.
 const headerTimeout = 5 * time.Second
 
-// Readier answers whether the host is ready.
-type Readier struct {
+// Server answers whether the host is ready.
+type Server struct {
 	listener net.Listener
 	path     string
 	ready    atomic.Bool
 }
 
 // New listens on an address.
-func New(address netip.AddrPort, path string) (*Readier, error) {
+func New(address netip.AddrPort, path string) (*Server, error) {
 	listener, err := net.Listen("tcp4", address.String())
 	if err != nil {
 		return nil, &Error{Op: "listen for readiness checks", Kind: KindListen, Err: err}
 	}
-	return &Readier{listener: listener, path: path}, nil
+	return &Server{listener: listener, path: path}, nil
 }
 
-// Set changes the answer.
-func (r *Readier) Set(ready bool) { r.ready.Store(ready) }
+// SetReady changes the answer.
+func (s *Server) SetReady(ready bool) { s.ready.Store(ready) }
 
 // Run answers until the context ends, and reports its end.
-func (r *Readier) Run(ctx context.Context) <-chan error {
-	end := make(chan error, 1)
+func (s *Server) Run(ctx context.Context) <-chan error {
+	done := make(chan error, 1)
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+r.path, func(w http.ResponseWriter, _ *http.Request) {
-		if !r.ready.Load() {
+	mux.HandleFunc("GET "+s.path, func(w http.ResponseWriter, _ *http.Request) {
+		if !s.ready.Load() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
 	context.AfterFunc(ctx, func() { _ = server.Close() })
 	go func() {
-		err := server.Serve(r.listener)
+		err := server.Serve(s.listener)
 		if errors.Is(err, http.ErrServerClosed) {
 			err = nil
 		}
-		end <- err
+		done <- err
 	}()
-	return end
+	return done
 }
--- a/balancer/internal/reloader/reloader.go
+++ b/balancer/internal/reloader/reloader.go
@@ -10,23 +10,23 @@
 	"time"
 )
 
-// lookEvery is how often the file's time of change is read, by one system call;
+// pollInterval is how often the file's time of change is read, by one system call;
 // settings that change without a signal are in no hurry.
-const lookEvery = 2 * time.Second
+const pollInterval = 2 * time.Second
 
 // Reloader watches one file.
 type Reloader struct {
-	path    string
-	changed chan string
-	signals chan os.Signal
-	last    time.Time
+	path        string
+	changed     chan string
+	signals     chan os.Signal
+	lastModTime time.Time
 }
 
 // New takes over SIGHUP, which otherwise ends the process.
 func New(path string) *Reloader {
 	r := &Reloader{path: path, changed: make(chan string, 1), signals: make(chan os.Signal, 1)}
 	signal.Notify(r.signals, syscall.SIGHUP)
-	r.last, _ = r.modified()
+	r.lastModTime, _ = r.modTime()
 	return r
 }
 
@@ -35,39 +35,39 @@
 
 // Run watches until the context ends, and reports its end.
 func (r *Reloader) Run(ctx context.Context) <-chan error {
-	end := make(chan error, 1)
+	done := make(chan error, 1)
 	go func() {
 		defer signal.Stop(r.signals)
-		ticker := time.NewTicker(lookEvery)
+		ticker := time.NewTicker(pollInterval)
 		defer ticker.Stop()
 		for {
 			select {
 			case <-ctx.Done():
-				end <- nil
+				done <- nil
 				return
 			case <-r.signals:
-				r.last, _ = r.modified()
-				r.tell("signal")
+				r.lastModTime, _ = r.modTime()
+				r.notify("signal")
 			case <-ticker.C:
-				r.look()
+				r.poll()
 			}
 		}
 	}()
-	return end
+	return done
 }
 
-// look compares the file's time of change. A file that is missing for a moment,
+// poll compares the file's time of change. A file that is missing for a moment,
 // while it is replaced, is looked at again at the next round.
-func (r *Reloader) look() {
-	modified, err := r.modified()
-	if err != nil || modified.Equal(r.last) {
+func (r *Reloader) poll() {
+	modTime, err := r.modTime()
+	if err != nil || modTime.Equal(r.lastModTime) {
 		return
 	}
-	r.last = modified
-	r.tell("fileChanged")
+	r.lastModTime = modTime
+	r.notify("fileChanged")
 }
 
-func (r *Reloader) modified() (time.Time, error) {
+func (r *Reloader) modTime() (time.Time, error) {
 	info, err := os.Stat(r.path)
 	if err != nil {
 		return time.Time{}, err
@@ -75,8 +75,8 @@
 	return info.ModTime(), nil
 }
 
-// tell hands the cause on; one that waits already is enough.
-func (r *Reloader) tell(cause string) {
+// notify hands the cause on; one that waits already is enough.
+func (r *Reloader) notify(cause string) {
 	select {
 	case r.changed <- cause:
 	default:
--- a/balancer/internal/reloader/reloader_test.go
+++ b/balancer/internal/reloader/reloader_test.go
@@ -13,22 +13,22 @@
 
 // Symptom: the process ends at SIGHUP, or goes on with old settings.
 // Sequence: the file changes, with and without a signal. Cause: nobody looks.
-func TestSignalAndChangeAreNoticed(t *testing.T) {
+func TestReloadOnSignalAndFileChange(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "host.yaml")
 	require.NoError(t, os.WriteFile(path, []byte("a"), 0o600))
 	r := New(path)
 	ctx, cancel := context.WithCancel(context.Background())
-	end := r.Run(ctx)
+	done := r.Run(ctx)
 	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
-	require.Equal(t, "signal", next(t, r))
+	require.Equal(t, "signal", nextCause(t, r))
 	later := time.Now().Add(time.Hour)
 	require.NoError(t, os.Chtimes(path, later, later))
-	require.Equal(t, "fileChanged", next(t, r))
+	require.Equal(t, "fileChanged", nextCause(t, r))
 	cancel()
-	require.NoError(t, <-end)
+	require.NoError(t, <-done)
 }
 
-func next(t *testing.T, r *Reloader) string {
+func nextCause(t *testing.T, r *Reloader) string {
 	t.Helper()
 	select {
 	case cause := <-r.Changed():
--- a/balancer/internal/reporter/reporter.go
+++ b/balancer/internal/reporter/reporter.go
@@ -17,41 +17,41 @@
 )
 
 const (
-	flushEvery     = time.Second
-	defaultFlows   = 100
-	maxListedFlows = 10_000
+	flushInterval    = time.Second
+	defaultFlowLimit = 100
+	maxFlowLimit     = 10_000
 )
 
-// Inspector runs a function on the host's reducer, between two events.
-type Inspector func(ctx context.Context, look func(*reducer.Reducer)) error
+// InspectFunc runs a function on the host's reducer, between two events.
+type InspectFunc func(ctx context.Context, fn func(*reducer.Reducer)) error
 
 // Reporter shows a host to operators.
 type Reporter struct {
-	inspect  Inspector
+	inspect  InspectFunc
 	exporter *exporter.Exporter
-	gauges   map[string]func() uint64
+	counters map[string]func() uint64
 }
 
 // New listens on the admin address. gauges are counters of other parts by name.
-func New(admin netip.AddrPort, host string, inspect Inspector, gauges map[string]func() uint64) (*Reporter, error) {
-	e, err := exporter.New(admin, host, flushEvery)
+func New(admin netip.AddrPort, host string, inspect InspectFunc, counters map[string]func() uint64) (*Reporter, error) {
+	e, err := exporter.New(admin, host, flushInterval)
 	if err != nil {
 		return nil, err
 	}
-	return &Reporter{inspect: inspect, exporter: e, gauges: gauges}, nil
+	return &Reporter{inspect: inspect, exporter: e, counters: counters}, nil
 }
 
-// Completed records the latency of a request for its tenant and service.
-func (r *Reporter) Completed(service *resolver.Service, latency time.Duration) {
+// RecordLatency records the latency of a request for its tenant and service.
+func (r *Reporter) RecordLatency(service *resolver.Service, latency time.Duration) {
 	r.exporter.Histogram("request_latency", map[string]string{"tenant": service.Tenant, "service": service.Name}).RecordDuration(latency)
 }
 
 // Run serves until the context ends, and reports the ends of its server and its
 // collector on the returned channel, which gets two values.
 func (r *Reporter) Run(ctx context.Context) <-chan error {
-	r.exporter.Mux.HandleFunc("GET /readyz", r.ready)
-	r.exporter.Mux.HandleFunc("GET /status", r.status)
-	r.exporter.Mux.HandleFunc("GET /flows", r.flows)
+	r.exporter.Mux.HandleFunc("GET /readyz", r.serveReady)
+	r.exporter.Mux.HandleFunc("GET /status", r.serveStatus)
+	r.exporter.Mux.HandleFunc("GET /flows", r.serveFlows)
 	return r.exporter.Run(ctx, r.collect)
 }
 
@@ -63,27 +63,27 @@
 	}
 	scope := r.exporter.Scope
 	for name, value := range snapshot.Counts {
-		r.exporter.Count("decisions", name, value)
+		r.exporter.SetCounter("decisions", name, value)
 	}
-	for name, read := range r.gauges {
-		r.exporter.Count("transport", name, read())
+	for name, read := range r.counters {
+		r.exporter.SetCounter("transport", name, read())
 	}
 	scope.Gauge("revision").Update(float64(snapshot.Revision))
 	scope.Gauge("rejected_revision").Update(float64(snapshot.RejectedRevision))
 	scope.Gauge("flows").Update(float64(snapshot.Flows))
 	scope.Gauge("requests").Update(float64(snapshot.Requests))
-	scope.Gauge("quorum").Update(exporter.OneIf(snapshot.Quorum))
-	scope.Gauge("ready").Update(exporter.OneIf(snapshot.Ready))
+	scope.Gauge("quorum").Update(exporter.BoolToFloat(snapshot.Quorum))
+	scope.Gauge("ready").Update(exporter.BoolToFloat(snapshot.Ready))
 	for _, s := range snapshot.Services {
 		for _, t := range s.Targets {
 			scope := scope.Tagged(map[string]string{"service": s.Service, "target": t.Target})
 			scope.Gauge("target_in_flight").Update(float64(t.InFlight))
-			scope.Gauge("target_ejected").Update(exporter.OneIf(t.Ejected))
+			scope.Gauge("target_ejected").Update(exporter.BoolToFloat(t.Ejected))
 		}
 	}
 }
 
-func (r *Reporter) ready(w http.ResponseWriter, request *http.Request) {
+func (r *Reporter) serveReady(w http.ResponseWriter, request *http.Request) {
 	ready := false
 	err := r.inspect(request.Context(), func(host *reducer.Reducer) { ready = host.Ready() })
 	if err != nil || !ready {
@@ -93,7 +93,7 @@
 	_, _ = fmt.Fprintln(w, "ready")
 }
 
-func (r *Reporter) status(w http.ResponseWriter, request *http.Request) {
+func (r *Reporter) serveStatus(w http.ResponseWriter, request *http.Request) {
 	var snapshot reducer.Snapshot
 	if err := r.inspect(request.Context(), func(host *reducer.Reducer) { snapshot = host.Snapshot() }); err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
@@ -102,12 +102,12 @@
 	writeJSON(w, snapshot)
 }
 
-func (r *Reporter) flows(w http.ResponseWriter, request *http.Request) {
-	limit := defaultFlows
+func (r *Reporter) serveFlows(w http.ResponseWriter, request *http.Request) {
+	limit := defaultFlowLimit
 	if text := request.URL.Query().Get("limit"); text != "" {
 		n, err := strconv.Atoi(text)
-		if err != nil || n < 1 || n > maxListedFlows {
-			http.Error(w, fmt.Sprintf("limit: expected a whole number from 1 to %d", maxListedFlows), http.StatusBadRequest)
+		if err != nil || n < 1 || n > maxFlowLimit {
+			http.Error(w, fmt.Sprintf("limit: expected a whole number from 1 to %d", maxFlowLimit), http.StatusBadRequest)
 			return
 		}
 		limit = n
--- a/balancer/internal/runner/runner.go
+++ b/balancer/internal/runner/runner.go
@@ -30,14 +30,14 @@
 	"go.uber.org/zap"
 )
 
-// eventQueue bounds the events that wait for the reducer.
-const eventQueue = 8192
+// eventQueueSize bounds the events that wait for the reducer.
+const eventQueueSize = 8192
 
 // Runner is one host's daemon.
 type Runner struct {
 	config    configurer.Config
 	log       *zap.Logger
-	start     time.Time
+	startTime time.Time
 	reducer   *reducer.Reducer
 	events    chan reducer.Event
 	inspector inspector.Inspector[*reducer.Reducer]
@@ -59,15 +59,15 @@
 	r := &Runner{
 		config:    config,
 		log:       log,
-		start:     time.Now(),
-		events:    make(chan reducer.Event, eventQueue),
+		startTime: time.Now(),
+		events:    make(chan reducer.Event, eventQueueSize),
 		inspector: inspector.New[*reducer.Reducer](),
 	}
 	timing := detector.DefaultTiming()
 	if err := timing.Check(); err != nil {
 		return nil, errors.Wrap(err, "start")
 	}
-	incarnation := uint64(r.start.UnixMilli())
+	incarnation := uint64(r.startTime.UnixMilli())
 	r.reducer = reducer.New(reducer.Config{
 		Self:        config.Name,
 		Incarnation: incarnation,
@@ -115,7 +115,7 @@
 		"linkMalformed":       r.linker.Counters.Malformed.Load,
 		"linkUnauthentic":     r.linker.Counters.Unauthentic.Load,
 		"linkUnknown":         r.linker.Counters.Unknown.Load,
-		"platformCalls":       r.watcher.Calls.Load,
+		"platformCalls":       r.watcher.Requests.Load,
 		"platformFailures":    r.watcher.Failures.Load,
 	}
 }
@@ -123,31 +123,31 @@
 // now is the host's monotonic clock. It starts above zero, since zero stands
 // for no deadline.
 func (r *Runner) now() timekeeper.Instant {
-	return timekeeper.Instant(time.Since(r.start) + time.Second)
+	return timekeeper.Instant(time.Since(r.startTime) + time.Second)
 }
 
 // Run serves until leave ends and the host has left, or until ctx ends, which
 // ends it at once. Each part runs until the host has left.
-func (r *Runner) Run(ctx context.Context, leave <-chan struct{}) error {
-	parts, stop := context.WithCancel(ctx)
+func (r *Runner) Run(ctx context.Context, shutdown <-chan struct{}) error {
+	componentCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	ends := gatherer.New(
-		gatherer.Part{Ends: r.carrier.Run(parts), Count: 2},
-		gatherer.Part{Ends: r.linker.Run(parts), Count: 1},
-		gatherer.Part{Ends: r.watcher.Run(parts), Count: 1},
-		gatherer.Part{Ends: r.prober.Run(parts), Count: 2},
-		gatherer.Part{Ends: r.reporter.Run(parts), Count: 2},
+	components := gatherer.New(
+		gatherer.Component{Results: r.carrier.Run(componentCtx), ResultCount: 2},
+		gatherer.Component{Results: r.linker.Run(componentCtx), ResultCount: 1},
+		gatherer.Component{Results: r.watcher.Run(componentCtx), ResultCount: 1},
+		gatherer.Component{Results: r.prober.Run(componentCtx), ResultCount: 2},
+		gatherer.Component{Results: r.reporter.Run(componentCtx), ResultCount: 2},
 	)
 	r.log.Info("hostStarted", zap.String("host", r.config.Name))
-	err := r.loop(parts, leave, ends.First())
+	err := r.loop(componentCtx, shutdown, components.FirstError())
 	stop()
-	ends.Wait()
+	components.Wait()
 	r.log.Info("hostEnded", zap.String("host", r.config.Name))
 	return err
 }
 
 // loop is the only place that touches the reducer.
-func (r *Runner) loop(ctx context.Context, leave <-chan struct{}, failed <-chan error) error {
+func (r *Runner) loop(ctx context.Context, shutdown <-chan struct{}, componentErrors <-chan error) error {
 	ticker := time.NewTicker(reducer.TickInterval)
 	defer ticker.Stop()
 	for {
@@ -155,20 +155,20 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case err := <-failed:
+		case err := <-componentErrors:
 			return err
-		case <-leave:
-			leave = nil
+		case <-shutdown:
+			shutdown = nil
 			event = &reducer.Shutdown{}
-		case look := <-r.inspector.Looks():
-			look.Run(r.reducer)
+		case inspection := <-r.inspector.Requests():
+			inspection.Run(r.reducer)
 			continue
 		case <-ticker.C:
 			event = &reducer.Tick{}
 		case event = <-r.events:
 		}
 		reducer.Stamp(event, r.now())
-		if r.carryOut(ctx, r.reducer.Reduce(event)) {
+		if r.executeEffects(ctx, r.reducer.Reduce(event)) {
 			return nil
 		}
 		r.announce()
@@ -178,39 +178,39 @@
 // announce tells the fabric, at once when it changes and then regularly,
 // whether this host takes packets.
 func (r *Runner) announce() {
-	const announceEvery = 200 * time.Millisecond
+	const announceInterval = 200 * time.Millisecond
 	accepting := r.reducer.Accepting()
 	now := r.now()
 	if accepting == r.accepting && !r.announceDeadline.Passed(now) {
 		return
 	}
 	r.accepting = accepting
-	r.announceDeadline = now.Add(announceEvery)
+	r.announceDeadline = now.Add(announceInterval)
 	r.carrier.Announce(r.config.Name, accepting)
 }
 
-// carryOut executes effects and reports whether the host has left.
-func (r *Runner) carryOut(ctx context.Context, effects []reducer.Effect) bool {
+// executeEffects executes effects and reports whether the host has left.
+func (r *Runner) executeEffects(ctx context.Context, effects []reducer.Effect) bool {
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case *reducer.ToTarget:
-			r.carrier.ToTarget(e)
+			r.carrier.SendToTarget(e)
 		case *reducer.ToCaller:
-			r.carrier.ToCaller(e.Service, e.Caller, e.Payload)
+			r.carrier.SendToCaller(e.Service, e.Caller, e.Payload)
 		case *reducer.Reply:
-			r.reply(e)
+			r.sendReply(e)
 		case *reducer.ToPeer:
-			r.toPeer(ctx, e)
+			r.sendToPeer(ctx, e)
 		case *reducer.Probe:
 			r.prober.Probe(e.Target)
 		case *reducer.Watch:
-			r.watcher.Enable(e.Enabled)
+			r.watcher.SetEnabled(e.Enabled)
 		case *reducer.Adopted:
-			r.adopted(e.Settings)
+			r.applySettings(e.Settings)
 		case *reducer.Rejected:
 			r.log.Error("settingsRejected", zap.Uint64("revision", e.Revision), zap.Error(e.Err))
 		case *reducer.Completed:
-			r.reporter.Completed(e.Service, e.Latency)
+			r.reporter.RecordLatency(e.Service, e.Latency)
 		case *reducer.Logged:
 			r.log.Info(e.Event, logger.Fields(e.Line)...)
 		case *reducer.Ended:
@@ -220,16 +220,16 @@
 	return false
 }
 
-func (r *Runner) reply(e *reducer.Reply) {
+func (r *Runner) sendReply(e *reducer.Reply) {
 	data, err := translator.EncodeReply(e)
 	if err != nil {
 		r.log.Warn("replyNotEncoded", zap.Error(err))
 		return
 	}
-	r.carrier.ToCaller(e.Service, e.Caller, data)
+	r.carrier.SendToCaller(e.Service, e.Caller, data)
 }
 
-func (r *Runner) toPeer(ctx context.Context, e *reducer.ToPeer) {
+func (r *Runner) sendToPeer(ctx context.Context, e *reducer.ToPeer) {
 	if r.settings == nil {
 		if address, ok := r.config.Seeds[e.Host]; ok {
 			r.linker.Send(ctx, e.Host, address, e.Body)
@@ -241,16 +241,16 @@
 		return
 	}
 	if forward, ok := e.Body.(*messenger.Forward); ok {
-		r.carrier.ToPeer(host.Name, host.Address, forward)
+		r.carrier.SendToPeer(host.Name, host.Address, forward)
 		return
 	}
 	r.linker.Send(ctx, host.Name, host.Address, e.Body)
 }
 
-func (r *Runner) adopted(settings *resolver.Settings) {
+func (r *Runner) applySettings(settings *resolver.Settings) {
 	r.settings = settings
 	r.sealer.Store(encoder.New(r.config.Name, settings.PeerKeys))
-	r.watcher.Adopted(settings.Revision)
+	r.watcher.SetRevision(settings.Revision)
 	r.log.Info("settingsAdopted", zap.Uint64("revision", settings.Revision))
 	host, ok := settings.HostByName(r.config.Name)
 	switch {
--- a/balancer/internal/watcher/watcher.go
+++ b/balancer/internal/watcher/watcher.go
@@ -25,8 +25,8 @@
 const (
 	// KindUnreachable means that the platform did not answer.
 	KindUnreachable Kind = iota + 1
-	// KindAnswer means that the platform's answer makes no sense.
-	KindAnswer
+	// KindInvalidResponse means that the platform's answer makes no sense.
+	KindInvalidResponse
 )
 
 // Error is the one error type of this package.
@@ -42,13 +42,13 @@
 func (e *Error) Unwrap() error { return e.Err }
 
 const (
-	// watchSpan is how long the platform holds a watch without news.
-	watchSpan = 20 * time.Second
-	// readTimeout exceeds watchSpan, so that the platform ends a watch first.
-	readTimeout  = watchSpan + 5*time.Second
-	firstBackoff = 300 * time.Millisecond
-	maxBackoff   = 5 * time.Second
-	hostsEvery   = 5 * time.Second
+	// longPollTimeout is how long the platform holds a watch without news.
+	longPollTimeout = 20 * time.Second
+	// readTimeout exceeds longPollTimeout, so that the platform ends a watch first.
+	readTimeout   = longPollTimeout + 5*time.Second
+	minBackoff    = 300 * time.Millisecond
+	maxBackoff    = 5 * time.Second
+	hostsInterval = 5 * time.Second
 	// RevisionHeader bears the revision of a settings document.
 	RevisionHeader = "Settings-Revision"
 )
@@ -60,8 +60,8 @@
 	events   chan<- reducer.Event
 	enabled  chan bool
 	revision atomic.Uint64
-	// Calls counts the requests to the platform; Failures those that failed.
-	Calls    atomic.Uint64
+	// Requests counts the requests to the platform; Failures those that failed.
+	Requests atomic.Uint64
 	Failures atomic.Uint64
 }
 
@@ -70,36 +70,36 @@
 	return &Watcher{platform: platform, client: &http.Client{Timeout: readTimeout}, events: events, enabled: make(chan bool, 16)}
 }
 
-// Enable starts or stops the watch. It never blocks for long.
-func (w *Watcher) Enable(enabled bool) {
+// SetEnabled starts or stops the watch. It never blocks for long.
+func (w *Watcher) SetEnabled(enabled bool) {
 	select {
 	case w.enabled <- enabled:
 	default:
 	}
 }
 
-// Adopted tells the watcher which revision is in force.
-func (w *Watcher) Adopted(revision uint64) { w.revision.Store(revision) }
+// SetRevision tells the watcher which revision is in force.
+func (w *Watcher) SetRevision(revision uint64) { w.revision.Store(revision) }
 
 // Run watches until the context ends, and reports its end.
 func (w *Watcher) Run(ctx context.Context) <-chan error {
-	end := make(chan error, 1)
+	done := make(chan error, 1)
 	go func() {
 		w.run(ctx)
-		end <- nil
+		done <- nil
 	}()
-	return end
+	return done
 }
 
 func (w *Watcher) run(ctx context.Context) {
 	enabled := true
 	for ctx.Err() == nil {
-		watch, cancel := context.WithCancel(ctx)
-		ended := make(chan struct{})
+		watchCtx, cancel := context.WithCancel(ctx)
+		done := make(chan struct{})
 		go func(enabled bool) {
-			defer close(ended)
+			defer close(done)
 			if enabled {
-				w.watch(watch)
+				w.watch(watchCtx)
 			}
 		}(enabled)
 		select {
@@ -107,20 +107,20 @@
 		case enabled = <-w.enabled:
 		}
 		cancel()
-		<-ended
+		<-done
 	}
 }
 
 func (w *Watcher) watch(ctx context.Context) {
-	backoff := firstBackoff
-	var hostsDeadline time.Time
+	backoff := minBackoff
+	var nextHostsRead time.Time
 	for ctx.Err() == nil {
-		if time.Now().After(hostsDeadline) {
+		if time.Now().After(nextHostsRead) {
 			w.readHosts(ctx)
-			hostsDeadline = time.Now().Add(hostsEvery)
+			nextHostsRead = time.Now().Add(hostsInterval)
 		}
 		if err := w.readSettings(ctx); err == nil {
-			backoff = firstBackoff
+			backoff = minBackoff
 			continue
 		}
 		w.Failures.Add(1)
@@ -139,7 +139,7 @@
 	const op = "read settings"
 	query := url.Values{
 		"above":  {strconv.FormatUint(w.revision.Load(), 10)},
-		"waitMs": {strconv.FormatInt(min(watchSpan, hostsEvery).Milliseconds(), 10)},
+		"waitMs": {strconv.FormatInt(min(longPollTimeout, hostsInterval).Milliseconds(), 10)},
 	}
 	response, err := w.get(ctx, "settings", query)
 	if err != nil {
@@ -150,11 +150,11 @@
 		return nil
 	}
 	if response.StatusCode != http.StatusOK {
-		return &Error{Op: op, Kind: KindAnswer, Err: fmt.Errorf("status %d", response.StatusCode)}
+		return &Error{Op: op, Kind: KindInvalidResponse, Err: fmt.Errorf("status %d", response.StatusCode)}
 	}
 	revision, err := strconv.ParseUint(response.Header.Get(RevisionHeader), 10, 64)
 	if err != nil {
-		return &Error{Op: op, Kind: KindAnswer, Err: err}
+		return &Error{Op: op, Kind: KindInvalidResponse, Err: err}
 	}
 	// One byte more than allowed is enough to see that a document is too large.
 	document, err := io.ReadAll(io.LimitReader(response.Body, resolver.MaxDocumentBytes+1))
@@ -163,15 +163,15 @@
 	}
 	if w.revision.Load() >= revision {
 		// The platform is stale. Asking again at once would only load it.
-		return &Error{Op: op, Kind: KindAnswer, Err: fmt.Errorf("revision %d is not above %d", revision, w.revision.Load())}
+		return &Error{Op: op, Kind: KindInvalidResponse, Err: fmt.Errorf("revision %d is not above %d", revision, w.revision.Load())}
 	}
-	w.offer(ctx, &reducer.SettingsPublished{Revision: revision, Document: document})
+	w.emit(ctx, &reducer.SettingsPublished{Revision: revision, Document: document})
 	w.revision.Store(revision)
 	return nil
 }
 
-// hostState is one entry of the platform's list of hosts.
-type hostState struct {
+// hostEntry is one entry of the platform's list of hosts.
+type hostEntry struct {
 	Name  string `json:"name"`
 	State string `json:"state"`
 }
@@ -183,7 +183,7 @@
 		return
 	}
 	defer func() { _ = response.Body.Close() }()
-	var hosts []hostState
+	var hosts []hostEntry
 	if json.NewDecoder(io.LimitReader(response.Body, resolver.MaxDocumentBytes)).Decode(&hosts) != nil {
 		w.Failures.Add(1)
 		return
@@ -194,10 +194,10 @@
 			event.Leaving = append(event.Leaving, h.Name)
 		}
 	}
-	w.offer(ctx, event)
+	w.emit(ctx, event)
 }
 
-func (w *Watcher) offer(ctx context.Context, event reducer.Event) {
+func (w *Watcher) emit(ctx context.Context, event reducer.Event) {
 	select {
 	case w.events <- event:
 	case <-ctx.Done():
@@ -205,7 +205,7 @@
 }
 
 func (w *Watcher) get(ctx context.Context, path string, query url.Values) (*http.Response, error) {
-	w.Calls.Add(1)
+	w.Requests.Add(1)
 	address := w.platform.JoinPath(path)
 	address.RawQuery = query.Encode()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, address.String(), nil)
--- a/balancer/main.go
+++ b/balancer/main.go
@@ -19,11 +19,11 @@
 
 // The exit codes.
 const (
-	exitOK      = 0
-	exitFailed  = 1
-	exitUsage   = 2
-	exitSockets = 3
-	exitKilled  = 4
+	exitOK          = 0
+	exitFailed      = 1
+	exitUsage       = 2
+	exitStartFailed = 3
+	exitInterrupted = 4
 )
 
 func main() { os.Exit(run(os.Args)) }
@@ -50,7 +50,7 @@
 			return nil
 		},
 	}
-	command.Commands = []*cli.Command{flowCommand(&code)}
+	command.Commands = []*cli.Command{flowsCommand(&code)}
 	if err := command.Run(context.Background(), args); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exitUsage
@@ -61,21 +61,21 @@
 // flag makes a flag that the environment can set too; flags go first, then the
 // environment, then the file.
 func flag(name, usage string) cli.Flag {
-	return &cli.StringFlag{Name: name, Usage: usage, Sources: cli.EnvVars("CRANBERRYSPAN_" + upper(name))}
+	return &cli.StringFlag{Name: name, Usage: usage, Sources: cli.EnvVars("CRANBERRYSPAN_" + envVarName(name))}
 }
 
-// upper writes a camel-case name as an environment variable: fabricAddress
+// envVarName writes a camel-case name as an environment variable: fabricAddress
 // becomes FABRIC_ADDRESS.
-func upper(name string) string {
-	var out []rune
+func envVarName(name string) string {
+	var result []rune
 	for _, c := range name {
 		if c >= 'A' && c <= 'Z' {
-			out = append(out, '_', c)
+			result = append(result, '_', c)
 			continue
 		}
-		out = append(out, c-'a'+'A')
+		result = append(result, c-'a'+'A')
 	}
-	return string(out)
+	return string(result)
 }
 
 func serve(ctx context.Context, command *cli.Command) int {
@@ -84,7 +84,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		return exitUsage
 	}
-	fromFlags := configurer.Text{
+	fromFlags := configurer.RawConfig{
 		Name:          command.String("name"),
 		Address:       command.String("address"),
 		FabricAddress: command.String("fabricAddress"),
@@ -95,7 +95,7 @@
 		Seeds:         command.String("seeds"),
 		SeedKey:       command.String("seedKey"),
 	}
-	config, err := fromFlags.Over(fromFile).Check()
+	config, err := fromFlags.WithFallback(fromFile).Parse()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exitUsage
@@ -108,34 +108,34 @@
 	host, err := runner.New(config, log)
 	if err != nil {
 		log.Error("hostNotStarted", zap.Error(err))
-		return exitSockets
+		return exitStartFailed
 	}
-	return untilSignal(ctx, host.Run)
+	return runUntilSignal(ctx, host.Run)
 }
 
-// untilSignal lets the host leave at the first signal. A second SIGINT, as a person
+// runUntilSignal lets the host leave at the first signal. A second SIGINT, as a person
 // sends it, ends it at once; a second SIGTERM does not: supervisors repeat it, and
 // the host would cut what it is about to finish.
-func untilSignal(ctx context.Context, run func(ctx context.Context, leave <-chan struct{}) error) int {
-	ctx, kill := context.WithCancel(ctx)
-	defer kill()
+func runUntilSignal(ctx context.Context, run func(ctx context.Context, shutdown <-chan struct{}) error) int {
+	ctx, abort := context.WithCancel(ctx)
+	defer abort()
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
-	leave := make(chan struct{})
+	shutdown := make(chan struct{})
 	go func() {
 		<-signals
-		close(leave)
+		close(shutdown)
 		for s := range signals {
 			if s == syscall.SIGINT {
-				kill()
+				abort()
 				return
 			}
 		}
 	}()
-	err := run(ctx, leave)
+	err := run(ctx, shutdown)
 	switch {
 	case ctx.Err() != nil:
-		return exitKilled
+		return exitInterrupted
 	case err != nil:
 		fmt.Fprintln(os.Stderr, err)
 		return exitFailed
@@ -147,15 +147,15 @@
 // and of a line that repeats only a few a second.
 func newLogger(level string) (*zap.Logger, error) {
 	const (
-		linesPerSecond = 5
-		thenEvery      = 0
+		linesPerSecond  = 5
+		linesThereafter = 0
 	)
-	at := zapcore.InfoLevel
+	minLevel := zapcore.InfoLevel
 	if level != "" {
-		if err := at.UnmarshalText([]byte(level)); err != nil {
+		if err := minLevel.UnmarshalText([]byte(level)); err != nil {
 			return nil, fmt.Errorf("logLevel: %w", err)
 		}
 	}
-	core := zapcore.NewCore(logger.NewEncoder(), zapcore.Lock(os.Stderr), at)
-	return zap.New(zapcore.NewSamplerWithOptions(core, time.Second, linesPerSecond, thenEvery)), nil
+	core := zapcore.NewCore(logger.NewEncoder(), zapcore.Lock(os.Stderr), minLevel)
+	return zap.New(zapcore.NewSamplerWithOptions(core, time.Second, linesPerSecond, linesThereafter)), nil
 }
--- a/operator/internal/asker/asker.go
+++ b/operator/internal/asker/asker.go
@@ -21,8 +21,8 @@
 const (
 	// KindUnreachable means that a host did not answer.
 	KindUnreachable Kind = iota + 1
-	// KindAnswer means that a host's answer makes no sense.
-	KindAnswer
+	// KindInvalidResponse means that a host's answer makes no sense.
+	KindInvalidResponse
 )
 
 // Error is the one error type of this package.
@@ -38,39 +38,39 @@
 func (e *Error) Unwrap() error { return e.Err }
 
 const (
-	timeout        = 3 * time.Second
-	maxAnswerBytes = 16 << 20
+	timeout          = 3 * time.Second
+	maxResponseBytes = 16 << 20
 )
 
-// Asker asks hosts.
-type Asker struct {
+// Client asks hosts.
+type Client struct {
 	client *http.Client
 }
 
 // New makes an Asker.
-func New() *Asker { return &Asker{client: &http.Client{Timeout: timeout}} }
+func New() *Client { return &Client{client: &http.Client{Timeout: timeout}} }
 
 // Status reads a host's snapshot. admin is an address such as 10.0.0.1:9000.
-func (a *Asker) Status(ctx context.Context, admin string) (reducer.Snapshot, error) {
-	return read[reducer.Snapshot](ctx, a.client, admin, "/status", nil)
+func (c *Client) Status(ctx context.Context, admin string) (reducer.Snapshot, error) {
+	return get[reducer.Snapshot](ctx, c.client, admin, "/status", nil)
 }
 
 // Flows reads at most limit flows that a host remembers.
-func (a *Asker) Flows(ctx context.Context, admin string, limit int) ([]reducer.FlowStatus, error) {
-	return read[[]reducer.FlowStatus](ctx, a.client, admin, "/flows", url.Values{"limit": {fmt.Sprint(limit)}})
+func (c *Client) Flows(ctx context.Context, admin string, limit int) ([]reducer.FlowStatus, error) {
+	return get[[]reducer.FlowStatus](ctx, c.client, admin, "/flows", url.Values{"limit": {fmt.Sprint(limit)}})
 }
 
 // Targets reads what a host of the flow edge believes of its targets.
-func (a *Asker) Targets(ctx context.Context, admin string) ([]steerer.TargetStatus, error) {
-	return read[[]steerer.TargetStatus](ctx, a.client, admin, "/targets", nil)
+func (c *Client) Targets(ctx context.Context, admin string) ([]steerer.TargetStatus, error) {
+	return get[[]steerer.TargetStatus](ctx, c.client, admin, "/targets", nil)
 }
 
 // Knowledge reads what a host of the flow edge knows, and from whom.
-func (a *Asker) Knowledge(ctx context.Context, admin string) (steerer.SyncStatus, error) {
-	return read[steerer.SyncStatus](ctx, a.client, admin, "/knowledge", nil)
+func (c *Client) Knowledge(ctx context.Context, admin string) (steerer.SyncStatus, error) {
+	return get[steerer.SyncStatus](ctx, c.client, admin, "/knowledge", nil)
 }
 
-func read[T any](ctx context.Context, client *http.Client, admin, path string, query url.Values) (T, error) {
+func get[T any](ctx context.Context, client *http.Client, admin, path string, query url.Values) (T, error) {
 	op := "ask host at " + admin
 	var value T
 	address := url.URL{Scheme: "http", Host: admin, Path: path, RawQuery: query.Encode()}
@@ -83,13 +83,13 @@
 		return value, &Error{Op: op, Kind: KindUnreachable, Err: err}
 	}
 	defer func() { _ = response.Body.Close() }()
-	body := io.LimitReader(response.Body, maxAnswerBytes)
+	body := io.LimitReader(response.Body, maxResponseBytes)
 	if response.StatusCode != http.StatusOK {
 		text, _ := io.ReadAll(body)
-		return value, &Error{Op: op, Kind: KindAnswer, Err: fmt.Errorf("%s: %s", response.Status, text)}
+		return value, &Error{Op: op, Kind: KindInvalidResponse, Err: fmt.Errorf("%s: %s", response.Status, text)}
 	}
 	if err := json.NewDecoder(body).Decode(&value); err != nil {
-		return value, &Error{Op: op, Kind: KindAnswer, Err: err}
+		return value, &Error{Op: op, Kind: KindInvalidResponse, Err: err}
 	}
 	return value, nil
 }
--- a/operator/internal/printer/printer.go
+++ b/operator/internal/printer/printer.go
@@ -70,7 +70,7 @@
 	return nil
 }
 
-func row(w io.Writer, cells ...any) {
+func writeRow(w io.Writer, cells ...any) {
 	for i, cell := range cells {
 		if i > 0 {
 			_, _ = fmt.Fprint(w, "\t")
@@ -84,13 +84,13 @@
 func (p Printer) Findings(findings []resolver.Finding) error {
 	return p.print(findings, func(w io.Writer) {
 		for _, f := range findings {
-			row(w, f)
+			writeRow(w, f)
 		}
 	})
 }
 
-// Checked writes that a document is valid.
-func (p Printer) Checked(file string, settings *resolver.Settings) error {
+// ValidTree writes that a document is valid.
+func (p Printer) ValidTree(file string, settings *resolver.Settings) error {
 	targets := 0
 	for _, s := range settings.Services {
 		targets += len(s.Targets)
@@ -103,20 +103,20 @@
 		Targets  int    `json:"targets"`
 	}{file, true, len(settings.Hosts), len(settings.Services), targets}
 	return p.print(summary, func(w io.Writer) {
-		row(w, fmt.Sprintf("%s: valid: %d hosts, %d services, %d targets", file, summary.Hosts, summary.Services, summary.Targets))
+		writeRow(w, fmt.Sprintf("%s: valid: %d hosts, %d services, %d targets", file, summary.Hosts, summary.Services, summary.Targets))
 	})
 }
 
 // Values writes the values in force at a path.
 func (p Printer) Values(values []resolver.Value) error {
 	return p.print(values, func(w io.Writer) {
-		row(w, "KEY", "VALUE", "FROM", "LINE")
+		writeRow(w, "KEY", "VALUE", "FROM", "LINE")
 		for _, v := range values {
 			line := "-"
 			if v.Line > 0 {
 				line = fmt.Sprint(v.Line)
 			}
-			row(w, v.Key, v.Value, v.Level, line)
+			writeRow(w, v.Key, v.Value, v.Level, line)
 		}
 	})
 }
@@ -125,10 +125,10 @@
 func (p Printer) Changes(changes []resolver.Change) error {
 	return p.print(changes, func(w io.Writer) {
 		if len(changes) == 0 {
-			row(w, "no change")
+			writeRow(w, "no change")
 		}
 		for _, c := range changes {
-			row(w, c)
+			writeRow(w, c)
 		}
 	})
 }
@@ -143,10 +143,10 @@
 // Status writes the state of hosts.
 func (p Printer) Status(hosts []HostStatus) error {
 	return p.print(hosts, func(w io.Writer) {
-		row(w, "HOST", "ZONE", "CELL", "PHASE", "READY", "QUORUM", "REVISION", "FLOWS", "REQUESTS", "PEERS ALIVE")
+		writeRow(w, "HOST", "ZONE", "CELL", "PHASE", "READY", "QUORUM", "REVISION", "FLOWS", "REQUESTS", "PEERS ALIVE")
 		for _, h := range hosts {
 			if h.Snapshot == nil {
-				row(w, h.Admin, h.Error)
+				writeRow(w, h.Admin, h.Error)
 				continue
 			}
 			s := h.Snapshot
@@ -154,18 +154,18 @@
 			if s.RejectedRevision > s.Revision {
 				revision += fmt.Sprintf(" (%d refused)", s.RejectedRevision)
 			}
-			row(w, s.Host, s.AvailabilityZone, s.Cell, s.Phase, s.Ready, s.Quorum, revision, s.Flows, s.Requests, alive(s.Peers))
+			writeRow(w, s.Host, s.AvailabilityZone, s.Cell, s.Phase, s.Ready, s.Quorum, revision, s.Flows, s.Requests, formatAlive(s.Peers))
 		}
 		for _, h := range hosts {
 			if h.Snapshot != nil {
-				counts(w, h.Snapshot)
+				writeCounts(w, h.Snapshot)
 			}
 		}
-		targets(w, hosts)
+		writeTargets(w, hosts)
 	})
 }
 
-func alive(peers []reducer.PeerStatus) string {
+func formatAlive(peers []reducer.PeerStatus) string {
 	n := 0
 	for _, peer := range peers {
 		if peer.Liveness == "alive" {
@@ -175,8 +175,8 @@
 	return fmt.Sprintf("%d/%d", n, len(peers))
 }
 
-// counts writes a host's counters that are not zero, by name.
-func counts(w io.Writer, s *reducer.Snapshot) {
+// writeCounts writes a host's counters that are not zero, by name.
+func writeCounts(w io.Writer, s *reducer.Snapshot) {
 	var parts []string
 	for name, n := range s.Counts {
 		if n > 0 {
@@ -184,11 +184,11 @@
 		}
 	}
 	slices.Sort(parts)
-	row(w, s.Host, strings.Join(parts, " "))
+	writeRow(w, s.Host, strings.Join(parts, " "))
 }
 
-// targets sums what hosts have in flight at each target.
-func targets(w io.Writer, hosts []HostStatus) {
+// writeTargets sums what hosts have in flight at each target.
+func writeTargets(w io.Writer, hosts []HostStatus) {
 	type sum struct {
 		state                     string
 		inFlight, queued, ejected int
@@ -200,14 +200,14 @@
 		}
 		for _, s := range h.Snapshot.Services {
 			for _, t := range s.Targets {
-				now := sums[s.Service+" "+t.Target]
-				now.state = t.State
-				now.inFlight += t.InFlight
-				now.queued += t.Queued
+				total := sums[s.Service+" "+t.Target]
+				total.state = t.State
+				total.inFlight += t.InFlight
+				total.queued += t.Queued
 				if t.Ejected {
-					now.ejected++
+					total.ejected++
 				}
-				sums[s.Service+" "+t.Target] = now
+				sums[s.Service+" "+t.Target] = total
 			}
 		}
 	}
@@ -216,18 +216,18 @@
 		names = append(names, name)
 	}
 	slices.Sort(names)
-	row(w, "TARGET", "STATE", "IN FLIGHT", "QUEUED", "EJECTED BY")
+	writeRow(w, "TARGET", "STATE", "IN FLIGHT", "QUEUED", "EJECTED BY")
 	for _, name := range names {
-		row(w, name, sums[name].state, sums[name].inFlight, sums[name].queued, sums[name].ejected)
+		writeRow(w, name, sums[name].state, sums[name].inFlight, sums[name].queued, sums[name].ejected)
 	}
 }
 
 // Flows writes the flows of a host.
 func (p Printer) Flows(flows []reducer.FlowStatus) error {
 	return p.print(flows, func(w io.Writer) {
-		row(w, "CALLER", "SERVICE", "TARGET", "LONG", "EXCEPTION", "OWNER")
+		writeRow(w, "CALLER", "SERVICE", "TARGET", "LONG", "EXCEPTION", "OWNER")
 		for _, f := range flows {
-			row(w, f.Caller, f.Service, f.Target, f.LongLived, f.Exception, f.Owner)
+			writeRow(w, f.Caller, f.Service, f.Target, f.LongLived, f.Exception, f.Owner)
 		}
 	})
 }
--- a/operator/internal/printer/routes.go
+++ b/operator/internal/printer/routes.go
@@ -12,16 +12,16 @@
 // Routes writes the routes of a published version.
 func (p Printer) Routes(settings *steerer.Settings) error {
 	return p.print(settings, func(w io.Writer) {
-		row(w, fmt.Sprintf("version %d", settings.Version))
-		row(w, "ROUTE", "ADDRESS", "KIND", "SERVICES", "TIMEOUT", "PRIORITY")
+		writeRow(w, fmt.Sprintf("version %d", settings.Version))
+		writeRow(w, "ROUTE", "ADDRESS", "KIND", "SERVICES", "TIMEOUT", "PRIORITY")
 		for _, r := range settings.Routes {
-			row(w, r.Name, r.Address, r.Kind, r.TrafficSplit, r.Timeout, r.Priority)
+			writeRow(w, r.Name, r.Address, r.Kind, r.TrafficSplit, r.Timeout, r.Priority)
 		}
 	})
 }
 
-// CheckedPublished writes that a published version has no faults.
-func (p Printer) CheckedPublished(file string, settings *steerer.Settings) error {
+// ValidPublished writes that a published version has no faults.
+func (p Printer) ValidPublished(file string, settings *steerer.Settings) error {
 	summary := struct {
 		File     string `json:"file"`
 		Valid    bool   `json:"valid"`
@@ -30,16 +30,16 @@
 		Services int    `json:"services"`
 	}{file, true, settings.Version, len(settings.Routes), len(settings.Services)}
 	return p.print(summary, func(w io.Writer) {
-		row(w, fmt.Sprintf("%s: valid: version %d, %d routes, %d services", file, summary.Version, summary.Routes, summary.Services))
+		writeRow(w, fmt.Sprintf("%s: valid: version %d, %d routes, %d services", file, summary.Version, summary.Routes, summary.Services))
 	})
 }
 
 // PublishedFindings writes what is wrong with a published version.
 func (p Printer) PublishedFindings(findings []steerer.Finding) error {
 	return p.print(findings, func(w io.Writer) {
-		row(w, "PATH", "PROBLEM", "EFFECT")
+		writeRow(w, "PATH", "PROBLEM", "EFFECT")
 		for _, f := range findings {
-			row(w, f.Path, f.Problem, f.Effect)
+			writeRow(w, f.Path, f.Problem, f.Effect)
 		}
 	})
 }
@@ -48,12 +48,12 @@
 func (p Printer) Differences(differences []steerer.Difference) error {
 	return p.print(differences, func(w io.Writer) {
 		if len(differences) == 0 {
-			row(w, "no change")
+			writeRow(w, "no change")
 			return
 		}
-		row(w, "ROUTE", "CHANGE", "EFFECT")
+		writeRow(w, "ROUTE", "CHANGE", "EFFECT")
 		for _, d := range differences {
-			row(w, d.Route, d.Change, d.Effect)
+			writeRow(w, d.Route, d.Change, d.Effect)
 		}
 	})
 }
@@ -69,14 +69,14 @@
 // without flows against which nothing speaks.
 func (p Printer) Targets(hosts []HostTargets) error {
 	return p.print(hosts, func(w io.Writer) {
-		row(w, "HOST", "TARGET", "SERVICE", "ZONE", "SLOTS", "FLOWS", "BUSY", "PEERS BUSY", "SLOWNESS", "AVOIDED")
+		writeRow(w, "HOST", "TARGET", "SERVICE", "ZONE", "SLOTS", "FLOWS", "BUSY", "PEERS BUSY", "SLOWNESS", "AVOIDED")
 		for _, h := range hosts {
 			if h.Error != "" {
-				row(w, h.Admin, h.Error)
+				writeRow(w, h.Admin, h.Error)
 			}
 			for _, t := range h.Targets {
 				if t.Flows > 0 || t.AvoidReason != "" {
-					row(w, h.Admin, t.Target, t.Service, t.AvailabilityZone, t.Slots, t.Flows, t.Busy, t.PeersBusy, fmt.Sprintf("%.1f", t.Slowness), t.AvoidReason)
+					writeRow(w, h.Admin, t.Target, t.Service, t.AvailabilityZone, t.Slots, t.Flows, t.Busy, t.PeersBusy, fmt.Sprintf("%.1f", t.Slowness), t.AvoidReason)
 				}
 			}
 		}
@@ -93,25 +93,25 @@
 // Knowledge writes what hosts know of settings and targets, and from whom.
 func (p Printer) Knowledge(hosts []HostKnowledge) error {
 	return p.print(hosts, func(w io.Writer) {
-		row(w, "HOST", "NAME", "VERSION", "FROM", "AGE", "CONFIRMED BY", "EVACUATED", "ERA", "REVISION", "AGE", "CONFIRMED BY", "RANK", "LIVE", "PLATFORM")
+		writeRow(w, "HOST", "NAME", "VERSION", "FROM", "AGE", "CONFIRMED BY", "EVACUATED", "ERA", "REVISION", "AGE", "CONFIRMED BY", "RANK", "LIVE", "PLATFORM")
 		for _, h := range hosts {
 			if h.Error != "" {
-				row(w, h.Admin, h.Error)
+				writeRow(w, h.Admin, h.Error)
 				continue
 			}
 			k, platform := h.Knowledge, "answers"
 			if k.PlatformLost {
 				platform = "lost"
 			}
-			row(w, h.Admin, k.Host, k.Version, k.SettingsFrom, rounded(k.SettingsAge), k.SettingsConfirmedBy,
-				evacuated(k), era(k), k.Revision, rounded(k.TargetsAge), k.TargetsConfirmedBy, k.Rank, k.AlivePeers, platform)
+			writeRow(w, h.Admin, k.Host, k.Version, k.SettingsFrom, formatAge(k.SettingsAge), k.SettingsConfirmedBy,
+				formatEvacuated(k), formatEra(k), k.Revision, formatAge(k.TargetsAge), k.TargetsConfirmedBy, k.Rank, k.AlivePeers, platform)
 		}
 	})
 }
 
-// era writes the era of the platform's history that a host's targets are of, and the newest
+// formatEra writes the era of the platform's history that a host's targets are of, and the newest
 // that it has heard of if that is another.
-func era(k *steerer.SyncStatus) string {
+func formatEra(k *steerer.SyncStatus) string {
 	switch {
 	case k.Era == 0:
 		return "none"
@@ -121,8 +121,8 @@
 	return fmt.Sprint(k.Era)
 }
 
-// evacuated names the zones that a host knows to be evacuated.
-func evacuated(k *steerer.SyncStatus) string {
+// formatEvacuated names the zones that a host knows to be evacuated.
+func formatEvacuated(k *steerer.SyncStatus) string {
 	switch {
 	case k.OrdersRevision == 0:
 		return "unknown"
@@ -132,5 +132,5 @@
 	return strings.Join(k.Evacuated, ",")
 }
 
-// rounded writes an age for people.
-func rounded(age time.Duration) string { return age.Round(10 * time.Millisecond).String() }
+// formatAge writes an age for people.
+func formatAge(age time.Duration) string { return age.Round(10 * time.Millisecond).String() }
--- a/operator/main.go
+++ b/operator/main.go
@@ -30,19 +30,19 @@
 }
 
 // run executes one command line and returns the exit code.
-func run(ctx context.Context, args []string, out, problems io.Writer) int {
+func run(ctx context.Context, args []string, out, errOut io.Writer) int {
 	command := newCommand(out)
 	err := command.Run(ctx, args)
 	if err == nil {
 		return exitOK
 	}
-	_, _ = fmt.Fprintln(problems, err)
-	var invalid *resolver.Error
+	_, _ = fmt.Fprintln(errOut, err)
+	var invalidTree *resolver.Error
 	var unreachable *asker.Error
-	var malformed *platform.Error
-	var quota *throttler.Error
+	var invalidPublished *platform.Error
+	var invalidQuota *throttler.Error
 	switch {
-	case errors.As(err, &invalid), errors.As(err, &malformed), errors.As(err, &quota):
+	case errors.As(err, &invalidTree), errors.As(err, &invalidPublished), errors.As(err, &invalidQuota):
 		return exitInvalid
 	case errors.As(err, &unreachable):
 		return exitUnreachable
@@ -84,8 +84,8 @@
 	return printer.New(out, format), nil
 }
 
-// prepare checks the number of arguments and makes the printer.
-func prepare(out io.Writer, command *cli.Command, n int) ([]string, printer.Printer, error) {
+// parseArgs checks the number of arguments and makes the printer.
+func parseArgs(out io.Writer, command *cli.Command, n int) ([]string, printer.Printer, error) {
 	if command.Args().Len() != n {
 		return nil, printer.Printer{}, errors.Newf("usage: spanctl %s %s", command.Name, command.ArgsUsage)
 	}
@@ -95,11 +95,11 @@
 
 func check(out io.Writer) cli.ActionFunc {
 	return func(_ context.Context, command *cli.Command) error {
-		args, p, err := prepare(out, command, 1)
+		args, p, err := parseArgs(out, command, 1)
 		if err != nil {
 			return err
 		}
-		file, err := readSource(args[0])
+		file, err := readSettingsFile(args[0])
 		if err != nil {
 			return err
 		}
@@ -110,8 +110,8 @@
 	}
 }
 
-func checkTree(p printer.Printer, file source) error {
-	settings, err := file.tree()
+func checkTree(p printer.Printer, file settingsFile) error {
+	settings, err := file.parseTree()
 	var invalid *resolver.Error
 	if errors.As(err, &invalid) && len(invalid.Findings) > 0 {
 		if err := p.Findings(invalid.Findings); err != nil {
@@ -122,17 +122,17 @@
 	if err != nil {
 		return err
 	}
-	return p.Checked(file.path, settings)
+	return p.ValidTree(file.path, settings)
 }
 
-func checkPublished(p printer.Printer, file source) error {
-	settings, err := file.published()
+func checkPublished(p printer.Printer, file settingsFile) error {
+	settings, err := file.decodePublished()
 	if err != nil {
 		return err
 	}
 	findings := settings.Check()
 	if len(findings) == 0 {
-		return p.CheckedPublished(file.path, settings)
+		return p.ValidPublished(file.path, settings)
 	}
 	if err := p.PublishedFindings(findings); err != nil {
 		return err
@@ -142,11 +142,11 @@
 
 func explain(out io.Writer) cli.ActionFunc {
 	return func(_ context.Context, command *cli.Command) error {
-		args, p, err := prepare(out, command, 2)
+		args, p, err := parseArgs(out, command, 2)
 		if err != nil {
 			return err
 		}
-		file, err := readSource(args[0])
+		file, err := readSettingsFile(args[0])
 		if err != nil {
 			return err
 		}
@@ -159,11 +159,11 @@
 }
 
 // valuesAt lists what is in force at a path of either sort of settings.
-func valuesAt(file source, path string) ([]resolver.Value, error) {
+func valuesAt(file settingsFile, path string) ([]resolver.Value, error) {
 	if file.isPublished() {
 		return explainPublished(file, path)
 	}
-	settings, err := file.tree()
+	settings, err := file.parseTree()
 	if err != nil {
 		return nil, err
 	}
@@ -172,26 +172,26 @@
 
 func diff(out io.Writer) cli.ActionFunc {
 	return func(_ context.Context, command *cli.Command) error {
-		args, p, err := prepare(out, command, 2)
+		args, p, err := parseArgs(out, command, 2)
 		if err != nil {
 			return err
 		}
-		older, newer, err := readPair(args[0], args[1])
+		older, newer, err := readSettingsPair(args[0], args[1])
 		if err != nil {
 			return err
 		}
 		if older.isPublished() {
-			differences, err := comparePublished(older, newer)
+			differences, err := diffPublished(older, newer)
 			if err != nil {
 				return err
 			}
 			return p.Differences(differences)
 		}
-		before, err := older.tree()
+		before, err := older.parseTree()
 		if err != nil {
 			return err
 		}
-		after, err := newer.tree()
+		after, err := newer.parseTree()
 		if err != nil {
 			return err
 		}
@@ -201,15 +201,15 @@
 
 func status(out io.Writer) cli.ActionFunc {
 	return func(ctx context.Context, command *cli.Command) error {
-		p, err := prepareHosts(out, command)
+		p, err := parseHostArgs(out, command)
 		if err != nil {
 			return err
 		}
 		var hosts []printer.HostStatus
-		hostAsker := asker.New()
-		failure := askEach(command, func(admin string) error {
+		client := asker.New()
+		lastErr := forEachHost(command, func(admin string) error {
 			host := printer.HostStatus{Admin: admin}
-			snapshot, err := hostAsker.Status(ctx, admin)
+			snapshot, err := client.Status(ctx, admin)
 			if err != nil {
 				host.Error = err.Error()
 			} else {
@@ -221,22 +221,22 @@
 		if err := p.Status(hosts); err != nil {
 			return err
 		}
-		return failure
+		return lastErr
 	}
 }
 
 func targets(out io.Writer) cli.ActionFunc {
 	return func(ctx context.Context, command *cli.Command) error {
-		p, err := prepareHosts(out, command)
+		p, err := parseHostArgs(out, command)
 		if err != nil {
 			return err
 		}
 		var hosts []printer.HostTargets
-		hostAsker := asker.New()
-		failure := askEach(command, func(admin string) error {
+		client := asker.New()
+		lastErr := forEachHost(command, func(admin string) error {
 			host := printer.HostTargets{Admin: admin}
 			var err error
-			if host.Targets, err = hostAsker.Targets(ctx, admin); err != nil {
+			if host.Targets, err = client.Targets(ctx, admin); err != nil {
 				host.Error = err.Error()
 			}
 			hosts = append(hosts, host)
@@ -245,25 +245,25 @@
 		if err := p.Targets(hosts); err != nil {
 			return err
 		}
-		return failure
+		return lastErr
 	}
 }
 
 func knowledge(out io.Writer) cli.ActionFunc {
 	return func(ctx context.Context, command *cli.Command) error {
-		p, err := prepareHosts(out, command)
+		p, err := parseHostArgs(out, command)
 		if err != nil {
 			return err
 		}
 		var hosts []printer.HostKnowledge
-		hostAsker := asker.New()
-		failure := askEach(command, func(admin string) error {
+		client := asker.New()
+		lastErr := forEachHost(command, func(admin string) error {
 			host := printer.HostKnowledge{Admin: admin}
-			known, err := hostAsker.Knowledge(ctx, admin)
+			syncStatus, err := client.Knowledge(ctx, admin)
 			if err != nil {
 				host.Error = err.Error()
 			} else {
-				host.Knowledge = &known
+				host.Knowledge = &syncStatus
 			}
 			hosts = append(hosts, host)
 			return err
@@ -271,33 +271,33 @@
 		if err := p.Knowledge(hosts); err != nil {
 			return err
 		}
-		return failure
+		return lastErr
 	}
 }
 
-// prepareHosts checks that hosts are named and makes the printer.
-func prepareHosts(out io.Writer, command *cli.Command) (printer.Printer, error) {
+// parseHostArgs checks that hosts are named and makes the printer.
+func parseHostArgs(out io.Writer, command *cli.Command) (printer.Printer, error) {
 	if command.Args().Len() == 0 {
 		return printer.Printer{}, errors.Newf("usage: spanctl %s %s", command.Name, command.ArgsUsage)
 	}
 	return newPrinter(out, command)
 }
 
-// askEach asks every host that the command names, also after one failed, and returns
+// forEachHost asks every host that the command names, also after one failed, and returns
 // the last failure.
-func askEach(command *cli.Command, ask func(admin string) error) error {
-	var failure error
+func forEachHost(command *cli.Command, visit func(admin string) error) error {
+	var lastErr error
 	for _, admin := range command.Args().Slice() {
-		if err := ask(admin); err != nil {
-			failure = err
+		if err := visit(admin); err != nil {
+			lastErr = err
 		}
 	}
-	return failure
+	return lastErr
 }
 
 func flows(out io.Writer) cli.ActionFunc {
 	return func(ctx context.Context, command *cli.Command) error {
-		args, p, err := prepare(out, command, 1)
+		args, p, err := parseArgs(out, command, 1)
 		if err != nil {
 			return err
 		}
--- a/operator/quotas.go
+++ b/operator/quotas.go
@@ -13,8 +13,8 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// hostQuotas is the part of a host's file that bounds callers.
-type hostQuotas struct {
+// quotaFile is the part of a host's file that bounds callers.
+type quotaFile struct {
 	Quotas []throttler.QuotaSpec `yaml:"quotas"`
 }
 
@@ -40,32 +40,32 @@
 		if err != nil {
 			return errors.Wrapf(err, "caller")
 		}
-		return p.Values(quotaValues(touching(all, caller)))
+		return p.Values(quotaValues(quotasForCaller(all, caller)))
 	}
 }
 
 // readQuotas reads and checks the quotas of a host's file. The rest of the file isn't checked.
 func readQuotas(path string) ([]throttler.Quota, error) {
-	file, err := readSource(path)
+	file, err := readSettingsFile(path)
 	if err != nil {
 		return nil, err
 	}
-	var text hostQuotas
+	var text quotaFile
 	if err := yaml.Unmarshal(file.document, &text); err != nil {
 		return nil, errors.Wrapf(err, "%s", path)
 	}
 	return throttler.ParseQuotas(text.Quotas)
 }
 
-// touching returns the quotas that count a caller's requests, on whatever route.
-func touching(all []throttler.Quota, caller netip.Addr) []throttler.Quota {
-	var some []throttler.Quota
+// quotasForCaller returns the quotas that count a caller's requests, on whatever route.
+func quotasForCaller(all []throttler.Quota, caller netip.Addr) []throttler.Quota {
+	var matching []throttler.Quota
 	for _, q := range all {
 		if q.Matches(caller, q.Route) {
-			some = append(some, q)
+			matching = append(matching, q)
 		}
 	}
-	return some
+	return matching
 }
 
 // quotaValues writes quotas in the form in which the printer lists settings.
--- a/operator/routes.go
+++ b/operator/routes.go
@@ -22,22 +22,22 @@
 		if err != nil {
 			return err
 		}
-		file, err := readSource(paths[0])
+		file, err := readSettingsFile(paths[0])
 		if err != nil {
 			return err
 		}
-		settings, err := file.published()
+		settings, err := file.decodePublished()
 		if err != nil {
 			return err
 		}
 		if len(paths) == 1 {
-			return errors.CombineErrors(p.Routes(settings), faultsOf(settings))
+			return errors.CombineErrors(p.Routes(settings), routeErrors(settings))
 		}
-		newer, err := readSource(paths[1])
+		newer, err := readSettingsFile(paths[1])
 		if err != nil {
 			return err
 		}
-		differences, err := comparePublished(file, newer)
+		differences, err := diffPublished(file, newer)
 		if err != nil {
 			return err
 		}
@@ -45,15 +45,15 @@
 	}
 }
 
-// faultsOf is an error that names the routes that could not be read; nil if all
+// routeErrors is an error that names the routes that could not be read; nil if all
 // could.
-func faultsOf(settings *steerer.Settings) error {
-	var all error
+func routeErrors(settings *steerer.Settings) error {
+	var combined error
 	for _, fault := range settings.RouteProblems {
-		all = errors.CombineErrors(all, errors.Newf("%v", fault))
+		combined = errors.CombineErrors(combined, errors.Newf("%v", fault))
 	}
-	if all == nil {
+	if combined == nil {
 		return nil
 	}
-	return &resolver.Error{Op: "read routes", Kind: resolver.KindInvalid, Err: all}
+	return &resolver.Error{Op: "read routes", Kind: resolver.KindInvalid, Err: combined}
 }
