--- a/standin/internal/answerer/answerer.go
+++ b/standin/internal/answerer/answerer.go
@@ -35,32 +35,32 @@
 func (e *Error) Unwrap() error { return e.Err }
 
 const (
-	maxDatagram = 2048
-	tickEvery   = 20 * time.Millisecond
+	maxDatagramBytes = 2048
+	tickInterval     = 20 * time.Millisecond
 	// answerBytes is the size of an answer.
 	answerBytes = 1500
-	firstSeq    = 7000
+	initialSeq  = 7000
 )
 
 // Record is what all targets of a test saw.
 type Record struct {
-	mu       sync.Mutex
-	runs     map[string]int
-	problems []string
-	// opened names the target at which a flow opened, by the caller's address.
-	opened map[netip.AddrPort]string
+	mu         sync.Mutex
+	executions map[string]int
+	problems   []string
+	// targetByCaller names the target at which a flow opened, by the caller's address.
+	targetByCaller map[netip.AddrPort]string
 }
 
 // NewRecord makes an empty record.
 func NewRecord() *Record {
-	return &Record{runs: map[string]int{}, opened: map[netip.AddrPort]string{}}
+	return &Record{executions: map[string]int{}, targetByCaller: map[netip.AddrPort]string{}}
 }
 
-// Runs tells how often a request ran.
-func (r *Record) Runs(id string) int {
+// Executions tells how often a request ran.
+func (r *Record) Executions(id string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.runs[id]
+	return r.executions[id]
 }
 
 // Problems lists what must not happen at a target.
@@ -70,14 +70,14 @@
 	return append([]string(nil), r.problems...)
 }
 
-// OpenedAt names the target of an open flow.
-func (r *Record) OpenedAt(caller netip.AddrPort) string {
+// TargetOf names the target of an open flow.
+func (r *Record) TargetOf(caller netip.AddrPort) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.opened[caller]
+	return r.targetByCaller[caller]
 }
 
-func (r *Record) problem(format string, args ...any) {
+func (r *Record) addProblem(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.problems = append(r.problems, fmt.Sprintf(format, args...))
@@ -86,8 +86,8 @@
 // Config says how a target behaves.
 type Config struct {
 	Entry platformtest.Target
-	// Work is how long a request takes.
-	Work time.Duration
+	// ProcessingTime is how long a request takes.
+	ProcessingTime time.Duration
 	// PacketPort is the port at which callers take packets.
 	PacketPort uint16
 	// DrainLimit is how long after it began to drain, or its zone was ordered to be
@@ -104,39 +104,39 @@
 	record *Record
 	conn   *net.UDPConn
 	http   *http.Server
-	// ends waits for what holds the target's address.
-	ends sync.WaitGroup
+	// serving waits for what holds the target's address.
+	serving sync.WaitGroup
 
 	mu    sync.Mutex
 	flows map[flowKey]*flow
-	// dark targets take nothing in and send nothing.
-	dark bool
-	// lives counts the target's starts.
-	lives         int
+	// silent targets take nothing in and send nothing.
+	silent bool
+	// incarnation counts the target's starts.
+	incarnation   int
 	drainingSince time.Time
-	calm          func() bool
-	work          chan job
+	undisturbed   func() bool
+	jobs          chan job
 }
 
 type flowKey struct{ caller, service netip.AddrPort }
 
 type flow struct {
-	end    *transporter.End
-	key    flowKey
-	echo   uint32
-	buffer []byte
-	open   bool
+	endpoint *transporter.Endpoint
+	key      flowKey
+	echo     uint32
+	received []byte
+	opened   bool
 }
 
 type job struct {
-	f  *flow
-	id string
-	// life is the target's life in which the request came.
-	life int
+	flow      *flow
+	requestID string
+	// incarnation is the target's life in which the request came.
+	incarnation int
 }
 
 // New starts a target. calm tells whether nothing keeps news from hosts.
-func New(ctx context.Context, config Config, record *Record, calm func() bool) (*Target, error) {
+func New(ctx context.Context, config Config, record *Record, undisturbed func() bool) (*Target, error) {
 	number, ok := steerer.ParseTargetNumber(config.Entry.ID)
 	if !ok {
 		return nil, &Error{Op: "start target", Err: fmt.Errorf("ID %q has no hex digits", config.Entry.ID)}
@@ -150,13 +150,13 @@
 		_ = conn.Close()
 		return nil, &Error{Op: "start target", Err: err}
 	}
-	t := &Target{config: config, number: number, record: record, conn: conn, flows: map[flowKey]*flow{}, calm: calm, work: make(chan job, 64)}
-	t.http = &http.Server{Handler: http.HandlerFunc(t.health), ReadHeaderTimeout: time.Second}
-	t.ends.Go(func() { _ = t.http.Serve(listener) }) // It ends with Stop.
-	t.ends.Go(t.read)
-	go t.tick(ctx)
+	t := &Target{config: config, number: number, record: record, conn: conn, flows: map[flowKey]*flow{}, undisturbed: undisturbed, jobs: make(chan job, 64)}
+	t.http = &http.Server{Handler: http.HandlerFunc(t.handleHealthCheck), ReadHeaderTimeout: time.Second}
+	t.serving.Go(func() { _ = t.http.Serve(listener) }) // It ends with Stop.
+	t.serving.Go(t.readLoop)
+	go t.tickLoop(ctx)
 	for range config.Entry.Slots {
-		go t.run(ctx)
+		go t.workLoop(ctx)
 	}
 	return t, nil
 }
@@ -170,7 +170,7 @@
 
 // Stop ends the target at once, as a crash does.
 func (t *Target) Stop() {
-	t.Darken()
+	t.Silence()
 	_ = t.conn.Close()
 }
 
@@ -178,23 +178,23 @@
 // until whoever reads it has returned.
 func (t *Target) Close() {
 	t.Stop()
-	t.ends.Wait()
+	t.serving.Wait()
 }
 
-// Darken makes the target silent. Its liveness checks are refused: a process can't
+// Silence makes the target silent. Its liveness checks are refused: a process can't
 // make its own kernel ignore a handshake.
-func (t *Target) Darken() {
+func (t *Target) Silence() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.dark = true
+	t.silent = true
 	_ = t.http.Close()
 }
 
-// Lives reports whether the target answers.
-func (t *Target) Lives() bool {
+// Answering reports whether the target answers.
+func (t *Target) Answering() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return !t.dark
+	return !t.silent
 }
 
 // Restart lets the target start again under its ID: it holds none of its flows, and
@@ -205,19 +205,19 @@
 	clear(t.flows)
 	t.config.Entry.StartedAtMs = time.Now().UnixMilli()
 	t.config.Entry.Draining = false
-	t.lives++
+	t.incarnation++
 	return t.config.Entry
 }
 
-// SetWork changes how long a request takes.
-func (t *Target) SetWork(d time.Duration) {
+// SetProcessingTime changes how long a request takes.
+func (t *Target) SetProcessingTime(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.config.Work = d
+	t.config.ProcessingTime = d
 }
 
-// Drain notes that the target has said that it drains.
-func (t *Target) Drain() platformtest.Target {
+// StartDraining notes that the target has said that it drains.
+func (t *Target) StartDraining() platformtest.Target {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.drainingSince = time.Now()
@@ -225,16 +225,16 @@
 	return t.config.Entry
 }
 
-func (t *Target) health(w http.ResponseWriter, r *http.Request) {
-	if !t.Lives() {
+func (t *Target) handleHealthCheck(w http.ResponseWriter, r *http.Request) {
+	if !t.Answering() {
 		<-r.Context().Done()
 		return
 	}
 	w.Header().Set(platformtest.InstanceHeader, t.config.Entry.ID)
 }
 
-func (t *Target) read() {
-	buffer := make([]byte, maxDatagram)
+func (t *Target) readLoop() {
+	buffer := make([]byte, maxDatagramBytes)
 	for {
 		n, _, err := t.conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -245,137 +245,137 @@
 		}
 		number, p, ok := platformtest.DecodeForTarget(append([]byte(nil), buffer[:n]...))
 		if !ok || !p.ChecksumValid {
-			t.record.problem("%s got a packet that its sender did not write", t.config.Entry.ID)
+			t.record.addProblem("%s got a packet that its sender did not write", t.config.Entry.ID)
 			continue
 		}
 		if number == uint64(t.number) {
-			t.handle(p)
+			t.handlePacket(p)
 		}
 	}
 }
 
-func (t *Target) handle(p platformtest.Packet) {
+func (t *Target) handlePacket(p platformtest.Packet) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.dark {
+	if t.silent {
 		return
 	}
 	key := flowKey{p.From, p.To}
 	f := t.flows[key]
 	switch {
 	case p.Flags&platformtest.FlagOpen != 0:
-		t.opening(key, f, p)
+		t.handleOpen(key, f, p)
 	case f == nil:
 		t.send(key, 0, platformtest.FlagReset, 0, p.Ack, nil)
 	case p.Flags&platformtest.FlagReset != 0:
 		delete(t.flows, key)
 	default:
-		t.later(f, p)
+		t.handleData(f, p)
 	}
 }
 
-func (t *Target) opening(key flowKey, f *flow, p platformtest.Packet) {
+func (t *Target) handleOpen(key flowKey, f *flow, p platformtest.Packet) {
 	if f == nil {
 		f = &flow{key: key}
-		f.end = transporter.New(firstSeq+1, p.Seq+1, func(flags byte, seq, ack uint32, data []byte) {
+		f.endpoint = transporter.New(initialSeq+1, p.Seq+1, func(flags byte, seq, ack uint32, data []byte) {
 			t.send(key, f.echo, flags, seq, ack, data)
 		})
 		t.flows[key] = f
-		if late := t.drainingSince.Add(t.config.DrainLimit); t.config.Entry.Draining && time.Now().After(late) && t.calm() {
-			t.record.problem("%s got a new flow %s after it began to drain", t.config.Entry.ID, time.Since(t.drainingSince))
+		if drainDeadline := t.drainingSince.Add(t.config.DrainLimit); t.config.Entry.Draining && time.Now().After(drainDeadline) && t.undisturbed() {
+			t.record.addProblem("%s got a new flow %s after it began to drain", t.config.Entry.ID, time.Since(t.drainingSince))
 		}
-		if since := t.config.EvacuatedSince(); !since.IsZero() && time.Since(since) > t.config.DrainLimit && t.calm() {
-			t.record.problem("%s got a new flow %s after its zone was to be evacuated", t.config.Entry.ID, time.Since(since))
+		if since := t.config.EvacuatedSince(); !since.IsZero() && time.Since(since) > t.config.DrainLimit && t.undisturbed() {
+			t.record.addProblem("%s got a new flow %s after its zone was to be evacuated", t.config.Entry.ID, time.Since(since))
 		}
 	}
 	f.echo = p.Echo
-	t.send(key, f.echo, platformtest.FlagOpen|platformtest.FlagAck, firstSeq, p.Seq+1, nil)
+	t.send(key, f.echo, platformtest.FlagOpen|platformtest.FlagAck, initialSeq, p.Seq+1, nil)
 }
 
-func (t *Target) later(f *flow, p platformtest.Packet) {
+func (t *Target) handleData(f *flow, p platformtest.Packet) {
 	f.echo = p.Echo
-	if !f.open {
-		f.open = true
+	if !f.opened {
+		f.opened = true
 		t.record.mu.Lock()
-		t.record.opened[f.key.caller] = t.config.Entry.ID
+		t.record.targetByCaller[f.key.caller] = t.config.Entry.ID
 		t.record.mu.Unlock()
 	}
-	f.buffer = append(f.buffer, f.end.Receive(p, time.Now())...)
-	id, whole := t.request(f)
-	if !whole {
+	f.received = append(f.received, f.endpoint.Receive(p, time.Now())...)
+	id, complete := t.nextRequest(f)
+	if !complete {
 		return
 	}
 	select {
-	case t.work <- job{f: f, id: id, life: t.lives}:
+	case t.jobs <- job{flow: f, requestID: id, incarnation: t.incarnation}:
 	default:
-		f.end.Write([]byte(id+" shed 0\n"), time.Now())
+		f.endpoint.Write([]byte(id+" shed 0\n"), time.Now())
 	}
 }
 
-// request takes a whole request out of a flow's bytes.
-func (t *Target) request(f *flow) (id string, whole bool) {
-	at := bytes.IndexByte(f.buffer, '\n')
-	if at < 0 {
+// nextRequest takes a whole request out of a flow's bytes.
+func (t *Target) nextRequest(f *flow) (id string, complete bool) {
+	newline := bytes.IndexByte(f.received, '\n')
+	if newline < 0 {
 		return "", false
 	}
 	var kind string
 	var length int
-	if _, err := fmt.Sscanf(string(f.buffer[:at]), "%s %s %d", &id, &kind, &length); err != nil {
-		t.record.problem("%s got a request that nobody wrote: %q", t.config.Entry.ID, f.buffer[:at])
-		f.buffer = nil
+	if _, err := fmt.Sscanf(string(f.received[:newline]), "%s %s %d", &id, &kind, &length); err != nil {
+		t.record.addProblem("%s got a request that nobody wrote: %q", t.config.Entry.ID, f.received[:newline])
+		f.received = nil
 		return "", false
 	}
-	if len(f.buffer) < at+1+length {
+	if len(f.received) < newline+1+length {
 		return "", false
 	}
-	f.buffer = f.buffer[at+1+length:]
+	f.received = f.received[newline+1+length:]
 	return id, true
 }
 
-func (t *Target) run(ctx context.Context) {
+func (t *Target) workLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case j := <-t.work:
-			t.runOne(ctx, j)
+		case j := <-t.jobs:
+			t.execute(ctx, j)
 		}
 	}
 }
 
-func (t *Target) runOne(ctx context.Context, j job) {
+func (t *Target) execute(ctx context.Context, j job) {
 	t.mu.Lock()
-	work, lost := t.config.Work, j.life != t.lives
+	processingTime, lost := t.config.ProcessingTime, j.incarnation != t.incarnation
 	t.mu.Unlock()
 	if lost {
 		return
 	}
 	t.record.mu.Lock()
-	t.record.runs[j.id]++
+	t.record.executions[j.requestID]++
 	t.record.mu.Unlock()
-	if service, _, _ := strings.Cut(j.id, "/"); service != t.config.Entry.Service {
-		t.record.problem("%s of %s ran %s", t.config.Entry.ID, t.config.Entry.Service, j.id)
+	if service, _, _ := strings.Cut(j.requestID, "/"); service != t.config.Entry.Service {
+		t.record.addProblem("%s of %s ran %s", t.config.Entry.ID, t.config.Entry.Service, j.requestID)
 	}
 	select {
 	case <-ctx.Done():
 		return
-	case <-time.After(work):
+	case <-time.After(processingTime):
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.dark || j.life != t.lives {
+	if t.silent || j.incarnation != t.incarnation {
 		return
 	}
-	word := "ok"
+	status := "ok"
 	if t.config.Entry.Draining {
-		word = "last"
+		status = "last"
 	}
-	answer := append(fmt.Appendf(nil, "%s %s %d\n", j.id, word, answerBytes), make([]byte, answerBytes)...)
-	j.f.end.Write(answer, time.Now())
+	answer := append(fmt.Appendf(nil, "%s %s %d\n", j.requestID, status, answerBytes), make([]byte, answerBytes)...)
+	j.flow.endpoint.Write(answer, time.Now())
 }
 
-func (t *Target) tick(ctx context.Context) {
-	ticker := time.NewTicker(tickEvery)
+func (t *Target) tickLoop(ctx context.Context) {
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -385,7 +385,7 @@
 		case now := <-ticker.C:
 			t.mu.Lock()
 			for key, f := range t.flows {
-				if !t.dark && f.end.Tick(now) {
+				if !t.silent && f.endpoint.Tick(now) {
 					delete(t.flows, key)
 				}
 			}
@@ -396,7 +396,7 @@
 
 // send sends a packet to a caller, in the name of the service.
 func (t *Target) send(key flowKey, echo uint32, flags byte, seq, ack uint32, data []byte) {
-	if t.dark {
+	if t.silent {
 		return
 	}
 	p := platformtest.Encode(platformtest.Packet{From: key.service, To: key.caller, Echo: echo, Flags: flags, Seq: seq, Ack: ack, Data: data})
--- a/standin/internal/asker/asker.go
+++ b/standin/internal/asker/asker.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	maxDatagram = 2048
-	tickEvery   = 10 * time.Millisecond
-	// firstCopy and secondCopy are when an opening packet is sent again, openEnd
+	maxDatagramBytes = 2048
+	tickInterval     = 10 * time.Millisecond
+	// firstRetransmit and secondRetransmit are when an opening packet is sent again, openTimeout
 	// when the attempt ends.
-	firstCopy  = 200 * time.Millisecond
-	secondCopy = 600 * time.Millisecond
-	openEnd    = 1400 * time.Millisecond
-	firstSeq   = 1000
+	firstRetransmit  = 200 * time.Millisecond
+	secondRetransmit = 600 * time.Millisecond
+	openTimeout      = 1400 * time.Millisecond
+	initialSeq       = 1000
 )
 
 // Outcome is how an attempt ended.
@@ -33,99 +33,99 @@
 const (
 	// OutcomeAnswered is a whole answer to the request that was asked.
 	OutcomeAnswered Outcome = iota + 1
-	// OutcomeShed is a target's word that it ran nothing.
-	OutcomeShed
+	// OutcomeRefused is a target's word that it ran nothing.
+	OutcomeRefused
 	// OutcomeNotOpened means that no target took the flow; nothing ran.
 	OutcomeNotOpened
-	// OutcomeReset means that an open flow was reset, by its target.
-	OutcomeReset
-	// OutcomeCut means that an open flow was reset, by a balancer.
-	OutcomeCut
+	// OutcomeResetByTarget means that an open flow was reset, by its target.
+	OutcomeResetByTarget
+	// OutcomeResetByBalancer means that an open flow was reset, by a balancer.
+	OutcomeResetByBalancer
 	// OutcomeTimeout means that the deadline passed.
 	OutcomeTimeout
-	// OutcomeWrong is an answer to something else.
-	OutcomeWrong
+	// OutcomeWrongResponse is an answer to something else.
+	OutcomeWrongResponse
 )
 
 func (o Outcome) String() string {
 	return [...]string{"", "answered", "shed", "notOpened", "reset", "cut", "timeout", "wrong"}[o]
 }
 
-// Hand hands a packet to the routers.
-type Hand func(platformtest.Packet)
+// SendFunc hands a packet to the routers.
+type SendFunc func(platformtest.Packet)
 
 // Caller is one address that opens flows, each from a port of its own.
 type Caller struct {
 	address netip.Addr
 	conn    *net.UDPConn
-	hand    Hand
-	ends    sync.WaitGroup
+	send    SendFunc
+	reading sync.WaitGroup
 
-	mu    sync.Mutex
-	flows map[uint16]*Flow
-	port  uint16
+	mu       sync.Mutex
+	flows    map[uint16]*Flow
+	lastPort uint16
 }
 
 // Flow is one flow.
 type Flow struct {
-	caller  *Caller
-	local   netip.AddrPort
-	service netip.AddrPort
-	end     *transporter.End
-	echo    uint32
-	began   time.Time
-	copies  uint32
-	open    bool
-	// last says that the target wants no further request in this flow.
-	last bool
-	// ended is set when the flow is of no more use.
-	ended  Outcome
-	buffer []byte
-	news   chan struct{}
+	caller          *Caller
+	local           netip.AddrPort
+	service         netip.AddrPort
+	endpoint        *transporter.Endpoint
+	echo            uint32
+	startedAt       time.Time
+	retransmissions uint32
+	opened          bool
+	// noMoreRequests says that the target wants no further request in this flow.
+	noMoreRequests bool
+	// outcome is set when the flow is of no more use.
+	outcome  Outcome
+	received []byte
+	updated  chan struct{}
 }
 
 // New starts a caller that takes packets at a port.
-func New(ctx context.Context, address netip.Addr, packetPort uint16, hand Hand) (*Caller, error) {
+func New(ctx context.Context, address netip.Addr, packetPort uint16, send SendFunc) (*Caller, error) {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(address, packetPort)))
 	if err != nil {
 		return nil, err
 	}
-	c := &Caller{address: address, conn: conn, hand: hand, flows: map[uint16]*Flow{}, port: 1024}
-	c.ends.Go(c.read)
-	go c.tick(ctx)
+	c := &Caller{address: address, conn: conn, send: send, flows: map[uint16]*Flow{}, lastPort: 1024}
+	c.reading.Go(c.readLoop)
+	go c.tickLoop(ctx)
 	return c, nil
 }
 
 // Close frees the caller's address, and returns when it is free.
 func (c *Caller) Close() {
 	_ = c.conn.Close()
-	c.ends.Wait()
+	c.reading.Wait()
 }
 
 // Open sends the opening packet of a new flow.
 func (c *Caller) Open(service netip.AddrPort) *Flow {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.port++
-	f := &Flow{caller: c, local: netip.AddrPortFrom(c.address, c.port), service: service, began: time.Now(), news: make(chan struct{}, 1)}
-	c.flows[c.port] = f
-	f.send(platformtest.FlagOpen, firstSeq, 0, nil)
+	c.lastPort++
+	f := &Flow{caller: c, local: netip.AddrPortFrom(c.address, c.lastPort), service: service, startedAt: time.Now(), updated: make(chan struct{}, 1)}
+	c.flows[c.lastPort] = f
+	f.send(platformtest.FlagOpen, initialSeq, 0, nil)
 	return f
 }
 
-// Local is the flow's end at the caller.
-func (f *Flow) Local() netip.AddrPort { return f.local }
+// LocalAddress is the flow's end at the caller.
+func (f *Flow) LocalAddress() netip.AddrPort { return f.local }
 
 func (f *Flow) send(flags byte, seq, ack uint32, data []byte) {
 	echo := f.echo
 	if flags == platformtest.FlagOpen {
 		echo = 0
 	}
-	f.caller.hand(platformtest.Packet{From: f.local, To: f.service, Echo: echo, Flags: flags, Seq: seq, Ack: ack, Data: data})
+	f.caller.send(platformtest.Packet{From: f.local, To: f.service, Echo: echo, Flags: flags, Seq: seq, Ack: ack, Data: data})
 }
 
-func (c *Caller) read() {
-	buffer := make([]byte, maxDatagram)
+func (c *Caller) readLoop() {
+	buffer := make([]byte, maxDatagramBytes)
 	for {
 		n, _, err := c.conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -135,61 +135,61 @@
 			continue // An earlier packet came back undeliverable.
 		}
 		if p, ok := platformtest.Decode(append([]byte(nil), buffer[:n]...)); ok {
-			c.handle(p)
+			c.handlePacket(p)
 		}
 	}
 }
 
-func (c *Caller) handle(p platformtest.Packet) {
+func (c *Caller) handlePacket(p platformtest.Packet) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f, ok := c.flows[p.To.Port()]
-	if !ok || f.service != p.From || f.ended != 0 {
+	if !ok || f.service != p.From || f.outcome != 0 {
 		return
 	}
 	switch {
 	case p.Flags&platformtest.FlagReset != 0:
-		f.reset(p)
+		f.handleReset(p)
 	case !p.ChecksumValid:
-		f.finish(OutcomeWrong)
-	case p.Flags&platformtest.FlagOpen != 0 && !f.open:
-		f.open = true
+		f.finish(OutcomeWrongResponse)
+	case p.Flags&platformtest.FlagOpen != 0 && !f.opened:
+		f.opened = true
 		f.echo = p.Echo
-		f.end = transporter.New(firstSeq+1, p.Seq+1, f.send)
-		f.end.Acknowledge()
-	case f.open && p.Flags&platformtest.FlagOpen == 0:
+		f.endpoint = transporter.New(initialSeq+1, p.Seq+1, f.send)
+		f.endpoint.Acknowledge()
+	case f.opened && p.Flags&platformtest.FlagOpen == 0:
 		f.echo = p.Echo
-		f.buffer = append(f.buffer, f.end.Receive(p, time.Now())...)
+		f.received = append(f.received, f.endpoint.Receive(p, time.Now())...)
 	}
-	f.wake()
+	f.notify()
 }
 
-func (f *Flow) reset(p platformtest.Packet) {
+func (f *Flow) handleReset(p platformtest.Packet) {
 	switch {
-	case !f.open:
+	case !f.opened:
 		f.finish(OutcomeNotOpened)
 	case p.ChecksumValid:
-		f.finish(OutcomeReset)
+		f.finish(OutcomeResetByTarget)
 	default:
-		f.finish(OutcomeCut)
+		f.finish(OutcomeResetByBalancer)
 	}
 }
 
 func (f *Flow) finish(outcome Outcome) {
-	if f.ended == 0 {
-		f.ended = outcome
+	if f.outcome == 0 {
+		f.outcome = outcome
 	}
 }
 
-func (f *Flow) wake() {
+func (f *Flow) notify() {
 	select {
-	case f.news <- struct{}{}:
+	case f.updated <- struct{}{}:
 	default:
 	}
 }
 
-func (c *Caller) tick(ctx context.Context) {
-	ticker := time.NewTicker(tickEvery)
+func (c *Caller) tickLoop(ctx context.Context) {
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -206,41 +206,41 @@
 }
 
 func (f *Flow) tick(now time.Time) {
-	age := now.Sub(f.began)
+	age := now.Sub(f.startedAt)
 	switch {
-	case f.ended != 0:
-	case f.open:
-		if f.end.Tick(now) {
+	case f.outcome != 0:
+	case f.opened:
+		if f.endpoint.Tick(now) {
 			f.finish(OutcomeTimeout)
-			f.wake()
+			f.notify()
 		}
-	case age > openEnd:
+	case age > openTimeout:
 		f.finish(OutcomeNotOpened)
-		f.wake()
-	case (f.copies == 0 && age > firstCopy) || (f.copies == 1 && age > secondCopy):
-		f.copies++
-		f.send(platformtest.FlagOpen, firstSeq, f.copies, nil)
+		f.notify()
+	case (f.retransmissions == 0 && age > firstRetransmit) || (f.retransmissions == 1 && age > secondRetransmit):
+		f.retransmissions++
+		f.send(platformtest.FlagOpen, initialSeq, f.retransmissions, nil)
 	}
 }
 
-// Ask sends a request and waits for its answer until the deadline.
-func (f *Flow) Ask(ctx context.Context, id, kind string, bytes int, deadline time.Time) Outcome {
-	asked := false
+// Do sends a request and waits for its answer until the deadline.
+func (f *Flow) Do(ctx context.Context, id, kind string, bytes int, deadline time.Time) Outcome {
+	sent := false
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
 	for {
 		f.caller.mu.Lock()
-		if f.open && !asked {
-			asked = true
-			f.end.Write(append(fmt.Appendf(nil, "%s %s %d\n", id, kind, bytes), make([]byte, bytes)...), time.Now())
+		if f.opened && !sent {
+			sent = true
+			f.endpoint.Write(append(fmt.Appendf(nil, "%s %s %d\n", id, kind, bytes), make([]byte, bytes)...), time.Now())
 		}
-		outcome := f.outcome(id)
+		outcome := f.readResponse(id)
 		f.caller.mu.Unlock()
 		if outcome != 0 {
 			return outcome
 		}
 		select {
-		case <-f.news:
+		case <-f.updated:
 		case <-timer.C:
 			return OutcomeTimeout
 		case <-ctx.Done():
@@ -249,40 +249,40 @@
 	}
 }
 
-// outcome reads the answer if it is whole; the caller holds mu.
-func (f *Flow) outcome(id string) Outcome {
-	at := bytes.IndexByte(f.buffer, '\n')
-	if at < 0 {
-		return f.ended
+// readResponse reads the answer if it is whole; the caller holds mu.
+func (f *Flow) readResponse(id string) Outcome {
+	newline := bytes.IndexByte(f.received, '\n')
+	if newline < 0 {
+		return f.outcome
 	}
-	var got, word string
+	var got, status string
 	var length int
-	if _, err := fmt.Sscanf(string(f.buffer[:at]), "%s %s %d", &got, &word, &length); err != nil || got != id {
-		return OutcomeWrong
+	if _, err := fmt.Sscanf(string(f.received[:newline]), "%s %s %d", &got, &status, &length); err != nil || got != id {
+		return OutcomeWrongResponse
 	}
-	if len(f.buffer) < at+1+length {
-		return f.ended
+	if len(f.received) < newline+1+length {
+		return f.outcome
 	}
-	f.buffer = f.buffer[at+1+length:]
-	if word == "shed" {
-		return OutcomeShed
+	f.received = f.received[newline+1+length:]
+	if status == "shed" {
+		return OutcomeRefused
 	}
-	f.last = word == "last"
+	f.noMoreRequests = status == "last"
 	return OutcomeAnswered
 }
 
-// Last reports whether the target wants no further request in this flow.
-func (f *Flow) Last() bool {
+// NoMoreRequests reports whether the target wants no further request in this flow.
+func (f *Flow) NoMoreRequests() bool {
 	f.caller.mu.Lock()
 	defer f.caller.mu.Unlock()
-	return f.last
+	return f.noMoreRequests
 }
 
 // Close ends the flow at the caller and tells the target.
 func (f *Flow) Close() {
 	f.caller.mu.Lock()
 	defer f.caller.mu.Unlock()
-	if f.ended == 0 && f.open {
+	if f.outcome == 0 && f.opened {
 		f.send(platformtest.FlagReset, 0, 0, nil)
 	}
 	delete(f.caller.flows, f.local.Port())
--- a/standin/internal/loader/client.go
+++ b/standin/internal/loader/client.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	maxDatagram = 2048
-	maxOptions  = 16
+	maxDatagramBytes = 2048
+	maxOptions       = 16
 	// ackTimeout and maxRetransmit are what RFC 7252 calls ACK_TIMEOUT and
 	// MAX_RETRANSMIT, the former shortened: a request is repeated after 0.5,
 	// 1.5, 3.5 and 7.5 s, and given up after 15.5 s.
@@ -26,46 +26,46 @@
 
 // client is one flow: a socket of its own towards one service.
 type client struct {
-	conn  *net.UDPConn
-	next  uint16
-	token uint64
-	// notified gets every notification of the flow's stream.
-	notified func(payload string)
-	// repeats counts datagrams that were sent again.
-	repeats int
+	conn      *net.UDPConn
+	messageID uint16
+	token     uint64
+	// onNotification gets every notification of the flow's stream.
+	onNotification func(payload string)
+	// retransmissions counts datagrams that were sent again.
+	retransmissions int
 }
 
-func newClient(service netip.AddrPort, seed uint16) (*client, error) {
+func newClient(service netip.AddrPort, firstMessageID uint16) (*client, error) {
 	conn, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(service))
 	if err != nil {
 		return nil, &Error{Op: "dial", Err: err}
 	}
-	return &client{conn: conn, next: seed, token: uint64(seed) << 32}, nil
+	return &client{conn: conn, messageID: firstMessageID, token: uint64(firstMessageID) << 32}, nil
 }
 
 func (c *client) close() { _ = c.conn.Close() }
 
 // request is what a client sends.
 type request struct {
-	code    codes.Code
-	path    string
-	payload []byte
-	observe int
-	block   int64
-	more    bool
-	blocks  bool
+	code        codes.Code
+	path        string
+	payload     []byte
+	observe     int
+	blockNumber int64
+	moreBlocks  bool
+	blockwise   bool
 }
 
-const noObserve = -1
+const observeNone = -1
 
 func (c *client) encode(r request) ([]byte, uint16, uint64, error) {
-	c.next++
+	c.messageID++
 	c.token++
 	var token [8]byte
 	binary.BigEndian.PutUint64(token[:], c.token)
 	var options message.Options
 	var err error
-	if r.observe != noObserve {
+	if r.observe != observeNone {
 		options, _, err = options.SetObserve(make([]byte, 4), uint32(r.observe))
 		if err != nil {
 			return nil, 0, 0, &Error{Op: "encode", Err: err}
@@ -75,8 +75,8 @@
 	if err != nil {
 		return nil, 0, 0, &Error{Op: "encode", Err: err}
 	}
-	if r.blocks {
-		value, err := blockwise.EncodeBlockOption(blockwise.SZX512, r.block, r.more)
+	if r.blockwise {
+		value, err := blockwise.EncodeBlockOption(blockwise.SZX512, r.blockNumber, r.moreBlocks)
 		if err != nil {
 			return nil, 0, 0, &Error{Op: "encode", Err: err}
 		}
@@ -85,13 +85,13 @@
 			return nil, 0, 0, &Error{Op: "encode", Err: err}
 		}
 	}
-	m := message.Message{Token: token[:], Code: r.code, Options: options, Payload: r.payload, MessageID: int32(c.next), Type: message.Confirmable}
-	buffer := make([]byte, maxDatagram)
+	m := message.Message{Token: token[:], Code: r.code, Options: options, Payload: r.payload, MessageID: int32(c.messageID), Type: message.Confirmable}
+	buffer := make([]byte, maxDatagramBytes)
 	n, err := coder.DefaultCoder.Encode(m, buffer)
 	if err != nil {
 		return nil, 0, 0, &Error{Op: "encode", Err: err}
 	}
-	return buffer[:n], c.next, c.token, nil
+	return buffer[:n], c.messageID, c.token, nil
 }
 
 // do sends a request, repeats it as RFC 7252 says, and returns the answer.
@@ -105,25 +105,25 @@
 		if _, err := c.conn.Write(datagram); err != nil && ctx.Err() != nil {
 			return message.Message{}, &Error{Op: "send", Err: err}
 		}
-		m, err := c.wait(ctx, token, time.Now().Add(timeout))
+		m, err := c.awaitResponse(ctx, token, time.Now().Add(timeout))
 		if err == nil || ctx.Err() != nil {
 			return m, err
 		}
 		timeout *= 2
-		c.repeats++
+		c.retransmissions++
 	}
 	return message.Message{}, &Error{Op: "await answer", Err: errNoAnswer}
 }
 
 var errNoAnswer = errors.New("no answer to any of the datagrams")
 
-// wait reads until the answer to a token comes or the deadline passes.
-func (c *client) wait(ctx context.Context, token uint64, deadline time.Time) (message.Message, error) {
+// awaitResponse reads until the answer to a token comes or the deadline passes.
+func (c *client) awaitResponse(ctx context.Context, token uint64, deadline time.Time) (message.Message, error) {
 	if end, ok := ctx.Deadline(); ok && end.Before(deadline) {
 		deadline = end
 	}
 	for {
-		m, err := c.read(deadline)
+		m, err := c.readMessage(deadline)
 		if err != nil {
 			return message.Message{}, err
 		}
@@ -133,9 +133,9 @@
 	}
 }
 
-// read reads one message and passes notifications on.
-func (c *client) read(deadline time.Time) (message.Message, error) {
-	buffer := make([]byte, maxDatagram)
+// readMessage reads one message and passes notifications on.
+func (c *client) readMessage(deadline time.Time) (message.Message, error) {
+	buffer := make([]byte, maxDatagramBytes)
 	for {
 		if err := c.conn.SetReadDeadline(deadline); err != nil {
 			return message.Message{}, &Error{Op: "read", Err: err}
@@ -153,8 +153,8 @@
 		if _, err := coder.DefaultCoder.Decode(buffer[:n], &m); err != nil {
 			continue
 		}
-		if m.Type != message.Acknowledgement && m.Options.HasOption(message.Observe) && c.notified != nil {
-			c.notified(string(m.Payload))
+		if m.Type != message.Acknowledgement && m.Options.HasOption(message.Observe) && c.onNotification != nil {
+			c.onNotification(string(m.Payload))
 		}
 		return m, nil
 	}
--- a/standin/internal/loader/loader.go
+++ b/standin/internal/loader/loader.go
@@ -32,86 +32,86 @@
 func (e *Error) Unwrap() error { return e.Err }
 
 const (
-	blockBytes = 512
-	// settleSpan is how long a run waits for the last answers.
-	settleSpan = 16 * time.Second
-	// silence is how long a stream may be quiet before it counts as broken,
+	uploadBlockBytes = 512
+	// lastResponseTimeout is how long a run waits for the last answers.
+	lastResponseTimeout = 16 * time.Second
+	// maxMissedNotifications is how long a stream may be quiet before it counts as broken,
 	// in notifications.
-	silence = 15
+	maxMissedNotifications = 15
 )
 
-// Work is so many flows of one kind to one service.
-type Work struct {
-	Kind    Kind
+// Workloads is so many flows of one kind to one service.
+type Workload struct {
+	Kind    WorkloadKind
 	Service string
 	Flows   int
 }
 
 // Config says what a run does.
 type Config struct {
-	Work []Work
-	// OpenRate is how many new flows a second bring one check each, beside the
+	Workloads []Workload
+	// NewFlowsPerSecond is how many new flows a second bring one check each, beside the
 	// closed-loop flows. They go to the service of the first checks or presses.
-	OpenRate int
-	Duration time.Duration
-	// Think is the pause of a flow between two requests.
-	Think time.Duration
-	// NotifyEvery is what the targets are set to.
-	NotifyEvery time.Duration
+	NewFlowsPerSecond int
+	Duration          time.Duration
+	// ThinkTime is the pause of a flow between two requests.
+	ThinkTime time.Duration
+	// NotifyInterval is what the targets are set to.
+	NotifyInterval time.Duration
 	// UploadBlocks is the length of an upload.
 	UploadBlocks int
 	// Direct sends to the targets themselves, each flow to one, as a baseline.
 	Direct bool
-	// Targets are the control addresses of the targets' processes.
-	Targets []string
-	// Progress gets a line a second.
-	Progress func(line string)
+	// TargetControlAddresses are the control addresses of the targets' processes.
+	TargetControlAddresses []string
+	// OnProgress gets a line a second.
+	OnProgress func(line string)
 }
 
 // Loader runs callers.
 type Loader struct {
-	config   Config
-	settings *resolver.Settings
-	recorder *recorder
-	ids      atomic.Uint64
-	run      int64
+	config       Config
+	settings     *resolver.Settings
+	recorder     *recorder
+	requestCount atomic.Uint64
+	runID        int64
 }
 
 // New makes a Loader for the services of a settings tree.
 func New(config Config, settings *resolver.Settings) *Loader {
-	return &Loader{config: config, settings: settings, recorder: newRecorder(), run: time.Now().UnixNano()}
+	return &Loader{config: config, settings: settings, recorder: newRecorder(), runID: time.Now().UnixNano()}
 }
 
 // Run runs all callers to the end and returns the report.
 func (l *Loader) Run(ctx context.Context) (Report, error) {
 	end := time.Now().Add(l.config.Duration)
-	hard, cancel := context.WithDeadline(ctx, end.Add(settleSpan))
+	ctxWithDeadline, cancel := context.WithDeadline(ctx, end.Add(lastResponseTimeout))
 	defer cancel()
 	var running sync.WaitGroup
-	for _, work := range l.config.Work {
-		address, err := l.addressOf(work.Service)
+	for _, work := range l.config.Workloads {
+		address, err := l.serviceAddress(work.Service)
 		if err != nil {
 			return Report{}, err
 		}
 		for i := range work.Flows {
 			to := address
 			if l.config.Direct {
-				to = l.targetOf(work.Service, i)
+				to = l.targetAddress(work.Service, i)
 			}
-			running.Go(func() { l.flow(hard, work, to, uint16(i*7), end) })
+			running.Go(func() { l.runFlow(ctxWithDeadline, work, to, uint16(i*7), end) })
 		}
 	}
-	if l.config.OpenRate > 0 {
-		running.Go(func() { l.openLoop(hard, end) })
+	if l.config.NewFlowsPerSecond > 0 {
+		running.Go(func() { l.runOpenLoop(ctxWithDeadline, end) })
 	}
 	stop := make(chan struct{})
-	go l.progress(stop)
+	go l.reportProgress(stop)
 	running.Wait()
 	close(stop)
-	return l.report(ctx)
+	return l.buildReport(ctx)
 }
 
-func (l *Loader) addressOf(name string) (netip.AddrPort, error) {
+func (l *Loader) serviceAddress(name string) (netip.AddrPort, error) {
 	for _, service := range l.settings.Services {
 		if service.Name == name {
 			return service.Address, nil
@@ -120,8 +120,8 @@
 	return netip.AddrPort{}, &Error{Op: "find service", Err: fmt.Errorf("no service %q in the settings", name)}
 }
 
-// targetOf returns a target of a service for the flow with a number.
-func (l *Loader) targetOf(name string, n int) netip.AddrPort {
+// targetAddress returns a target of a service for the flow with a number.
+func (l *Loader) targetAddress(name string, n int) netip.AddrPort {
 	for _, service := range l.settings.Services {
 		if service.Name == name && len(service.Targets) > 0 {
 			return service.Targets[n%len(service.Targets)].Address
@@ -130,8 +130,8 @@
 	return netip.AddrPort{}
 }
 
-func (l *Loader) progress(stop <-chan struct{}) {
-	if l.config.Progress == nil {
+func (l *Loader) reportProgress(stop <-chan struct{}) {
+	if l.config.OnProgress == nil {
 		return
 	}
 	ticker := time.NewTicker(time.Second)
@@ -142,154 +142,154 @@
 			return
 		case <-ticker.C:
 			var parts []string
-			for _, kind := range []Kind{KindStream, KindUpload, KindCheck, KindPress} {
+			for _, kind := range []WorkloadKind{KindStream, KindUpload, KindCheck, KindPress} {
 				if t, ok := l.recorder.snapshot()[kind]; ok {
 					parts = append(parts, fmt.Sprintf("%s %d/%d", kind, t.Answered, t.Started))
 				}
 			}
-			l.config.Progress(strings.Join(parts, ", "))
+			l.config.OnProgress(strings.Join(parts, ", "))
 		}
 	}
 }
 
-func (l *Loader) flow(ctx context.Context, work Work, address netip.AddrPort, seed uint16, end time.Time) {
-	c, err := newClient(address, seed)
+func (l *Loader) runFlow(ctx context.Context, workload Workload, address netip.AddrPort, firstMessageID uint16, end time.Time) {
+	c, err := newClient(address, firstMessageID)
 	if err != nil {
-		l.recorder.add(work.Kind, func(t *Tally) { t.Started++; t.Lost++ })
+		l.recorder.updateTally(workload.Kind, func(t *Tally) { t.Started++; t.Unanswered++ })
 		return
 	}
 	defer c.close()
-	switch work.Kind {
+	switch workload.Kind {
 	case KindStream:
-		l.stream(ctx, c, end)
+		l.runStream(ctx, c, end)
 	case KindUpload:
 		for time.Now().Before(end) && ctx.Err() == nil {
-			l.upload(ctx, c, work.Service)
-			pause(ctx, l.config.Think)
+			l.sendUpload(ctx, c, workload.Service)
+			sleep(ctx, l.config.ThinkTime)
 		}
 	case KindCheck, KindPress:
 		for time.Now().Before(end) && ctx.Err() == nil {
-			l.check(ctx, c, work)
-			pause(ctx, l.config.Think)
+			l.sendCheck(ctx, c, workload)
+			sleep(ctx, l.config.ThinkTime)
 		}
 	}
-	l.recorder.add(work.Kind, func(t *Tally) { t.Repeats += c.repeats })
+	l.recorder.updateTally(workload.Kind, func(t *Tally) { t.Retransmissions += c.retransmissions })
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
 	}
 }
 
-// id names a request so that targets can tell whether it ran before.
-func (l *Loader) id(service string) string {
-	return fmt.Sprintf("%s/%d-%d", service, l.run, l.ids.Add(1))
+// newRequestID names a request so that targets can tell whether it ran before.
+func (l *Loader) newRequestID(service string) string {
+	return fmt.Sprintf("%s/%d-%d", service, l.runID, l.requestCount.Add(1))
 }
 
-// check asks once for something that must not run twice.
-func (l *Loader) check(ctx context.Context, c *client, work Work) {
-	id := l.id(work.Service)
-	l.recorder.add(work.Kind, func(t *Tally) { t.Started++ })
+// sendCheck asks once for something that must not run twice.
+func (l *Loader) sendCheck(ctx context.Context, c *client, workload Workload) {
+	id := l.newRequestID(workload.Service)
+	l.recorder.updateTally(workload.Kind, func(t *Tally) { t.Started++ })
 	began := time.Now()
-	m, err := c.do(ctx, request{code: codes.POST, path: "/" + string(work.Kind), payload: []byte(id), observe: noObserve})
+	m, err := c.do(ctx, request{code: codes.POST, path: "/" + string(workload.Kind), payload: []byte(id), observe: observeNone})
 	if err == nil && m.Code == codes.Changed && strings.HasSuffix(string(m.Payload), " "+id) {
-		l.recorder.latency(work.Kind, time.Since(began))
+		l.recorder.recordLatency(workload.Kind, time.Since(began))
 	} else {
-		l.recorder.problem("%s %s: code %v, %q, error %v", work.Kind, id, m.Code, m.Payload, err)
+		l.recorder.addProblem("%s %s: code %v, %q, error %v", workload.Kind, id, m.Code, m.Payload, err)
 	}
-	l.recorder.add(work.Kind, func(t *Tally) { t.judge(m, err, id) })
+	l.recorder.updateTally(workload.Kind, func(t *Tally) { t.countResponse(m, err, id) })
 }
 
-// judge counts an answer.
-func (t *Tally) judge(m message.Message, err error, id string) {
+// countResponse counts an answer.
+func (t *Tally) countResponse(m message.Message, err error, id string) {
 	switch {
 	case err != nil:
-		t.Lost++
+		t.Unanswered++
 	case m.Code == codes.ServiceUnavailable:
 		t.Refused++
 	case m.Code == codes.GatewayTimeout:
-		t.Unknown++
+		t.OutcomeUnknown++
 	case m.Code == codes.Changed && strings.Contains(string(m.Payload), " "+id):
 		t.Answered++
 	default:
-		t.Wrong++
+		t.WrongResponses++
 	}
 }
 
-func (l *Loader) upload(ctx context.Context, c *client, service string) {
-	id := l.id(service)
-	l.recorder.add(KindUpload, func(t *Tally) { t.Started++ })
+func (l *Loader) sendUpload(ctx context.Context, c *client, service string) {
+	id := l.newRequestID(service)
+	l.recorder.updateTally(KindUpload, func(t *Tally) { t.Started++ })
 	began := time.Now()
 	var last message.Message
 	var err error
 	sent := 0
 	for block := range l.config.UploadBlocks {
-		payload := make([]byte, blockBytes)
+		payload := make([]byte, uploadBlockBytes)
 		if block == 0 {
 			copy(payload, id+"\n")
 		}
 		sent = block
 		more := block < l.config.UploadBlocks-1
-		last, err = c.do(ctx, request{code: codes.POST, path: "/upload", payload: payload, observe: noObserve, blocks: true, block: int64(block), more: more})
+		last, err = c.do(ctx, request{code: codes.POST, path: "/upload", payload: payload, observe: observeNone, blockwise: true, blockNumber: int64(block), moreBlocks: more})
 		if err != nil || (more && last.Code != codes.Continue) {
 			break
 		}
 	}
-	whole := fmt.Sprintf(" %s %d", id, l.config.UploadBlocks*blockBytes)
+	wantSuffix := fmt.Sprintf(" %s %d", id, l.config.UploadBlocks*uploadBlockBytes)
 	broken := false
-	l.recorder.add(KindUpload, func(t *Tally) {
+	l.recorder.updateTally(KindUpload, func(t *Tally) {
 		switch {
-		case err == nil && last.Code == codes.Changed && strings.HasSuffix(string(last.Payload), whole):
+		case err == nil && last.Code == codes.Changed && strings.HasSuffix(string(last.Payload), wantSuffix):
 			t.Answered++
 		case err == nil && last.Code == codes.ServiceUnavailable:
 			t.Refused++
 		case err == nil && last.Code == codes.GatewayTimeout:
-			t.Unknown++
+			t.OutcomeUnknown++
 		default:
 			t.Broken++
 			broken = true
 		}
 	})
 	if broken || (err == nil && last.Code == codes.GatewayTimeout) {
-		l.recorder.problem("upload %s: block %d: code %v, %q, error %v", id, sent, last.Code, last.Payload, err)
+		l.recorder.addProblem("upload %s: block %d: code %v, %q, error %v", id, sent, last.Code, last.Payload, err)
 	}
-	l.recorder.latency(KindUpload, time.Since(began))
+	l.recorder.recordLatency(KindUpload, time.Since(began))
 }
 
-// stream holds a stream open until the end. It is broken if it falls silent or
+// runStream holds a stream open until the end. It is broken if it falls silent or
 // its notifications come from another target.
-func (l *Loader) stream(ctx context.Context, c *client, end time.Time) {
-	l.recorder.add(KindStream, func(t *Tally) { t.Started++ })
+func (l *Loader) runStream(ctx context.Context, c *client, end time.Time) {
+	l.recorder.updateTally(KindStream, func(t *Tally) { t.Started++ })
 	began := time.Now()
 	m, err := c.do(ctx, request{code: codes.GET, path: "/stream", observe: 0})
 	if err != nil || m.Code != codes.Content {
-		l.recorder.add(KindStream, func(t *Tally) {
+		l.recorder.updateTally(KindStream, func(t *Tally) {
 			if err == nil && m.Code == codes.ServiceUnavailable {
 				t.Refused++
 				return
 			}
-			t.Lost++
+			t.Unanswered++
 		})
 		return
 	}
-	l.recorder.latency(KindStream, time.Since(began))
+	l.recorder.recordLatency(KindStream, time.Since(began))
 	target, broken := string(m.Payload), false
 	last := time.Now()
-	c.notified = func(from string) {
-		broken = broken || from != target || time.Since(last) > silence*l.config.NotifyEvery
+	c.onNotification = func(from string) {
+		broken = broken || from != target || time.Since(last) > maxMissedNotifications*l.config.NotifyInterval
 		last = time.Now()
 	}
 	for time.Now().Before(end) && ctx.Err() == nil {
-		_, err := c.read(minTime(end, time.Now().Add(silence*l.config.NotifyEvery)))
-		if err != nil && time.Since(last) > silence*l.config.NotifyEvery {
+		_, err := c.readMessage(earlier(end, time.Now().Add(maxMissedNotifications*l.config.NotifyInterval)))
+		if err != nil && time.Since(last) > maxMissedNotifications*l.config.NotifyInterval {
 			broken = true
 			break
 		}
 	}
 	_, err = c.do(ctx, request{code: codes.GET, path: "/stream", observe: 1})
-	l.recorder.add(KindStream, func(t *Tally) {
+	l.recorder.updateTally(KindStream, func(t *Tally) {
 		if broken || err != nil {
 			t.Broken++
 			return
@@ -298,28 +298,28 @@
 	})
 }
 
-func minTime(a, b time.Time) time.Time {
+func earlier(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
 	}
 	return b
 }
 
-// openLoop starts new flows at a fixed rate, whether or not earlier ones have
+// runOpenLoop starts new flows at a fixed rate, whether or not earlier ones have
 // been answered.
-func (l *Loader) openLoop(ctx context.Context, end time.Time) {
-	var work Work
-	for _, w := range l.config.Work {
+func (l *Loader) runOpenLoop(ctx context.Context, end time.Time) {
+	var workload Workload
+	for _, w := range l.config.Workloads {
 		if w.Kind == KindCheck || w.Kind == KindPress {
-			work = w
+			workload = w
 			break
 		}
 	}
-	address, err := l.addressOf(work.Service)
+	address, err := l.serviceAddress(workload.Service)
 	if err != nil {
 		return
 	}
-	ticker := time.NewTicker(time.Second / time.Duration(l.config.OpenRate))
+	ticker := time.NewTicker(time.Second / time.Duration(l.config.NewFlowsPerSecond))
 	defer ticker.Stop()
 	var running sync.WaitGroup
 	defer running.Wait()
@@ -334,26 +334,26 @@
 					return
 				}
 				defer c.close()
-				l.check(ctx, c, work)
-				l.recorder.add(work.Kind, func(t *Tally) { t.Repeats += c.repeats })
+				l.sendCheck(ctx, c, workload)
+				l.recorder.updateTally(workload.Kind, func(t *Tally) { t.Retransmissions += c.retransmissions })
 			})
 		}
 	}
 }
 
-// report adds what the targets counted to what the callers saw.
-func (l *Loader) report(ctx context.Context) (Report, error) {
-	report := Report{Tallies: l.recorder.snapshot(), Imbalance: map[string]Imbalance{}, Problems: l.recorder.problems}
+// buildReport adds what the targets counted to what the callers saw.
+func (l *Loader) buildReport(ctx context.Context) (Report, error) {
+	report := Report{Tallies: l.recorder.snapshot(), Imbalance: map[string]Imbalance{}, Problems: l.recorder.firstProblems}
 	runs := map[string]int{}
-	for _, control := range l.config.Targets {
-		r, err := readTargets(ctx, control)
+	for _, control := range l.config.TargetControlAddresses {
+		r, err := fetchTargetReport(ctx, control)
 		if err != nil {
 			return Report{}, err
 		}
-		report.Doubled = append(report.Doubled, r.Doubled...)
+		report.DuplicateExecutions = append(report.DuplicateExecutions, r.DuplicateExecutions...)
 		report.Misrouted = append(report.Misrouted, r.Misrouted...)
-		report.Shed += r.Shed
-		for name, n := range r.Runs {
+		report.RefusedByTargets += r.Refused
+		for name, n := range r.Executions {
 			runs[name] += n
 		}
 	}
@@ -369,7 +369,7 @@
 	return report, nil
 }
 
-func readTargets(ctx context.Context, control string) (responder.Report, error) {
+func fetchTargetReport(ctx context.Context, control string) (responder.Report, error) {
 	const op = "read report of targets"
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+control+"/report", nil)
 	if err != nil {
--- a/standin/internal/measurer/page.go
+++ b/standin/internal/measurer/page.go
@@ -8,82 +8,82 @@
 	"cranberryspan.dev/standin/internal/plotter"
 )
 
-// Measures is all that one run measured.
-type Measures struct {
-	Settings  []SettingsPoint
-	Fleets    []FleetPoint
-	Flows     []FlowPoint
-	Handovers []HandoverPoint
-	Requests  []RequestPoint
+// Measurements is all that one run measured.
+type Measurements struct {
+	Settings  []SettingsCost
+	Fleets    []FleetCost
+	Flows     []FlowCost
+	Handovers []HandoverCost
+	Requests  []RequestCost
 }
 
-// All measures every slope. progress gets a line for each point.
-func All(progress func(string)) Measures {
-	var m Measures
-	for _, size := range [][2]int{{100, 55}, {500, 275}, {1900, 1050}, {TargetTargets, TargetServices}} {
+// MeasureAll measures every slope. progress gets a line for each point.
+func MeasureAll(progress func(string)) Measurements {
+	var m Measurements
+	for _, size := range [][2]int{{100, 55}, {500, 275}, {1900, 1050}, {PlannedTargets, PlannedServices}} {
 		progress(fmt.Sprintf("settings with %d targets", size[0]))
-		m.Settings = append(m.Settings, Settings(size[0], size[1]))
+		m.Settings = append(m.Settings, MeasureSettings(size[0], size[1]))
 	}
-	for _, hosts := range []int{8, 30, 90, 300, TargetHosts} {
+	for _, hosts := range []int{8, 30, 90, 300, PlannedHosts} {
 		progress(fmt.Sprintf("fleet of %d hosts", hosts))
-		m.Fleets = append(m.Fleets, Fleet(hosts))
+		m.Fleets = append(m.Fleets, MeasureFleet(hosts))
 	}
 	for _, flows := range []int{31_000, 100_000, 250_000, 500_000} {
 		progress(fmt.Sprintf("%d flows", flows))
-		m.Flows = append(m.Flows, Flows(flows))
+		m.Flows = append(m.Flows, MeasureFlows(flows))
 	}
 	for _, flows := range []int{1000, 5000, 31_000} {
 		progress(fmt.Sprintf("handover of %d flows", flows))
-		m.Handovers = append(m.Handovers, Handover(flows))
+		m.Handovers = append(m.Handovers, MeasureHandover(flows))
 	}
 	for _, rate := range []int{50, 200, 1000} {
 		progress(fmt.Sprintf("%d non-idempotent requests a second", rate))
-		m.Requests = append(m.Requests, Requests(rate))
+		m.Requests = append(m.Requests, MeasureRequests(rate))
 	}
 	return m
 }
 
-// Derived is what the slopes mean for one host at the two-year size.
-type Derived struct {
-	FlowsAHost       float64
-	FlowMemory       float64
-	Memory           float64
-	HeartbeatBytes   float64
-	WitnessBytes     float64
-	SettingsBytes    float64
-	HandoverBytes    float64
-	ControlBytes     float64
-	ControlProcessor float64
-	Propagation      time.Duration
+// HostEstimate is what the slopes mean for one host at the two-year size.
+type HostEstimate struct {
+	Flows                   float64
+	FlowMemoryBytes         float64
+	MemoryBytes             float64
+	HeartbeatBytesPerSecond float64
+	WitnessBytesPerSecond   float64
+	SettingsBytesPerSecond  float64
+	HandoverBytesPerSecond  float64
+	ControlBytesPerSecond   float64
+	ControlCPUShare         float64
+	Propagation             time.Duration
 }
 
-// Derive works the figures out.
-func (m Measures) Derive() Derived {
+// EstimateHost works the figures out.
+func (m Measurements) EstimateHost() HostEstimate {
 	fleet := m.Fleets[len(m.Fleets)-1]
 	settings := m.Settings[len(m.Settings)-1]
 	handover := m.Handovers[len(m.Handovers)-1]
 	request := m.Requests[0]
-	const secondsADay = 86_400
-	d := Derived{FlowsAHost: float64(TargetFlows) / TargetHosts, Propagation: fleet.Propagation}
-	d.FlowMemory = d.FlowsAHost * m.Flows[0].BytesAFlow
-	d.Memory = d.FlowMemory + float64(settings.Memory)
-	d.HeartbeatBytes = fleet.MaxBytes
+	const secondsPerDay = 86_400
+	d := HostEstimate{Flows: float64(PlannedFlows) / PlannedHosts, Propagation: fleet.Propagation}
+	d.FlowMemoryBytes = d.Flows * m.Flows[0].BytesPerFlow
+	d.MemoryBytes = d.FlowMemoryBytes + float64(settings.MemoryBytes)
+	d.HeartbeatBytesPerSecond = fleet.MaxBytesPerSecond
 	// Every new flow is taken for one request that must run once.
-	d.WitnessBytes = float64(TargetFlowsASecond) / TargetHosts * request.BytesARequest
-	d.SettingsBytes = float64(settings.Compressed) * TargetChangesADay / secondsADay
-	perFlow := float64(handover.Bytes) / float64(handover.Flows)
-	d.HandoverBytes = perFlow * d.FlowsAHost * TargetRestartsADay / TargetHosts / secondsADay
-	d.ControlBytes = d.HeartbeatBytes + d.WitnessBytes + d.SettingsBytes + 2*d.HandoverBytes
-	adopting := settings.Change.Seconds() * TargetChangesADay / secondsADay
-	d.ControlProcessor = fleet.Processor + adopting
+	d.WitnessBytesPerSecond = float64(PlannedNewFlowsPerSecond) / PlannedHosts * request.BytesPerRequest
+	d.SettingsBytesPerSecond = float64(settings.CompressedBytes) * PlannedChangesPerDay / secondsPerDay
+	bytesPerFlow := float64(handover.Bytes) / float64(handover.Flows)
+	d.HandoverBytesPerSecond = bytesPerFlow * d.Flows * PlannedRestartsPerDay / PlannedHosts / secondsPerDay
+	d.ControlBytesPerSecond = d.HeartbeatBytesPerSecond + d.WitnessBytesPerSecond + d.SettingsBytesPerSecond + 2*d.HandoverBytesPerSecond
+	adoptionCPUShare := settings.ChangeTime.Seconds() * PlannedChangesPerDay / secondsPerDay
+	d.ControlCPUShare = fleet.CPUShare + adoptionCPUShare
 	return d
 }
 
 // pageWriter writes a line of the page.
 type pageWriter func(format string, args ...any)
 
-// table writes the head of a table below a section's title.
-func (w pageWriter) table(title string, columns ...string) {
+// tableHead writes the head of a table below a section's title.
+func (w pageWriter) tableHead(title string, columns ...string) {
 	w("## %s", title)
 	w("")
 	w("| %s |", strings.Join(columns, " | "))
@@ -100,7 +100,7 @@
 }
 
 // Page writes the measures as Markdown.
-func (m Measures) Page() string {
+func (m Measurements) Page() string {
 	var b strings.Builder
 	line := pageWriter(func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) })
 	line("# Measured figures")
@@ -112,68 +112,68 @@
 	m.fleetTable(line)
 	m.flowTable(line)
 	m.requestTable(line)
-	m.derivedTable(line)
+	m.estimateTable(line)
 	return b.String()
 }
 
-func (m Measures) settingsTable(line pageWriter) {
-	line.table(fmt.Sprintf("Settings tree with %d hosts", TargetHosts), "targets", "services", "bytes", "compressed", "resolve", "adopt", "small change", "memory of a host")
+func (m Measurements) settingsTable(line pageWriter) {
+	line.tableHead(fmt.Sprintf("Settings tree with %d hosts", PlannedHosts), "targets", "services", "bytes", "compressed", "resolve", "adopt", "small change", "memory of a host")
 	for _, p := range m.Settings {
-		line("| %d | %d | %d | %d | %s | %s | %s | %.1f MB |", p.Targets, p.Services, p.Bytes, p.Compressed, round(p.Resolve), round(p.Adopt), round(p.Change), float64(p.Memory)/(1<<20))
+		line("| %d | %d | %d | %d | %s | %s | %s | %.1f MB |", p.Targets, p.Services, p.DocumentBytes, p.CompressedBytes, roundDuration(p.ResolveTime), roundDuration(p.AdoptTime), roundDuration(p.ChangeTime), float64(p.MemoryBytes)/(1<<20))
 	}
 	line.plots("settings")
 }
 
-func (m Measures) fleetTable(line pageWriter) {
-	line.table(fmt.Sprintf("Control traffic of a fleet in %d zones, a host and second", TargetZones), "hosts", "messages", "bytes", "bytes, busiest", "share of a core", "probes", "change in force", "reads of the platform")
+func (m Measurements) fleetTable(line pageWriter) {
+	line.tableHead(fmt.Sprintf("Control traffic of a fleet in %d zones, a host and second", PlannedZones), "hosts", "messages", "bytes", "bytes, busiest", "share of a core", "probes", "change in force", "reads of the platform")
 	for _, p := range m.Fleets {
-		line("| %d | %.1f | %.0f | %.0f | %.2f%% | %.1f | %s | %d |", p.Hosts, p.Messages, p.Bytes, p.MaxBytes, 100*p.Processor, p.Probes, round(p.Propagation), p.Reads)
+		line("| %d | %.1f | %.0f | %.0f | %.2f%% | %.1f | %s | %d |", p.Hosts, p.MessagesPerSecond, p.BytesPerSecond, p.MaxBytesPerSecond, 100*p.CPUShare, p.ProbesPerSecond, roundDuration(p.Propagation), p.PlatformReads)
 	}
 	line.plots("fleet", "propagation")
 }
 
-func (m Measures) flowTable(line pageWriter) {
-	line.table("Flows of one host", "flows", "bytes a flow", "packet of a known flow", "slowest tick of a sweep")
+func (m Measurements) flowTable(line pageWriter) {
+	line.tableHead("Flows of one host", "flows", "bytes a flow", "packet of a known flow", "slowest tick of a sweep")
 	for _, p := range m.Flows {
-		line("| %d | %.1f | %s | %s |", p.Flows, p.BytesAFlow, p.Packet, round(p.SweepTick))
+		line("| %d | %.1f | %s | %s |", p.Flows, p.BytesPerFlow, p.PacketTime, roundDuration(p.SlowestTick))
 	}
 	line.plots("flows")
-	line.table("Planned leave, cell of three", "flows", "until left", "bytes", "bytes a flow")
+	line.tableHead("Planned leave, cell of three", "flows", "until left", "bytes", "bytes a flow")
 	for _, p := range m.Handovers {
-		line("| %d | %s | %d | %.1f |", p.Flows, round(p.Span), p.Bytes, float64(p.Bytes)/float64(p.Flows))
+		line("| %d | %s | %d | %.1f |", p.Flows, roundDuration(p.Duration), p.Bytes, float64(p.Bytes)/float64(p.Flows))
 	}
 	line.plots("handover")
 }
 
-func (m Measures) requestTable(line pageWriter) {
-	line.table("Requests that must run once, cell of three", "a second", "control bytes a request")
+func (m Measurements) requestTable(line pageWriter) {
+	line.tableHead("Requests that must run once, cell of three", "a second", "control bytes a request")
 	for _, p := range m.Requests {
-		line("| %d | %.0f |", p.ASecond, p.BytesARequest)
+		line("| %d | %.0f |", p.RequestsPerSecond, p.BytesPerRequest)
 	}
 	line.plots("requests")
 }
 
-func (m Measures) derivedTable(line pageWriter) {
-	d := m.Derive()
+func (m Measurements) estimateTable(line pageWriter) {
+	d := m.EstimateHost()
 	verdict := func(met bool) string {
 		if met {
 			return "met"
 		}
 		return "**missed**"
 	}
-	line.table("One host at the two-year size, worked out", "what", "figure", "bound", "")
-	line("| flows | %.0f | | |", d.FlowsAHost)
-	line("| memory: flows %.1f MB, settings and tables %.1f MB | %.1f MB | 128 MB | %s |", d.FlowMemory/(1<<20), (d.Memory-d.FlowMemory)/(1<<20), d.Memory/(1<<20), verdict(d.Memory < BoundMemoryBytes))
-	line("| heartbeats, busiest host | %.0f B/s | | |", d.HeartbeatBytes)
-	line("| identities of %d new flows a second | %.0f B/s | | |", TargetFlowsASecond, d.WitnessBytes)
-	line("| settings, %d changes a day | %.0f B/s | | |", TargetChangesADay, d.SettingsBytes)
-	line("| handovers, %d restarts a day | %.0f B/s | | |", TargetRestartsADay, d.HandoverBytes)
-	line("| control in all | %.0f B/s | 14000 B/s | %s |", d.ControlBytes, verdict(d.ControlBytes < BoundControlBytes))
-	line("| processor for control | %.2f%% of a core | 4.8%% | %s |", 100*d.ControlProcessor, verdict(d.ControlProcessor < BoundProcessorShare))
-	line("| a change in force everywhere | %s | 9 s | %s |", round(d.Propagation), verdict(d.Propagation < BoundPropagation))
+	line.tableHead("One host at the two-year size, worked out", "what", "figure", "bound", "")
+	line("| flows | %.0f | | |", d.Flows)
+	line("| memory: flows %.1f MB, settings and tables %.1f MB | %.1f MB | 128 MB | %s |", d.FlowMemoryBytes/(1<<20), (d.MemoryBytes-d.FlowMemoryBytes)/(1<<20), d.MemoryBytes/(1<<20), verdict(d.MemoryBytes < MaxMemoryBytes))
+	line("| heartbeats, busiest host | %.0f B/s | | |", d.HeartbeatBytesPerSecond)
+	line("| identities of %d new flows a second | %.0f B/s | | |", PlannedNewFlowsPerSecond, d.WitnessBytesPerSecond)
+	line("| settings, %d changes a day | %.0f B/s | | |", PlannedChangesPerDay, d.SettingsBytesPerSecond)
+	line("| handovers, %d restarts a day | %.0f B/s | | |", PlannedRestartsPerDay, d.HandoverBytesPerSecond)
+	line("| control in all | %.0f B/s | 14000 B/s | %s |", d.ControlBytesPerSecond, verdict(d.ControlBytesPerSecond < MaxControlBytesPerSecond))
+	line("| processor for control | %.2f%% of a core | 4.8%% | %s |", 100*d.ControlCPUShare, verdict(d.ControlCPUShare < MaxCPUShare))
+	line("| a change in force everywhere | %s | 9 s | %s |", roundDuration(d.Propagation), verdict(d.Propagation < MaxPropagation))
 }
 
-func round(d time.Duration) time.Duration {
+func roundDuration(d time.Duration) time.Duration {
 	if d > time.Second {
 		return d.Round(10 * time.Millisecond)
 	}
@@ -181,32 +181,32 @@
 }
 
 // Charts returns the pictures, by file name.
-func (m Measures) Charts() map[string]plotter.Chart {
-	var parse, change, bytes, spread, flows, packet, handover, requests [][2]float64
+func (m Measurements) Charts() map[string]plotter.Chart {
+	var adoption, change, bytes, propagation, flows, packet, handover, requests [][2]float64
 	for _, p := range m.Settings {
-		parse = append(parse, [2]float64{float64(p.Targets), p.Adopt.Seconds() * 1000})
-		change = append(change, [2]float64{float64(p.Targets), p.Change.Seconds() * 1000})
+		adoption = append(adoption, [2]float64{float64(p.Targets), p.AdoptTime.Seconds() * 1000})
+		change = append(change, [2]float64{float64(p.Targets), p.ChangeTime.Seconds() * 1000})
 	}
 	for _, p := range m.Fleets {
-		bytes = append(bytes, [2]float64{float64(p.Hosts), p.Bytes})
-		spread = append(spread, [2]float64{float64(p.Hosts), p.Propagation.Seconds()})
+		bytes = append(bytes, [2]float64{float64(p.Hosts), p.BytesPerSecond})
+		propagation = append(propagation, [2]float64{float64(p.Hosts), p.Propagation.Seconds()})
 	}
 	for _, p := range m.Flows {
-		flows = append(flows, [2]float64{float64(p.Flows), p.BytesAFlow})
-		packet = append(packet, [2]float64{float64(p.Flows), float64(p.Packet.Nanoseconds())})
+		flows = append(flows, [2]float64{float64(p.Flows), p.BytesPerFlow})
+		packet = append(packet, [2]float64{float64(p.Flows), float64(p.PacketTime.Nanoseconds())})
 	}
 	for _, p := range m.Handovers {
-		handover = append(handover, [2]float64{float64(p.Flows), p.Span.Seconds()})
+		handover = append(handover, [2]float64{float64(p.Flows), p.Duration.Seconds()})
 	}
 	for _, p := range m.Requests {
-		requests = append(requests, [2]float64{float64(p.ASecond), p.BytesARequest})
+		requests = append(requests, [2]float64{float64(p.RequestsPerSecond), p.BytesPerRequest})
 	}
 	return map[string]plotter.Chart{
-		"settings.svg":    {Title: "Settings against targets", X: "targets", Y: "milliseconds", Slopes: []plotter.Slope{{Name: "first adoption", Points: parse}, {Name: "small change", Points: change}}},
-		"fleet.svg":       {Title: "Control traffic against hosts", X: "hosts", Y: "bytes a second, each host", Slopes: []plotter.Slope{{Name: "control", Points: bytes}}},
-		"propagation.svg": {Title: "A change in force everywhere", X: "hosts", Y: "seconds", Slopes: []plotter.Slope{{Name: "all hosts", Points: spread}}},
-		"flows.svg":       {Title: "Flow table", X: "flows of one host", Y: "bytes, nanoseconds", Slopes: []plotter.Slope{{Name: "bytes a flow", Points: flows}, {Name: "ns a packet", Points: packet}}},
-		"handover.svg":    {Title: "Planned leave", X: "flows of one host", Y: "seconds", Slopes: []plotter.Slope{{Name: "until left", Points: handover}}},
-		"requests.svg":    {Title: "Identities", X: "requests a second", Y: "control bytes a request", Slopes: []plotter.Slope{{Name: "bytes", Points: requests}}},
+		"settings.svg":    {Title: "Settings against targets", X: "targets", Y: "milliseconds", Series: []plotter.Series{{Name: "first adoption", Points: adoption}, {Name: "small change", Points: change}}},
+		"fleet.svg":       {Title: "Control traffic against hosts", X: "hosts", Y: "bytes a second, each host", Series: []plotter.Series{{Name: "control", Points: bytes}}},
+		"propagation.svg": {Title: "A change in force everywhere", X: "hosts", Y: "seconds", Series: []plotter.Series{{Name: "all hosts", Points: propagation}}},
+		"flows.svg":       {Title: "Flow table", X: "flows of one host", Y: "bytes, nanoseconds", Series: []plotter.Series{{Name: "bytes a flow", Points: flows}, {Name: "ns a packet", Points: packet}}},
+		"handover.svg":    {Title: "Planned leave", X: "flows of one host", Y: "seconds", Series: []plotter.Series{{Name: "until left", Points: handover}}},
+		"requests.svg":    {Title: "Identities", X: "requests a second", Y: "control bytes a request", Series: []plotter.Series{{Name: "bytes", Points: requests}}},
 	}
 }
--- a/standin/internal/plotter/plotter.go
+++ b/standin/internal/plotter/plotter.go
@@ -21,8 +21,8 @@
 // Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Slope is one line of a chart.
-type Slope struct {
+// Series is one line of a chart.
+type Series struct {
 	Name   string
 	Points [][2]float64
 }
@@ -31,7 +31,7 @@
 type Chart struct {
 	Title  string
 	X, Y   string
-	Slopes []Slope
+	Series []Series
 }
 
 const (
@@ -49,9 +49,9 @@
 	p.X.Min, p.Y.Min = 0, 0
 	p.Legend.Top, p.Legend.Left = true, true
 	p.Add(plotter.NewGrid())
-	for i, slope := range chart.Slopes {
-		points := make(plotter.XYs, len(slope.Points))
-		for j, point := range slope.Points {
+	for i, series := range chart.Series {
+		points := make(plotter.XYs, len(series.Points))
+		for j, point := range series.Points {
 			points[j].X, points[j].Y = point[0], point[1]
 		}
 		line, dots, err := plotter.NewLinePoints(points)
@@ -61,7 +61,7 @@
 		line.Color = plotutil.Color(i)
 		dots.Color = plotutil.Color(i)
 		p.Add(line, dots)
-		p.Legend.Add(slope.Name, line, dots)
+		p.Legend.Add(series.Name, line, dots)
 	}
 	if err := p.Save(width, height, path); err != nil {
 		return &Error{Op: op, Err: err}
--- a/standin/internal/publisher/publisher.go
+++ b/standin/internal/publisher/publisher.go
@@ -33,35 +33,35 @@
 // RevisionHeader bears the revision of a settings document.
 const RevisionHeader = "Settings-Revision"
 
-// Publisher is the platform's state.
-type Publisher struct {
-	listener net.Listener
-	calls    atomic.Uint64
+// Platform is the platform's state.
+type Platform struct {
+	listener  net.Listener
+	callCount atomic.Uint64
 
 	mu        sync.Mutex
 	documents [][]byte
 	hosts     json.RawMessage
-	mode      mode
+	mode      failureMode
 	changed   chan struct{}
 }
 
-// mode is how the platform fails at present.
-type mode struct {
+// failureMode is how the platform fails at present.
+type failureMode struct {
 	// Down refuses every read.
 	Down bool `json:"down"`
-	// Stale serves this revision instead of the latest; zero serves the latest.
-	Stale uint64 `json:"stale"`
-	// SlowMs delays every answer.
-	SlowMs int `json:"slowMs"`
+	// ServedRevision serves this revision instead of the latest; zero serves the latest.
+	ServedRevision uint64 `json:"stale"`
+	// DelayMs delays every answer.
+	DelayMs int `json:"slowMs"`
 }
 
 // New listens on an address and publishes a first document as revision 1.
-func New(address string, document []byte) (*Publisher, error) {
+func New(address string, document []byte) (*Platform, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, &Error{Op: "listen", Err: err}
 	}
-	return &Publisher{
+	return &Platform{
 		listener:  listener,
 		documents: [][]byte{document},
 		hosts:     json.RawMessage("[]"),
@@ -70,16 +70,16 @@
 }
 
 // Run serves until the context ends, and reports its end.
-func (p *Publisher) Run(ctx context.Context) <-chan error {
-	end := make(chan error, 1)
+func (p *Platform) Run(ctx context.Context) <-chan error {
+	done := make(chan error, 1)
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /settings", p.settings)
-	mux.HandleFunc("GET /hosts", p.listHosts)
-	mux.HandleFunc("POST /control/publish", p.publish)
-	mux.HandleFunc("POST /control/hosts", p.setHosts)
-	mux.HandleFunc("POST /control/mode", p.setMode)
+	mux.HandleFunc("GET /settings", p.serveSettings)
+	mux.HandleFunc("GET /hosts", p.serveHosts)
+	mux.HandleFunc("POST /control/publish", p.handlePublish)
+	mux.HandleFunc("POST /control/hosts", p.handleSetHosts)
+	mux.HandleFunc("POST /control/mode", p.handleSetMode)
 	mux.HandleFunc("GET /control/calls", func(w http.ResponseWriter, _ *http.Request) {
-		_, _ = fmt.Fprintln(w, p.calls.Load())
+		_, _ = fmt.Fprintln(w, p.callCount.Load())
 	})
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
 	context.AfterFunc(ctx, func() { _ = server.Close() })
@@ -88,26 +88,26 @@
 		if errors.Is(err, http.ErrServerClosed) {
 			err = nil
 		}
-		end <- err
+		done <- err
 	}()
-	return end
+	return done
 }
 
-// admit counts a call and applies the mode; it reports whether to answer.
-func (p *Publisher) admit(w http.ResponseWriter) bool {
-	p.calls.Add(1)
+// applyFailureMode counts a call and applies the mode; it reports whether to answer.
+func (p *Platform) applyFailureMode(w http.ResponseWriter) bool {
+	p.callCount.Add(1)
 	p.mu.Lock()
-	now := p.mode
+	mode := p.mode
 	p.mu.Unlock()
-	time.Sleep(time.Duration(now.SlowMs) * time.Millisecond)
-	if now.Down {
+	time.Sleep(time.Duration(mode.DelayMs) * time.Millisecond)
+	if mode.Down {
 		http.Error(w, "down", http.StatusServiceUnavailable)
 	}
-	return !now.Down
+	return !mode.Down
 }
 
-func (p *Publisher) settings(w http.ResponseWriter, request *http.Request) {
-	if !p.admit(w) {
+func (p *Platform) serveSettings(w http.ResponseWriter, request *http.Request) {
+	if !p.applyFailureMode(w) {
 		return
 	}
 	query := request.URL.Query()
@@ -115,7 +115,7 @@
 	waitMs, _ := strconv.Atoi(query.Get("waitMs"))
 	timeout := time.After(time.Duration(waitMs) * time.Millisecond)
 	for {
-		revision, document, changed := p.latest()
+		revision, document, changed := p.servedDocument()
 		if revision > above || waitMs == 0 {
 			w.Header().Set(RevisionHeader, strconv.FormatUint(revision, 10))
 			_, _ = w.Write(document)
@@ -132,18 +132,18 @@
 	}
 }
 
-func (p *Publisher) latest() (uint64, []byte, <-chan struct{}) {
+func (p *Platform) servedDocument() (uint64, []byte, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	revision := uint64(len(p.documents))
-	if p.mode.Stale > 0 && p.mode.Stale < revision {
-		revision = p.mode.Stale
+	if p.mode.ServedRevision > 0 && p.mode.ServedRevision < revision {
+		revision = p.mode.ServedRevision
 	}
 	return revision, p.documents[revision-1], p.changed
 }
 
-func (p *Publisher) listHosts(w http.ResponseWriter, _ *http.Request) {
-	if !p.admit(w) {
+func (p *Platform) serveHosts(w http.ResponseWriter, _ *http.Request) {
+	if !p.applyFailureMode(w) {
 		return
 	}
 	p.mu.Lock()
@@ -151,9 +151,9 @@
 	_, _ = w.Write(p.hosts)
 }
 
-// publish takes any document as the next revision, also an invalid one: what
+// handlePublish takes any document as the next revision, also an invalid one: what
 // the system makes of it is for tests to see.
-func (p *Publisher) publish(w http.ResponseWriter, request *http.Request) {
+func (p *Platform) handlePublish(w http.ResponseWriter, request *http.Request) {
 	document, err := io.ReadAll(io.LimitReader(request.Body, 4*resolver.MaxDocumentBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -162,12 +162,12 @@
 	p.mu.Lock()
 	p.documents = append(p.documents, document)
 	revision := len(p.documents)
-	p.wake()
+	p.notifyWatchers()
 	p.mu.Unlock()
 	_, _ = fmt.Fprintln(w, revision)
 }
 
-func (p *Publisher) setHosts(w http.ResponseWriter, request *http.Request) {
+func (p *Platform) handleSetHosts(w http.ResponseWriter, request *http.Request) {
 	var hosts json.RawMessage
 	if err := json.NewDecoder(request.Body).Decode(&hosts); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -178,20 +178,20 @@
 	p.mu.Unlock()
 }
 
-func (p *Publisher) setMode(w http.ResponseWriter, request *http.Request) {
-	var next mode
+func (p *Platform) handleSetMode(w http.ResponseWriter, request *http.Request) {
+	var next failureMode
 	if err := json.NewDecoder(request.Body).Decode(&next); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	p.mu.Lock()
 	p.mode = next
-	p.wake()
+	p.notifyWatchers()
 	p.mu.Unlock()
 }
 
-// wake ends all waiting watches. The caller holds mu.
-func (p *Publisher) wake() {
+// notifyWatchers ends all waiting watches. The caller holds mu.
+func (p *Platform) notifyWatchers() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
--- a/standin/internal/responder/responder.go
+++ b/standin/internal/responder/responder.go
@@ -34,31 +34,31 @@
 func (e *Error) Unwrap() error { return e.Err }
 
 const (
-	maxDatagram = 2048
-	bufferBytes = 4 << 20
-	maxOptions  = 16
-	queueLength = 64
+	maxDatagramBytes   = 2048
+	receiveBufferBytes = 4 << 20
+	maxOptions         = 16
+	requestQueueLength = 64
 )
 
 // Config says how all targets of one process behave.
 type Config struct {
-	// Work is how long a request takes in its slot.
-	Work time.Duration
-	// NotifyEvery is the time between two notifications of a stream.
-	NotifyEvery time.Duration
+	// ProcessingTime is how long a request takes in its slot.
+	ProcessingTime time.Duration
+	// NotifyInterval is the time between two notifications of a stream.
+	NotifyInterval time.Duration
 }
 
 // Report is what the targets of one process counted.
 type Report struct {
-	// Runs counts what ran, by target.
-	Runs map[string]int `json:"runs"`
-	// Streams counts open streams, by target.
-	Streams map[string]int `json:"streams"`
-	// Doubled lists requests that ran more than once.
-	Doubled []string `json:"doubled"`
+	// Executions counts what ran, by target.
+	Executions map[string]int `json:"runs"`
+	// OpenStreams counts open streams, by target.
+	OpenStreams map[string]int `json:"streams"`
+	// DuplicateExecutions lists requests that ran more than once.
+	DuplicateExecutions []string `json:"doubled"`
 	// Misrouted lists requests that reached a target of another service.
 	Misrouted []string `json:"misrouted"`
-	Shed      int      `json:"shed"`
+	Refused   int      `json:"shed"`
 }
 
 // Responder is the targets of one process.
@@ -67,25 +67,25 @@
 	control net.Listener
 	targets []*target
 
-	mu        sync.Mutex
-	runs      map[string]int
-	misrouted []string
-	shed      int
+	mu         sync.Mutex
+	executions map[string]int
+	misrouted  []string
+	refused    int
 }
 
 // New opens the addresses of targets and the control address.
-func New(config Config, control string, services []resolver.Service, only func(name string) bool) (*Responder, error) {
-	r := &Responder{config: config, runs: map[string]int{}}
+func New(config Config, control string, services []resolver.Service, included func(name string) bool) (*Responder, error) {
+	r := &Responder{config: config, executions: map[string]int{}}
 	var err error
 	if r.control, err = net.Listen("tcp", control); err != nil {
 		return nil, &Error{Op: "listen for control", Err: err}
 	}
 	for _, service := range services {
-		for _, listed := range service.Targets {
-			if only != nil && !only(listed.Name) {
+		for _, configured := range service.Targets {
+			if included != nil && !included(configured.Name) {
 				continue
 			}
-			t, err := newTarget(r, service.Name, listed)
+			t, err := newTarget(r, service.Name, configured)
 			if err != nil {
 				return nil, err
 			}
@@ -97,7 +97,7 @@
 
 // Run serves until the context ends, and reports its end.
 func (r *Responder) Run(ctx context.Context) <-chan error {
-	end := make(chan error, 1)
+	done := make(chan error, 1)
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /report", func(w http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(w).Encode(r.Report())
@@ -111,10 +111,10 @@
 		}
 	})
 	for _, t := range r.targets {
-		running.Go(func() { t.read(ctx) })
-		running.Go(func() { t.notify(ctx) })
+		running.Go(func() { t.readLoop(ctx) })
+		running.Go(func() { t.notifyLoop(ctx) })
 		for range t.slots {
-			running.Go(func() { t.work(ctx) })
+			running.Go(func() { t.serveQueue(ctx) })
 		}
 	}
 	go func() {
@@ -123,93 +123,93 @@
 		if errors.Is(err, http.ErrServerClosed) {
 			err = nil
 		}
-		end <- err
+		done <- err
 	}()
-	return end
+	return done
 }
 
 // Report returns what was counted so far.
 func (r *Responder) Report() Report {
-	report := Report{Runs: map[string]int{}, Streams: map[string]int{}}
+	report := Report{Executions: map[string]int{}, OpenStreams: map[string]int{}}
 	for _, t := range r.targets {
 		t.mu.Lock()
-		report.Runs[t.name] = t.runs
-		report.Streams[t.name] = len(t.streams)
+		report.Executions[t.name] = t.executions
+		report.OpenStreams[t.name] = len(t.streams)
 		t.mu.Unlock()
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for id, n := range r.runs {
+	for id, n := range r.executions {
 		if n > 1 {
-			report.Doubled = append(report.Doubled, id)
+			report.DuplicateExecutions = append(report.DuplicateExecutions, id)
 		}
 	}
 	report.Misrouted = append(report.Misrouted, r.misrouted...)
-	report.Shed = r.shed
+	report.Refused = r.refused
 	return report
 }
 
 // target is one target.
 type target struct {
-	owner   *Responder
-	service string
-	name    string
-	slots   int
-	conn    *net.UDPConn
-	queue   chan job
-
-	mu       sync.Mutex
-	runs     int
-	inFlight int
-	streams  map[streamKey]*stream
-	uploads  map[netip.AddrPort]*upload
-	nextID   uint16
+	responder *Responder
+	service   string
+	name      string
+	slots     int
+	conn      *net.UDPConn
+	queue     chan queuedRequest
+
+	mu            sync.Mutex
+	executions    int
+	inFlight      int
+	streams       map[streamKey]*stream
+	uploads       map[netip.AddrPort]*upload
+	lastMessageID uint16
 }
 
-type job struct {
-	peer    netip.AddrPort
-	request message.Message
-	id      string
+type queuedRequest struct {
+	caller    netip.AddrPort
+	message   message.Message
+	requestID string
 }
 
 type streamKey struct {
-	peer  netip.AddrPort
-	token string
+	caller netip.AddrPort
+	token  string
 }
 
 type stream struct {
-	sequence uint32
-	lastID   uint16
+	sequence      uint32
+	lastMessageID uint16
 }
 
 // upload is the blocks of an upload that came so far.
 type upload struct {
-	next int64
-	data []byte
+	nextBlock int64
+	data      []byte
 }
 
-func newTarget(owner *Responder, service string, listed resolver.Target) (*target, error) {
-	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(listed.Address))
+func newTarget(responder *Responder, service string, configured resolver.Target) (*target, error) {
+	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(configured.Address))
 	if err != nil {
 		return nil, &Error{Op: "listen for requests", Err: err}
 	}
-	_ = conn.SetReadBuffer(bufferBytes)
+	_ = conn.SetReadBuffer(receiveBufferBytes)
 	return &target{
-		owner:   owner,
-		service: service,
-		name:    listed.Name,
-		slots:   listed.Policy.Slots,
-		conn:    conn,
-		queue:   make(chan job, queueLength),
-		streams: map[streamKey]*stream{},
-		uploads: map[netip.AddrPort]*upload{},
+		responder: responder,
+		service:   service,
+		name:      configured.Name,
+		slots:     configured.Policy.Slots,
+		conn:      conn,
+		queue:     make(chan queuedRequest, requestQueueLength),
+		streams:   map[streamKey]*stream{},
+		uploads:   map[netip.AddrPort]*upload{},
 	}, nil
 }
 
-func (t *target) read(ctx context.Context) {
-	buffer := make([]byte, maxDatagram)
+func (t *target) readLoop(ctx context.Context) {
+	buffer := make([]byte, maxDatagramBytes)
 	for {
-		n, peer, err := t.conn.ReadFromUDPAddrPort(buffer)
+		n, caller, err := t.conn.ReadFromUDPAddrPort(buffer)
 		if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -219,54 +219,54 @@
 		m := message.Message{Options: make(message.Options, 0, maxOptions)}
 		data := append([]byte(nil), buffer[:n]...)
 		if _, err := coder.DefaultCoder.Decode(data, &m); err == nil {
-			t.handle(peer, m)
+			t.handleMessage(caller, m)
 		}
 	}
 }
 
-func (t *target) handle(peer netip.AddrPort, m message.Message) {
+func (t *target) handleMessage(caller netip.AddrPort, m message.Message) {
 	path, _ := m.Options.Path()
 	switch {
 	case m.Code == codes.Empty:
 		if m.Type == message.Reset {
-			t.cancel(peer, uint16(m.MessageID))
+			t.cancelStream(caller, uint16(m.MessageID))
 		}
 	case path == "/health":
-		t.health(peer, m)
+		t.handleHealthCheck(caller, m)
 	case m.Code == codes.GET && m.Options.HasOption(message.Observe):
-		t.observe(peer, m)
+		t.handleObserve(caller, m)
 	case m.Options.HasOption(message.Block1):
-		t.block(peer, m)
+		t.handleBlock(caller, m)
 	case m.Code == codes.GET, m.Code == codes.POST, m.Code == codes.PUT:
-		t.submit(job{peer: peer, request: m, id: string(m.Payload)})
+		t.enqueue(queuedRequest{caller: caller, message: m, requestID: string(m.Payload)})
 	default:
-		t.answer(peer, m, codes.MethodNotAllowed, nil, nil)
+		t.sendResponse(caller, m, codes.MethodNotAllowed, nil, nil)
 	}
 }
 
-func (t *target) health(peer netip.AddrPort, m message.Message) {
+func (t *target) handleHealthCheck(caller netip.AddrPort, m message.Message) {
 	t.mu.Lock()
 	load := t.inFlight + len(t.queue)
 	t.mu.Unlock()
-	t.answer(peer, m, codes.Content, nil, fmt.Appendf(nil, `{"inFlight":%d}`, load))
+	t.sendResponse(caller, m, codes.Content, nil, fmt.Appendf(nil, `{"inFlight":%d}`, load))
 }
 
-// submit queues a request, or sheds it without running it.
-func (t *target) submit(j job) {
-	t.owner.check(t, j.id)
+// enqueue queues a request, or sheds it without running it.
+func (t *target) enqueue(request queuedRequest) {
+	t.responder.checkRouting(t, request.requestID)
 	select {
-	case t.queue <- j:
+	case t.queue <- request:
 	default:
-		t.owner.mu.Lock()
-		t.owner.shed++
-		t.owner.mu.Unlock()
-		t.answer(j.peer, j.request, codes.ServiceUnavailable, nil, nil)
+		t.responder.mu.Lock()
+		t.responder.refused++
+		t.responder.mu.Unlock()
+		t.sendResponse(request.caller, request.message, codes.ServiceUnavailable, nil, nil)
 	}
 }
 
-// check notes a request whose id names another service than the target's. An id
+// checkRouting notes a request whose id names another service than the target's. An id
 // is "service/number".
-func (r *Responder) check(t *target, id string) {
+func (r *Responder) checkRouting(t *target, id string) {
 	service, _, ok := strings.Cut(id, "/")
 	if !ok || service == t.service {
 		return
@@ -276,19 +276,19 @@
 	r.misrouted = append(r.misrouted, id+" at "+t.name)
 }
 
-func (t *target) work(ctx context.Context) {
+func (t *target) serveQueue(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case j := <-t.queue:
+		case request := <-t.queue:
 			t.addInFlight(1)
 			select {
 			case <-ctx.Done():
 				return
-			case <-time.After(t.owner.config.Work):
+			case <-time.After(t.responder.config.ProcessingTime):
 			}
-			t.run(j)
+			t.execute(request)
 			t.addInFlight(-1)
 		}
 	}
@@ -300,48 +300,48 @@
 	t.inFlight += n
 }
 
-func (t *target) run(j job) {
+func (t *target) execute(request queuedRequest) {
 	t.mu.Lock()
-	t.runs++
+	t.executions++
 	t.mu.Unlock()
-	if j.request.Code != codes.GET && j.id != "" {
-		t.owner.mu.Lock()
-		t.owner.runs[j.id]++
-		t.owner.mu.Unlock()
+	if request.message.Code != codes.GET && request.requestID != "" {
+		t.responder.mu.Lock()
+		t.responder.executions[request.requestID]++
+		t.responder.mu.Unlock()
 	}
 	code := codes.Changed
-	if j.request.Code == codes.GET {
+	if request.message.Code == codes.GET {
 		code = codes.Content
 	}
-	t.answer(j.peer, j.request, code, nil, []byte(t.name+" "+j.id))
+	t.sendResponse(request.caller, request.message, code, nil, []byte(t.name+" "+request.requestID))
 }
 
-// answer sends an answer in the acknowledgement of a confirmable request.
-func (t *target) answer(peer netip.AddrPort, request message.Message, code codes.Code, options message.Options, payload []byte) {
+// sendResponse sends an answer in the acknowledgement of a confirmable request.
+func (t *target) sendResponse(caller netip.AddrPort, request message.Message, code codes.Code, options message.Options, payload []byte) {
 	m := message.Message{Token: request.Token, Code: code, Options: options, Payload: payload, Type: message.NonConfirmable}
 	if request.Type == message.Confirmable {
 		m.Type = message.Acknowledgement
 		m.MessageID = request.MessageID
 	} else {
-		m.MessageID = int32(t.newID())
+		m.MessageID = int32(t.newMessageID())
 	}
-	t.send(peer, m)
+	t.sendMessage(caller, m)
 }
 
-func (t *target) newID() uint16 {
+func (t *target) newMessageID() uint16 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.nextID++
-	return t.nextID
+	t.lastMessageID++
+	return t.lastMessageID
 }
 
-func (t *target) send(peer netip.AddrPort, m message.Message) {
-	buffer := make([]byte, maxDatagram)
+func (t *target) sendMessage(caller netip.AddrPort, m message.Message) {
+	buffer := make([]byte, maxDatagramBytes)
 	n, err := coder.DefaultCoder.Encode(m, buffer)
 	if err != nil {
 		return
 	}
-	_, _ = t.conn.WriteToUDPAddrPort(buffer[:n], peer)
+	_, _ = t.conn.WriteToUDPAddrPort(buffer[:n], caller)
 }
 
 func observeOption(sequence uint32) message.Options {
@@ -352,14 +352,14 @@
 	return options
 }
 
-func (t *target) observe(peer netip.AddrPort, m message.Message) {
-	key := streamKey{peer: peer, token: string(m.Token)}
+func (t *target) handleObserve(caller netip.AddrPort, m message.Message) {
+	key := streamKey{caller: caller, token: string(m.Token)}
 	value, err := m.Options.Observe()
 	if err != nil {
-		t.answer(peer, m, codes.BadOption, nil, nil)
+		t.sendResponse(caller, m, codes.BadOption, nil, nil)
 		return
 	}
-	t.owner.check(t, string(m.Payload))
+	t.responder.checkRouting(t, string(m.Payload))
 	t.mu.Lock()
 	if value == 0 {
 		if _, ok := t.streams[key]; !ok {
@@ -373,21 +373,21 @@
 	if value == 0 {
 		options = observeOption(1)
 	}
-	t.answer(peer, m, codes.Content, options, []byte(t.name))
+	t.sendResponse(caller, m, codes.Content, options, []byte(t.name))
 }
 
-func (t *target) cancel(peer netip.AddrPort, id uint16) {
+func (t *target) cancelStream(caller netip.AddrPort, messageID uint16) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for key, s := range t.streams {
-		if key.peer == peer && s.lastID == id {
+		if key.caller == caller && s.lastMessageID == messageID {
 			delete(t.streams, key)
 		}
 	}
 }
 
-func (t *target) notify(ctx context.Context) {
-	ticker := time.NewTicker(t.owner.config.NotifyEvery)
+func (t *target) notifyLoop(ctx context.Context) {
+	ticker := time.NewTicker(t.responder.config.NotifyInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -400,70 +400,70 @@
 }
 
 func (t *target) notifyAll() {
-	type note struct {
-		peer    netip.AddrPort
+	type notification struct {
+		caller  netip.AddrPort
 		message message.Message
 	}
-	var notes []note
+	var notifications []notification
 	t.mu.Lock()
 	for key, s := range t.streams {
 		s.sequence++
-		t.nextID++
-		s.lastID = t.nextID
-		notes = append(notes, note{peer: key.peer, message: message.Message{
+		t.lastMessageID++
+		s.lastMessageID = t.lastMessageID
+		notifications = append(notifications, notification{caller: key.caller, message: message.Message{
 			Token:     []byte(key.token),
 			Code:      codes.Content,
 			Options:   observeOption(s.sequence),
 			Payload:   []byte(t.name),
-			MessageID: int32(t.nextID),
+			MessageID: int32(t.lastMessageID),
 			Type:      message.NonConfirmable,
 		}})
 	}
 	t.mu.Unlock()
-	for _, n := range notes {
-		t.send(n.peer, n.message)
+	for _, n := range notifications {
+		t.sendMessage(n.caller, n.message)
 	}
 }
 
-// block takes one block of an upload. The first payload line of the whole is
+// handleBlock takes one block of an upload. The first payload line of the whole is
 // the id.
-func (t *target) block(peer netip.AddrPort, m message.Message) {
+func (t *target) handleBlock(caller netip.AddrPort, m message.Message) {
 	value, _ := m.Options.GetUint32(message.Block1)
 	_, number, more, err := blockwise.DecodeBlockOption(value)
 	if err != nil {
-		t.answer(peer, m, codes.BadOption, nil, nil)
+		t.sendResponse(caller, m, codes.BadOption, nil, nil)
 		return
 	}
 	t.mu.Lock()
-	u := t.uploads[peer]
+	u := t.uploads[caller]
 	if number == 0 {
 		u = &upload{}
-		t.uploads[peer] = u
+		t.uploads[caller] = u
 	}
-	known := u != nil && (number == u.next || number == u.next-1)
-	if known && number == u.next {
+	expected := u != nil && (number == u.nextBlock || number == u.nextBlock-1)
+	if expected && number == u.nextBlock {
 		u.data = append(u.data, m.Payload...)
-		u.next++
+		u.nextBlock++
 	}
-	if known && !more {
-		delete(t.uploads, peer)
+	if expected && !more {
+		delete(t.uploads, caller)
 	}
 	t.mu.Unlock()
 	options, _, _ := message.Options{}.SetUint32(make([]byte, 4), message.Block1, value)
 	switch {
-	case !known:
-		t.answer(peer, m, codes.RequestEntityIncomplete, nil, nil)
+	case !expected:
+		t.sendResponse(caller, m, codes.RequestEntityIncomplete, nil, nil)
 	case more:
-		t.answer(peer, m, codes.Continue, options, nil)
+		t.sendResponse(caller, m, codes.Continue, options, nil)
 	default:
 		id, _, _ := strings.Cut(string(u.data), "\n")
-		t.owner.check(t, id)
+		t.responder.checkRouting(t, id)
 		t.mu.Lock()
-		t.runs++
+		t.executions++
 		t.mu.Unlock()
-		t.owner.mu.Lock()
-		t.owner.runs[id]++
-		t.owner.mu.Unlock()
-		t.answer(peer, m, codes.Changed, options, fmt.Appendf(nil, "%s %s %d", t.name, id, len(u.data)))
+		t.responder.mu.Lock()
+		t.responder.executions[id]++
+		t.responder.mu.Unlock()
+		t.sendResponse(caller, m, codes.Changed, options, fmt.Appendf(nil, "%s %s %d", t.name, id, len(u.data)))
 	}
 }
--- a/standin/internal/router/router.go
+++ b/standin/internal/router/router.go
@@ -16,17 +16,17 @@
 )
 
 const (
-	checkEvery = 500 * time.Millisecond
-	// maxMisses is after how many missed checks a host is out of rotation.
-	maxMisses = 2
+	checkInterval = 500 * time.Millisecond
+	// unhealthyThreshold is after how many missed checks a host is out of rotation.
+	unhealthyThreshold = 2
 )
 
 // Host is one host as routers know it.
 type Host struct {
-	Name   string
-	Zone   string
-	Packet netip.AddrPort
-	Ready  netip.AddrPort
+	Name          string
+	Zone          string
+	PacketAddress netip.AddrPort
+	ReadyAddress  netip.AddrPort
 }
 
 // Fault says what happens to the packets to a host.
@@ -41,9 +41,9 @@
 	conn   *net.UDPConn
 	client *http.Client
 
-	mu     sync.Mutex
-	misses map[string]int
-	faults map[string]Fault
+	mu           sync.Mutex
+	failedChecks map[string]int
+	faults       map[string]Fault
 }
 
 // New makes a router whose hosts are all out of rotation.
@@ -53,39 +53,39 @@
 		return nil, err
 	}
 	r := &Router{
-		hosts: hosts, conn: conn, misses: map[string]int{}, faults: map[string]Fault{},
-		client: &http.Client{Timeout: checkEvery, Transport: &http.Transport{DisableKeepAlives: true}},
+		hosts: hosts, conn: conn, failedChecks: map[string]int{}, faults: map[string]Fault{},
+		client: &http.Client{Timeout: checkInterval, Transport: &http.Transport{DisableKeepAlives: true}},
 	}
 	for _, h := range hosts {
-		r.misses[h.Name] = maxMisses
+		r.failedChecks[h.Name] = unhealthyThreshold
 	}
 	return r, nil
 }
 
 // Run checks hosts until the context ends, and reports its end.
 func (r *Router) Run(ctx context.Context) <-chan error {
-	end := make(chan error, 1)
+	done := make(chan error, 1)
 	var checks sync.WaitGroup
 	for _, h := range r.hosts {
-		checks.Go(func() { r.watch(ctx, h) })
+		checks.Go(func() { r.checkLoop(ctx, h) })
 	}
 	go func() {
 		checks.Wait()
-		end <- r.conn.Close()
+		done <- r.conn.Close()
 	}()
-	return end
+	return done
 }
 
-func (r *Router) watch(ctx context.Context, h Host) {
-	ticker := time.NewTicker(checkEvery)
+func (r *Router) checkLoop(ctx context.Context, h Host) {
+	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
 	for {
-		ready := r.check(ctx, h)
+		ready := r.checkReady(ctx, h)
 		r.mu.Lock()
 		if ready {
-			r.misses[h.Name] = 0
+			r.failedChecks[h.Name] = 0
 		} else {
-			r.misses[h.Name]++
+			r.failedChecks[h.Name]++
 		}
 		r.mu.Unlock()
 		select {
@@ -96,8 +96,8 @@
 	}
 }
 
-func (r *Router) check(ctx context.Context, h Host) bool {
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s%s", h.Ready, platformtest.ReadyPath), nil)
+func (r *Router) checkReady(ctx context.Context, h Host) bool {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s%s", h.ReadyAddress, platformtest.ReadyPath), nil)
 	if err != nil {
 		return false
 	}
@@ -109,37 +109,37 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// Rotation lists the hosts that get packets.
-func (r *Router) Rotation() []string {
+// InRotation lists the hosts that get packets.
+func (r *Router) InRotation() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var names []string
 	for _, h := range r.hosts {
-		if r.misses[h.Name] < maxMisses {
+		if r.failedChecks[h.Name] < unhealthyThreshold {
 			names = append(names, h.Name)
 		}
 	}
 	return names
 }
 
-// Harm sets the fault of the packets to a host.
-func (r *Router) Harm(host string, fault Fault) {
+// SetFault sets the fault of the packets to a host.
+func (r *Router) SetFault(host string, fault Fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faults[host] = fault
 }
 
-// Hand hands a packet of a caller to a host of its zone.
-func (r *Router) Hand(zone string, p platformtest.Packet) {
-	h, fault, ok := r.pick(zone, p)
+// Forward hands a packet of a caller to a host of its zone.
+func (r *Router) Forward(zone string, p platformtest.Packet) {
+	h, fault, ok := r.pickHost(zone, p)
 	if !ok || fault.Drop {
 		return
 	}
-	r.HandTo(h.Packet, p, fault.Delay)
+	r.ForwardTo(h.PacketAddress, p, fault.Delay)
 }
 
-// HandTo hands a packet to a host of the test's choice.
-func (r *Router) HandTo(host netip.AddrPort, p platformtest.Packet, delay time.Duration) {
+// ForwardTo hands a packet to a host of the test's choice.
+func (r *Router) ForwardTo(host netip.AddrPort, p platformtest.Packet, delay time.Duration) {
 	data := platformtest.Encode(p)
 	send := func() { _, _ = r.conn.WriteToUDPAddrPort(data, host) } // Lost packets are repeated.
 	if delay > 0 {
@@ -149,29 +149,29 @@
 	send()
 }
 
-// pick chooses by rendezvous hashing over the zone's hosts in rotation; over all
+// pickHost chooses by rendezvous hashing over the zone's hosts in rotation; over all
 // of the zone if fewer than half are; over all zones' if none is.
-func (r *Router) pick(zone string, p platformtest.Packet) (Host, Fault, bool) {
+func (r *Router) pickHost(zone string, p platformtest.Packet) (Host, Fault, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var own, ready, anywhere []Host
+	var inZone, readyInZone, otherZones []Host
 	for _, h := range r.hosts {
-		in := r.misses[h.Name] < maxMisses
+		inRotation := r.failedChecks[h.Name] < unhealthyThreshold
 		if h.Zone == zone {
-			own = append(own, h)
-			if in {
-				ready = append(ready, h)
+			inZone = append(inZone, h)
+			if inRotation {
+				readyInZone = append(readyInZone, h)
 			}
-		} else if in {
-			anywhere = append(anywhere, h)
+		} else if inRotation {
+			otherZones = append(otherZones, h)
 		}
 	}
-	candidates := ready
+	candidates := readyInZone
 	switch {
-	case len(ready) == 0 && len(anywhere) > 0:
-		candidates = anywhere
-	case 2*len(ready) < len(own):
-		candidates = own
+	case len(readyInZone) == 0 && len(otherZones) > 0:
+		candidates = otherZones
+	case 2*len(readyInZone) < len(inZone):
+		candidates = inZone
 	}
 	var best Host
 	var bestScore uint64
--- a/standin/internal/soaker/faults.go
+++ b/standin/internal/soaker/faults.go
@@ -16,296 +16,296 @@
 // fault is one kind of trouble. It returns when the trouble is over.
 type fault struct {
 	name string
-	// quiet faults keep no news from hosts, so promises with a time still hold.
-	quiet bool
-	run   func(ctx context.Context, s *soak) string
+	// updatesUnaffected faults keep no news from hosts, so promises with a time still hold.
+	updatesUnaffected bool
+	run               func(ctx context.Context, s *soakRun) string
 }
 
-// faults lists every kind of trouble that a run may bring.
-var faults = []fault{
+// firstFaultSet lists every kind of trouble that a run may bring.
+var firstFaultSet = []fault{
 	{"terminate", false, terminate},
 	{"terminateTwice", false, terminateTwice},
 	{"kill", false, kill},
 	{"pause", false, pause},
-	{"killMany", false, killMany},
-	{"store", false, harmStore},
-	{"storeForAll", false, harmStoreForAll},
-	{"peers", false, harmPeers},
-	{"packets", false, harmPackets},
+	{"killMany", false, killAllButFirst},
+	{"store", false, degradeStore},
+	{"storeForAll", false, degradeStoreForAll},
+	{"peers", false, degradePeerTraffic},
+	{"packets", false, degradePackets},
 	{"crashTarget", true, crashTarget},
 	{"reuseAddress", true, reuseAddress},
 	{"replaceTarget", true, replaceTarget},
-	{"publish", true, publish},
-	{"reload", true, reload},
+	{"publish", true, publishSettings},
+	{"reload", true, reloadSettings},
 }
 
-// laterFaults come with Config.Later only.
-var laterFaults = []fault{
-	{"storeLoses", false, loseAnswers},
+// secondFaultSet come with Config.Later only.
+var secondFaultSet = []fault{
+	{"storeLoses", false, loseStoreResponses},
 	{"flapTarget", true, flapTarget},
 	{"killAll", false, killAll},
 	{"restartTarget", true, restartTarget},
-	{"foreignEntry", true, foreignEntry},
-	{"overload", true, overload},
+	{"foreignEntry", true, writeForeignEntry},
+	{"overload", true, overloadTargets},
 }
 
-// newestFaults come with Config.Newest only.
-var newestFaults = []fault{
-	{"forgetHistory", true, forgetHistory},
+// thirdFaultSet come with Config.Newest only.
+var thirdFaultSet = []fault{
+	{"forgetHistory", true, dropStoreHistory},
 }
 
-// restores come with Config.Restores only.
-var restores = fault{"restoreStore", false, restoreStore}
+// restoreFault come with Config.Restores only.
+var restoreFault = fault{"restoreStore", false, restoreStore}
 
-// evacuation comes with Config.Orders only.
-var evacuation = fault{"evacuateZone", true, evacuateZone}
+// evacuationFault comes with Config.Orders only.
+var evacuationFault = fault{"evacuateZone", true, evacuateZone}
 
-// orders are the operators' orders to evacuate zones. It has a lock of its own, since
+// zoneEvacuations are the operators' orders to evacuate zones. It has a lock of its own, since
 // targets look at it with each new flow.
-type orders struct {
-	// giving lets one zone at a time be evacuated, so that there is always another.
-	giving sync.Mutex
+type zoneEvacuations struct {
+	// oneAtATime lets one zone at a time be evacuated, so that there is always another.
+	oneAtATime sync.Mutex
 
 	mu        sync.Mutex
 	zone      string
-	evacuated time.Time
+	orderedAt time.Time
 }
 
-func (o *orders) set(zone string, evacuated time.Time) {
+func (o *zoneEvacuations) set(zone string, orderedAt time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.zone, o.evacuated = zone, evacuated
+	o.zone, o.orderedAt = zone, orderedAt
 }
 
-// since returns since when a zone is to be evacuated; zero if it is not.
-func (o *orders) since(zone string) time.Time {
+// evacuatedSince returns since when a zone is to be evacuated; zero if it is not.
+func (o *zoneEvacuations) evacuatedSince(zone string) time.Time {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.zone != zone {
 		return time.Time{}
 	}
-	return o.evacuated
+	return o.orderedAt
 }
 
 // evacuateZone orders a zone to be evacuated, and takes the order back.
-func evacuateZone(ctx context.Context, s *soak) string {
-	if !s.orders.giving.TryLock() {
+func evacuateZone(ctx context.Context, s *soakRun) string {
+	if !s.evacuations.oneAtATime.TryLock() {
 		return "nothing, since another zone is"
 	}
-	defer s.orders.giving.Unlock()
-	zone, span := zoneName(s.pick(len(s.config.Zones))), drainLimit+s.span(4*time.Second)
-	s.orders.set(zone, time.Now())
+	defer s.evacuations.oneAtATime.Unlock()
+	zone, span := zoneName(s.randomInt(len(s.config.HostsPerZone))), drainLimit+s.randomDuration(4*time.Second)
+	s.evacuations.set(zone, time.Now())
 	s.fleet.store.Evacuate(zone, true)
-	wait(ctx, span)
-	s.orders.set("", time.Time{})
+	sleep(ctx, span)
+	s.evacuations.set("", time.Time{})
 	s.fleet.store.Evacuate(zone, false)
 	return fmt.Sprintf("%s for %s", zone, span)
 }
 
-func (s *soak) host() *process { return s.fleet.hosts[s.pick(len(s.fleet.hosts))] }
+func (s *soakRun) randomHost() *process { return s.fleet.hosts[s.randomInt(len(s.fleet.hosts))] }
 
-func (s *soak) span(most time.Duration) time.Duration {
-	return time.Duration(s.float() * float64(most))
+func (s *soakRun) randomDuration(limit time.Duration) time.Duration {
+	return time.Duration(s.randomFloat() * float64(limit))
 }
 
-func wait(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
 	}
 }
 
-func terminate(_ context.Context, s *soak) string {
-	h := s.host()
+func terminate(_ context.Context, s *soakRun) string {
+	h := s.randomHost()
 	h.signal(syscall.SIGTERM)
-	if !h.ended(6 * time.Second) {
-		s.fleet.problem("%s did not end within 6 s of SIGTERM", h.Name)
+	if !h.exitsWithin(6 * time.Second) {
+		s.fleet.addProblem("%s did not end within 6 s of SIGTERM", h.Name)
 		h.signal(syscall.SIGKILL)
-		h.ended(time.Second)
+		h.exitsWithin(time.Second)
 	}
 	s.start(h)
 	return h.Name
 }
 
-func terminateTwice(ctx context.Context, s *soak) string {
-	h, gap := s.host(), s.span(time.Second)
+func terminateTwice(ctx context.Context, s *soakRun) string {
+	h, gap := s.randomHost(), s.randomDuration(time.Second)
 	h.signal(syscall.SIGTERM)
-	wait(ctx, gap)
+	sleep(ctx, gap)
 	h.signal(syscall.SIGTERM)
-	if !h.ended(6 * time.Second) {
-		s.fleet.problem("%s did not end within 6 s of SIGTERM", h.Name)
+	if !h.exitsWithin(6 * time.Second) {
+		s.fleet.addProblem("%s did not end within 6 s of SIGTERM", h.Name)
 	}
 	s.start(h)
 	return fmt.Sprintf("%s after %s", h.Name, gap)
 }
 
-func (s *soak) start(h *process) {
+func (s *soakRun) start(h *process) {
 	if err := s.fleet.start(h); err != nil {
-		s.fleet.problem("start %s: %v", h.Name, err)
+		s.fleet.addProblem("start %s: %v", h.Name, err)
 	}
 }
 
-func kill(ctx context.Context, s *soak) string {
-	h, down := s.host(), s.span(1500*time.Millisecond)
+func kill(ctx context.Context, s *soakRun) string {
+	h, down := s.randomHost(), s.randomDuration(1500*time.Millisecond)
 	h.signal(syscall.SIGKILL)
-	h.ended(time.Second)
-	wait(ctx, down)
+	h.exitsWithin(time.Second)
+	sleep(ctx, down)
 	s.start(h)
 	return fmt.Sprintf("%s for %s", h.Name, down)
 }
 
-// killMany kills all hosts but the first at once.
-func killMany(ctx context.Context, s *soak) string {
-	down := s.span(800 * time.Millisecond)
+// killAllButFirst kills all hosts but the first at once.
+func killAllButFirst(ctx context.Context, s *soakRun) string {
+	down := s.randomDuration(800 * time.Millisecond)
 	for _, h := range s.fleet.hosts[1:] {
 		h.signal(syscall.SIGKILL)
 	}
-	wait(ctx, down)
+	sleep(ctx, down)
 	for _, h := range s.fleet.hosts[1:] {
-		h.ended(time.Second)
+		h.exitsWithin(time.Second)
 		s.start(h)
 	}
 	return down.String()
 }
 
-func pause(ctx context.Context, s *soak) string {
-	h, still := s.host(), s.span(3*time.Second)
+func pause(ctx context.Context, s *soakRun) string {
+	h, duration := s.randomHost(), s.randomDuration(3*time.Second)
 	h.signal(syscall.SIGSTOP)
-	wait(ctx, still)
+	sleep(ctx, duration)
 	h.signal(syscall.SIGCONT)
-	return fmt.Sprintf("%s for %s", h.Name, still)
+	return fmt.Sprintf("%s for %s", h.Name, duration)
 }
 
-func (s *soak) mode() platformtest.Mode {
-	return platformtest.Mode(1 + s.pick(3))
+func (s *soakRun) randomStoreMode() platformtest.Mode {
+	return platformtest.Mode(1 + s.randomInt(3))
 }
 
-func harmStore(ctx context.Context, s *soak) string {
-	h, mode, span := s.host(), s.mode(), s.span(5*time.Second)
+func degradeStore(ctx context.Context, s *soakRun) string {
+	h, mode, span := s.randomHost(), s.randomStoreMode(), s.randomDuration(5*time.Second)
 	s.fleet.store.SetMode(h.Name, mode)
-	wait(ctx, span)
+	sleep(ctx, span)
 	s.fleet.store.SetMode(h.Name, platformtest.ModeServing)
 	return fmt.Sprintf("%s mode %d for %s", h.Name, mode, span)
 }
 
-func harmStoreForAll(ctx context.Context, s *soak) string {
-	mode, span := s.mode(), s.span(5*time.Second)
-	s.treatAll(mode)
-	wait(ctx, span)
-	s.treatAll(platformtest.ModeServing)
+func degradeStoreForAll(ctx context.Context, s *soakRun) string {
+	mode, span := s.randomStoreMode(), s.randomDuration(5*time.Second)
+	s.setStoreModeForAll(mode)
+	sleep(ctx, span)
+	s.setStoreModeForAll(platformtest.ModeServing)
 	return fmt.Sprintf("mode %d for %s", mode, span)
 }
 
-// harmPeers harms what one host hears of some others, one way.
-func harmPeers(ctx context.Context, s *soak) string {
-	h, span := s.host(), s.span(4*time.Second)
-	harm := []Harm{{Drop: true}, {Delay: 400 * time.Millisecond}, {Reset: true}}[s.pick(3)]
+// degradePeerTraffic harms what one host hears of some others, one way.
+func degradePeerTraffic(ctx context.Context, s *soakRun) string {
+	h, span := s.randomHost(), s.randomDuration(4*time.Second)
+	fault := []ProxyFault{{Drop: true}, {Delay: 400 * time.Millisecond}, {Reset: true}}[s.randomInt(3)]
 	for _, other := range s.fleet.hosts {
-		if s.pick(3) > 0 {
-			h.proxy.harm(other.real, harm)
+		if s.randomInt(3) > 0 {
+			h.proxy.setFault(other.listenAddress, fault)
 		}
 	}
-	wait(ctx, span)
+	sleep(ctx, span)
 	for _, other := range s.fleet.hosts {
-		h.proxy.harm(other.real, Harm{})
+		h.proxy.setFault(other.listenAddress, ProxyFault{})
 	}
-	return fmt.Sprintf("%s %+v for %s", h.Name, harm, span)
+	return fmt.Sprintf("%s %+v for %s", h.Name, fault, span)
 }
 
-// harmPackets harms the way from the routers to a host.
-func harmPackets(ctx context.Context, s *soak) string {
-	h, span := s.host(), s.span(1500*time.Millisecond)
-	harm := []router.Fault{{Drop: true}, {Delay: 100 * time.Millisecond}}[s.pick(2)]
-	s.router.Harm(h.Name, harm)
-	wait(ctx, span)
-	s.router.Harm(h.Name, router.Fault{})
-	return fmt.Sprintf("%s %+v for %s", h.Name, harm, span)
+// degradePackets harms the way from the routers to a host.
+func degradePackets(ctx context.Context, s *soakRun) string {
+	h, span := s.randomHost(), s.randomDuration(1500*time.Millisecond)
+	fault := []router.Fault{{Drop: true}, {Delay: 100 * time.Millisecond}}[s.randomInt(2)]
+	s.router.SetFault(h.Name, fault)
+	sleep(ctx, span)
+	s.router.SetFault(h.Name, router.Fault{})
+	return fmt.Sprintf("%s %+v for %s", h.Name, fault, span)
 }
 
-// entryLapse is how long the entry of a silent target stays listed: three of its
+// entryTTL is how long the entry of a silent target stays listed: three of its
 // heartbeats.
-const entryLapse = 3600 * time.Millisecond
+const entryTTL = 3600 * time.Millisecond
 
-func crashTarget(ctx context.Context, s *soak) string {
-	t := s.target()
-	t.Darken()
-	wait(ctx, entryLapse)
+func crashTarget(ctx context.Context, s *soakRun) string {
+	t := s.takeTarget()
+	t.Silence()
+	sleep(ctx, entryTTL)
 	s.fleet.store.RemoveTarget(t.Entry().ID)
 	t.Stop()
-	s.addTarget(ctx, t.Entry().Service, s.pick(len(s.config.Zones)), s.newAddress())
+	s.addTarget(ctx, t.Entry().Service, s.randomInt(len(s.config.HostsPerZone)), s.newTargetAddress())
 	return t.Entry().ID
 }
 
 // reuseAddress crashes a target and gives its address to another service.
-func reuseAddress(ctx context.Context, s *soak) string {
-	t := s.target()
+func reuseAddress(ctx context.Context, s *soakRun) string {
+	t := s.takeTarget()
 	entry := t.Entry()
 	t.Stop()
-	wait(ctx, 2*time.Second)
+	sleep(ctx, 2*time.Second)
 	service := ledger
 	if entry.Service == ledger {
 		service = intake
 	}
-	s.addTarget(ctx, service, s.pick(len(s.config.Zones)), entry.Address)
-	wait(ctx, entryLapse-2*time.Second)
+	s.addTarget(ctx, service, s.randomInt(len(s.config.HostsPerZone)), entry.Address)
+	sleep(ctx, entryTTL-2*time.Second)
 	s.fleet.store.RemoveTarget(entry.ID)
-	s.addTarget(ctx, entry.Service, s.pick(len(s.config.Zones)), s.newAddress())
+	s.addTarget(ctx, entry.Service, s.randomInt(len(s.config.HostsPerZone)), s.newTargetAddress())
 	return entry.ID
 }
 
-func replaceTarget(ctx context.Context, s *soak) string {
-	t := s.target()
-	s.addTarget(ctx, t.Entry().Service, s.pick(len(s.config.Zones)), s.newAddress())
-	s.fleet.store.PutTarget(t.Drain())
-	wait(ctx, drainLimit+2*time.Second)
+func replaceTarget(ctx context.Context, s *soakRun) string {
+	t := s.takeTarget()
+	s.addTarget(ctx, t.Entry().Service, s.randomInt(len(s.config.HostsPerZone)), s.newTargetAddress())
+	s.fleet.store.PutTarget(t.StartDraining())
+	sleep(ctx, drainLimit+2*time.Second)
 	t.Stop()
 	s.fleet.store.RemoveTarget(t.Entry().ID)
 	return t.Entry().ID
 }
 
-// publish brings the optional route, or takes it away, and looks at every host
+// publishSettings brings the optional route, or takes it away, and looks at every host
 // once it must be in force.
-func publish(ctx context.Context, s *soak) string {
-	s.publishing.Lock()
-	defer s.publishing.Unlock()
-	s.version += uint64(1 + s.pick(5))
-	s.optional = !s.optional
+func publishSettings(ctx context.Context, s *soakRun) string {
+	s.publishLock.Lock()
+	defer s.publishLock.Unlock()
+	s.version += uint64(1 + s.randomInt(5))
+	s.optionalRoutePublished = !s.optionalRoutePublished
 	if err := s.fleet.store.Publish(s.version, s.routes()); err != nil {
-		s.fleet.problem("publish: %v", err)
+		s.fleet.addProblem("publish: %v", err)
 	}
 	published := time.Now()
-	wait(ctx, inForceWithin)
-	s.checkInForce(ctx, published)
-	return fmt.Sprintf("version %d, optional route %v", s.version, s.optional)
+	sleep(ctx, inForceLimit)
+	s.checkVersionInForce(ctx, published)
+	return fmt.Sprintf("version %d, optional route %v", s.version, s.optionalRoutePublished)
 }
 
-// reload changes a host's file by a line that changes nothing, and mostly says so.
-func reload(_ context.Context, s *soak) string {
-	h := s.host()
-	text, err := os.ReadFile(h.file)
+// reloadSettings changes a host's file by a line that changes nothing, and mostly says so.
+func reloadSettings(_ context.Context, s *soakRun) string {
+	h := s.randomHost()
+	text, err := os.ReadFile(h.settingsPath)
 	if err == nil {
-		err = os.WriteFile(h.file, append(text, []byte("# changed\n")...), 0o600)
+		err = os.WriteFile(h.settingsPath, append(text, []byte("# changed\n")...), 0o600)
 	}
 	if err != nil {
-		s.fleet.problem("change %s: %v", h.file, err)
+		s.fleet.addProblem("change %s: %v", h.settingsPath, err)
 	}
-	if s.pick(3) > 0 {
+	if s.randomInt(3) > 0 {
 		h.signal(syscall.SIGHUP)
 	}
 	return h.Name
 }
 
-// loseAnswers has the store take the calls of some hosts and answer none.
-func loseAnswers(ctx context.Context, s *soak) string {
-	span := s.span(4 * time.Second)
+// loseStoreResponses has the store take the calls of some hosts and answer none.
+func loseStoreResponses(ctx context.Context, s *soakRun) string {
+	span := s.randomDuration(4 * time.Second)
 	var names []string
 	for _, h := range s.fleet.hosts {
-		if s.pick(2) > 0 {
+		if s.randomInt(2) > 0 {
 			s.fleet.store.SetMode(h.Name, platformtest.ModeAborting)
 			names = append(names, h.Name)
 		}
 	}
-	wait(ctx, span)
+	sleep(ctx, span)
 	for _, name := range names {
 		s.fleet.store.SetMode(name, platformtest.ModeServing)
 	}
@@ -314,28 +314,28 @@
 
 // flapTarget takes a target's entry out of the list and back by turns, while it
 // works on.
-func flapTarget(ctx context.Context, s *soak) string {
-	t := s.target()
-	turns := 1 + s.pick(3)
+func flapTarget(ctx context.Context, s *soakRun) string {
+	t := s.takeTarget()
+	turns := 1 + s.randomInt(3)
 	for range turns {
 		s.fleet.store.RemoveTarget(t.Entry().ID)
-		wait(ctx, s.span(2*time.Second))
+		sleep(ctx, s.randomDuration(2*time.Second))
 		s.fleet.store.PutTarget(t.Entry())
-		wait(ctx, s.span(2*time.Second))
+		sleep(ctx, s.randomDuration(2*time.Second))
 	}
-	s.giveBack(t)
+	s.returnTarget(t)
 	return fmt.Sprintf("%s %d times", t.Entry().ID, turns)
 }
 
 // killAll kills every host at once; none is left to ask.
-func killAll(ctx context.Context, s *soak) string {
-	down := s.span(1500 * time.Millisecond)
+func killAll(ctx context.Context, s *soakRun) string {
+	down := s.randomDuration(1500 * time.Millisecond)
 	for _, h := range s.fleet.hosts {
 		h.signal(syscall.SIGKILL)
 	}
-	wait(ctx, down)
+	sleep(ctx, down)
 	for _, h := range s.fleet.hosts {
-		h.ended(time.Second)
+		h.exitsWithin(time.Second)
 		s.start(h)
 	}
 	return down.String()
@@ -343,97 +343,97 @@
 
 // restartTarget lets a target crash and start again under its ID, at its address, up to
 // three times.
-func restartTarget(ctx context.Context, s *soak) string {
-	t := s.target()
-	turns := 1 + s.pick(3)
+func restartTarget(ctx context.Context, s *soakRun) string {
+	t := s.takeTarget()
+	turns := 1 + s.randomInt(3)
 	for range turns {
 		s.fleet.store.PutTarget(t.Restart())
-		wait(ctx, s.span(2*time.Second))
+		sleep(ctx, s.randomDuration(2*time.Second))
 	}
-	s.giveBack(t)
+	s.returnTarget(t)
 	return fmt.Sprintf("%s %d times", t.Entry().ID, turns)
 }
 
 // foreignValues are values of entries that name no target.
 var foreignValues = []string{`"not base64!"`, `17`, `null`, `""`, `"e30="`, `"W10="`}
 
-// foreignEntry has another program write an entry, over that of a target by turns.
-func foreignEntry(ctx context.Context, s *soak) string {
+// writeForeignEntry has another program write an entry, over that of a target by turns.
+func writeForeignEntry(ctx context.Context, s *soakRun) string {
 	id := "readme"
-	if s.pick(2) > 0 {
-		t := s.target()
+	if s.randomInt(2) > 0 {
+		t := s.takeTarget()
 		id = t.Entry().ID
-		defer s.giveBack(t)
+		defer s.returnTarget(t)
 	}
-	value := foreignValues[s.pick(len(foreignValues))]
+	value := foreignValues[s.randomInt(len(foreignValues))]
 	s.fleet.store.WriteForeign(id, json.RawMessage(value))
-	wait(ctx, s.span(3*time.Second))
+	sleep(ctx, s.randomDuration(3*time.Second))
 	s.fleet.store.WriteForeign(id, nil)
 	return fmt.Sprintf("%s of %s", value, id)
 }
 
-// blindSpan is how long the store tells no changes before it drops its history.
-const blindSpan = time.Second
+// changesOutage is how long the store tells no changes before it drops its history.
+const changesOutage = time.Second
 
-// forgetHistory has the store drop its history while a target is replaced, so that
+// dropStoreHistory has the store drop its history while a target is replaced, so that
 // nobody is ever told of that as a change.
-func forgetHistory(ctx context.Context, s *soak) string {
-	forgotten := make(chan struct{})
+func dropStoreHistory(ctx context.Context, s *soakRun) string {
+	dropped := make(chan struct{})
 	go func() {
-		s.fleet.store.CompactHistory(blindSpan)
-		close(forgotten)
+		s.fleet.store.CompactHistory(changesOutage)
+		close(dropped)
 	}()
 	replaced := replaceTarget(ctx, s)
-	<-forgotten
+	<-dropped
 	return replaced
 }
 
 // restoreStore has the store go away for a moment and come back from a copy some seconds
 // old, now and then twice; what was lost is written again within two seconds.
-func restoreStore(ctx context.Context, s *soak) string {
-	if !s.restoring.TryLock() {
+func restoreStore(ctx context.Context, s *soakRun) string {
+	if !s.restoreLock.TryLock() {
 		return "nothing, since it is under way"
 	}
-	defer s.restoring.Unlock()
-	from, age := s.fleet.store.Snapshot(), s.span(5*time.Second)
-	wait(ctx, age)
-	times := 1 + s.pick(2)
+	defer s.restoreLock.Unlock()
+	backup, age := s.fleet.store.Snapshot(), s.randomDuration(5*time.Second)
+	sleep(ctx, age)
+	times := 1 + s.randomInt(2)
 	for range times {
-		away := s.span(time.Second)
-		s.treatAll(platformtest.ModeAborting)
-		wait(ctx, away)
-		rewrite := s.fleet.store.Restore(from)
-		s.treatAll(platformtest.ModeServing)
-		wait(ctx, s.span(rewriteTime))
+		away := s.randomDuration(time.Second)
+		s.setStoreModeForAll(platformtest.ModeAborting)
+		sleep(ctx, away)
+		rewrite := s.fleet.store.Restore(backup)
+		s.setStoreModeForAll(platformtest.ModeServing)
+		sleep(ctx, s.randomDuration(rewriteLimit))
 		rewrite()
 	}
 	return fmt.Sprintf("%d times, from %s", times, age)
 }
 
-// rewriteTime is the time within which everybody writes again what a restore has lost.
-const rewriteTime = 2 * time.Second
+// rewriteLimit is the time within which everybody writes again what a restore has lost.
+const rewriteLimit = 2 * time.Second
 
-// treatAll sets how the store treats all hosts.
-func (s *soak) treatAll(mode platformtest.Mode) {
+// setStoreModeForAll sets how the store treats all hosts.
+func (s *soakRun) setStoreModeForAll(mode platformtest.Mode) {
 	for _, h := range s.fleet.hosts {
 		s.fleet.store.SetMode(h.Name, mode)
 	}
 }
 
-// overload lets every target take twenty times as long, so that more is asked of them
+// overloadTargets lets every target take twenty times as long, so that more is asked of them
 // than they can do.
-func overload(ctx context.Context, s *soak) string {
-	span := s.span(4 * time.Second)
-	s.setWork(20 * workTime)
-	wait(ctx, span)
-	s.setWork(workTime)
+func overloadTargets(ctx context.Context, s *soakRun) string {
+	span := s.randomDuration(4 * time.Second)
+	s.setProcessingTime(20 * processingTime)
+	sleep(ctx, span)
+	s.setProcessingTime(processingTime)
 	return span.String()
 }
 
-func (s *soak) setWork(d time.Duration) {
+func (s *soakRun) setProcessingTime(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, t := range s.started {
-		t.SetWork(d)
+	for _, t := range s.allTargets {
+		t.SetProcessingTime(d)
 	}
 }
--- a/standin/internal/soaker/fleet.go
+++ b/standin/internal/soaker/fleet.go
@@ -30,41 +30,41 @@
 // process is one host, as a real process.
 type process struct {
 	router.Host
-	real       netip.AddrPort
-	advertised netip.AddrPort
-	file       string
-	log        string
-	proxy      *proxy
-
-	mu   sync.Mutex
-	cmd  *exec.Cmd
-	done chan struct{}
+	listenAddress     netip.AddrPort
+	advertisedAddress netip.AddrPort
+	settingsPath      string
+	logPath           string
+	proxy             *proxy
+
+	mu     sync.Mutex
+	cmd    *exec.Cmd
+	exited chan struct{}
 }
 
 // fleet is the hosts of a run, with their store.
 type fleet struct {
-	program  string
-	dir      string
-	block    int
-	store    *platformtest.Store
-	hosts    []*process
-	servers  []*http.Server
-	ends     sync.WaitGroup
-	mu       sync.Mutex
-	problems []string
+	balancerPath string
+	dir          string
+	addressBlock int
+	store        *platformtest.Store
+	hosts        []*process
+	storeServers []*http.Server
+	serving      sync.WaitGroup
+	mu           sync.Mutex
+	problems     []string
 }
 
-// at is an address of this run: 127.block.zone.n.
-func (f *fleet) at(zone, n int, port uint16) netip.AddrPort {
-	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(f.block), byte(zone + 1), byte(n)}), port)
+// address is an address of this run: 127.block.zone.n.
+func (f *fleet) address(zone, n int, port uint16) netip.AddrPort {
+	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(f.addressBlock), byte(zone + 1), byte(n)}), port)
 }
 
 func zoneName(zone int) string { return string(rune('a' + zone)) }
 
 // newFleet makes the hosts' files, proxies and stores; nothing runs yet.
 func newFleet(ctx context.Context, config Config, dir string) (*fleet, error) {
-	f := &fleet{program: config.Program, dir: dir, block: config.Block, store: platformtest.NewStore()}
-	for zone, count := range config.Zones {
+	f := &fleet{balancerPath: config.BalancerPath, dir: dir, addressBlock: config.AddressBlock, store: platformtest.NewStore()}
+	for zone, count := range config.HostsPerZone {
 		for n := 1; n <= count; n++ {
 			if err := f.addHost(ctx, zone, n); err != nil {
 				return nil, err
@@ -73,29 +73,29 @@
 	}
 	var seeds []string
 	for _, h := range f.hosts[:min(3, len(f.hosts))] {
-		seeds = append(seeds, h.advertised.String())
+		seeds = append(seeds, h.advertisedAddress.String())
 	}
 	for i, h := range f.hosts {
-		if err := h.write(f.storeAddress(i), seeds); err != nil {
+		if err := h.writeSettings(f.storeAddress(i), seeds); err != nil {
 			return nil, err
 		}
 	}
 	return f, nil
 }
 
-func (f *fleet) storeAddress(i int) netip.AddrPort { return f.at(200, i+1, storePort) }
+func (f *fleet) storeAddress(i int) netip.AddrPort { return f.address(200, i+1, storePort) }
 
 func (f *fleet) addHost(ctx context.Context, zone, n int) error {
 	name := fmt.Sprintf("%s%d", zoneName(zone), n)
 	h := &process{
-		Host:       router.Host{Name: name, Zone: zoneName(zone), Packet: f.at(zone, n, packetPort), Ready: f.at(zone, n, readyPort)},
-		real:       f.at(zone, n, peerPort),
-		advertised: f.at(zone, n+100, peerPort),
-		file:       filepath.Join(f.dir, name+".yaml"),
-		log:        filepath.Join(f.dir, name+".log"),
+		Host:              router.Host{Name: name, Zone: zoneName(zone), PacketAddress: f.address(zone, n, packetPort), ReadyAddress: f.address(zone, n, readyPort)},
+		listenAddress:     f.address(zone, n, peerPort),
+		advertisedAddress: f.address(zone, n+100, peerPort),
+		settingsPath:      filepath.Join(f.dir, name+".yaml"),
+		logPath:           filepath.Join(f.dir, name+".log"),
 	}
 	var err error
-	if h.proxy, err = newProxy(ctx, h.advertised, h.real); err != nil {
+	if h.proxy, err = newProxy(ctx, h.advertisedAddress, h.listenAddress); err != nil {
 		return err
 	}
 	listener, err := net.Listen("tcp4", f.storeAddress(len(f.hosts)).String())
@@ -103,14 +103,14 @@
 		return err
 	}
 	server := &http.Server{Handler: f.store.Handler(name), ReadHeaderTimeout: time.Second}
-	f.servers = append(f.servers, server)
-	f.ends.Go(func() { _ = server.Serve(listener) }) // It ends with stop.
+	f.storeServers = append(f.storeServers, server)
+	f.serving.Go(func() { _ = server.Serve(listener) }) // It ends with stop.
 	f.hosts = append(f.hosts, h)
 	return nil
 }
 
-// write writes the host's settings file.
-func (h *process) write(store netip.AddrPort, seeds []string) error {
+// writeSettings writes the host's settings file.
+func (h *process) writeSettings(storeAddress netip.AddrPort, seeds []string) error {
 	text := fmt.Sprintf(`name: %s
 availabilityZone: %s
 address: %s
@@ -124,41 +124,41 @@
 forwarding: echo
 settingsWithin: 3s
 drainingWithin: 3s
-`, h.Name, h.Zone, h.real, h.advertised, h.Packet, h.Ready, netip.AddrPortFrom(h.real.Addr(), adminPort), store, strings.Join(seeds, ","))
-	return os.WriteFile(h.file, []byte(text), 0o600)
+`, h.Name, h.Zone, h.listenAddress, h.advertisedAddress, h.PacketAddress, h.ReadyAddress, netip.AddrPortFrom(h.listenAddress.Addr(), adminPort), storeAddress, strings.Join(seeds, ","))
+	return os.WriteFile(h.settingsPath, []byte(text), 0o600)
 }
 
 // start starts a host. Faults overlap, so another may have started it already.
 func (f *fleet) start(h *process) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.runs() {
+	if h.running() {
 		return nil
 	}
-	log, err := os.OpenFile(h.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(h.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	h.cmd = exec.Command(f.program, "flows", "--config", h.file)
+	h.cmd = exec.Command(f.balancerPath, "flows", "--config", h.settingsPath)
 	h.cmd.Stdout, h.cmd.Stderr = log, log
 	if err := h.cmd.Start(); err != nil {
 		return err
 	}
-	done := make(chan struct{})
-	h.done = done
+	exited := make(chan struct{})
+	h.exited = exited
 	cmd := h.cmd
 	go func() {
 		err := cmd.Wait()
 		_ = log.Close()
 		if cmd.ProcessState.Exited() && err != nil {
-			f.problem("%s ended by itself: %v", h.Name, err)
+			f.addProblem("%s ended by itself: %v", h.Name, err)
 		}
-		close(done)
+		close(exited)
 	}()
 	return nil
 }
 
-func (f *fleet) problem(format string, args ...any) {
+func (f *fleet) addProblem(format string, args ...any) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.problems = append(f.problems, fmt.Sprintf(format, args...))
@@ -173,46 +173,46 @@
 	}
 }
 
-// runs reports whether the process runs; the caller holds mu.
-func (h *process) runs() bool {
-	if h.done == nil {
+// running reports whether the process runs; the caller holds mu.
+func (h *process) running() bool {
+	if h.exited == nil {
 		return false
 	}
 	select {
-	case <-h.done:
+	case <-h.exited:
 		return false
 	default:
 		return true
 	}
 }
 
-// ended reports whether the process ends within a time.
-func (h *process) ended(within time.Duration) bool {
+// exitsWithin reports whether the process ends within a time.
+func (h *process) exitsWithin(within time.Duration) bool {
 	h.mu.Lock()
-	done := h.done
+	exited := h.exited
 	h.mu.Unlock()
-	if done == nil {
+	if exited == nil {
 		return true
 	}
 	select {
-	case <-done:
+	case <-exited:
 		return true
 	case <-time.After(within):
 		return false
 	}
 }
 
-// stop kills every host and frees all addresses, for the next run.
-func (f *fleet) stop() {
+// killAll kills every host and frees all addresses, for the next run.
+func (f *fleet) killAll() {
 	for _, h := range f.hosts {
 		h.signal(syscall.SIGKILL)
 	}
 	for _, h := range f.hosts {
-		h.ended(5 * time.Second)
+		h.exitsWithin(5 * time.Second)
 		h.proxy.close()
 	}
-	for _, server := range f.servers {
+	for _, server := range f.storeServers {
 		_ = server.Close()
 	}
-	f.ends.Wait()
+	f.serving.Wait()
 }
--- a/standin/internal/soaker/proxy.go
+++ b/standin/internal/soaker/proxy.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Harm says what a proxy does to what comes from a host.
-type Harm struct {
+// ProxyFault says what a proxy does to what comes from a host.
+type ProxyFault struct {
 	// Drop swallows datagrams and lets connections hang; Delay holds both up.
 	Drop  bool
 	Delay time.Duration
@@ -22,19 +22,19 @@
 // proxy stands on the advertised address of a host, before its real one. So what
 // hosts tell each other can be harmed, each direction by itself.
 type proxy struct {
-	real     netip.AddrPort
+	upstream netip.AddrPort
 	conn     *net.UDPConn
 	listener net.Listener
-	ends     sync.WaitGroup
+	running  sync.WaitGroup
 
 	mu sync.Mutex
-	// from holds the harm to datagrams by the sender's address; toHere that to
+	// datagramFaults holds the harm to datagrams by the sender's address; connectionFault that to
 	// connections, whose sender shows no address of its own.
-	from   map[netip.AddrPort]Harm
-	toHere Harm
+	datagramFaults  map[netip.AddrPort]ProxyFault
+	connectionFault ProxyFault
 }
 
-func newProxy(ctx context.Context, advertised, real netip.AddrPort) (*proxy, error) {
+func newProxy(ctx context.Context, advertised, upstream netip.AddrPort) (*proxy, error) {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(advertised))
 	if err != nil {
 		return nil, err
@@ -44,26 +44,26 @@
 		_ = conn.Close()
 		return nil, err
 	}
-	p := &proxy{real: real, conn: conn, listener: listener, from: map[netip.AddrPort]Harm{}}
-	p.ends.Go(p.datagrams)
-	p.ends.Go(func() { p.connections(ctx) })
+	p := &proxy{upstream: upstream, conn: conn, listener: listener, datagramFaults: map[netip.AddrPort]ProxyFault{}}
+	p.running.Go(p.forwardDatagrams)
+	p.running.Go(func() { p.acceptLoop(ctx) })
 	return p, nil
 }
 
 func (p *proxy) close() {
 	_ = p.conn.Close()
 	_ = p.listener.Close()
-	p.ends.Wait()
+	p.running.Wait()
 }
 
-func (p *proxy) harm(from netip.AddrPort, h Harm) {
+func (p *proxy) setFault(from netip.AddrPort, fault ProxyFault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.from[from] = h
-	p.toHere = h
+	p.datagramFaults[from] = fault
+	p.connectionFault = fault
 }
 
-func (p *proxy) datagrams() {
+func (p *proxy) forwardDatagrams() {
 	buffer := make([]byte, 64<<10)
 	for {
 		n, from, err := p.conn.ReadFromUDPAddrPort(buffer)
@@ -74,43 +74,43 @@
 			continue // An earlier datagram came back undeliverable.
 		}
 		p.mu.Lock()
-		h := p.from[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
+		fault := p.datagramFaults[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 		p.mu.Unlock()
-		if h.Drop {
+		if fault.Drop {
 			continue
 		}
 		data := append([]byte(nil), buffer[:n]...)
-		time.AfterFunc(h.Delay, func() { _, _ = p.conn.WriteToUDPAddrPort(data, p.real) })
+		time.AfterFunc(fault.Delay, func() { _, _ = p.conn.WriteToUDPAddrPort(data, p.upstream) })
 	}
 }
 
-func (p *proxy) connections(ctx context.Context) {
+func (p *proxy) acceptLoop(ctx context.Context) {
 	for {
 		client, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		go p.connection(ctx, client)
+		go p.forwardConnection(ctx, client)
 	}
 }
 
-func (p *proxy) connection(ctx context.Context, client net.Conn) {
+func (p *proxy) forwardConnection(ctx context.Context, client net.Conn) {
 	defer func() { _ = client.Close() }()
 	p.mu.Lock()
-	h := p.toHere
+	fault := p.connectionFault
 	p.mu.Unlock()
 	switch {
-	case h.Reset:
+	case fault.Reset:
 		return
-	case h.Drop:
+	case fault.Drop:
 		select { // A silent connection: open, and nothing comes.
 		case <-ctx.Done():
 		case <-time.After(5 * time.Second):
 		}
 		return
 	}
-	time.Sleep(h.Delay)
-	server, err := net.Dial("tcp4", p.real.String())
+	time.Sleep(fault.Delay)
+	server, err := net.Dial("tcp4", p.upstream.String())
 	if err != nil {
 		return
 	}
--- a/standin/internal/sprayer/sprayer.go
+++ b/standin/internal/sprayer/sprayer.go
@@ -33,54 +33,54 @@
 func (e *Error) Unwrap() error { return e.Err }
 
 const (
-	maxDatagram = 64 << 10
-	bufferBytes = 4 << 20
-	// announceSpan is how long an announcement holds.
-	announceSpan = 600 * time.Millisecond
+	maxDatagramBytes   = 64 << 10
+	receiveBufferBytes = 4 << 20
+	// announcementTTL is how long an announcement holds.
+	announcementTTL = 600 * time.Millisecond
 )
 
-// Sprayer is the fabric.
-type Sprayer struct {
-	inside   *net.UDPConn
-	control  net.Listener
-	services map[netip.AddrPort]*net.UDPConn
-	listed   map[netip.AddrPort]string
-
-	mu        sync.Mutex
-	returns   map[netip.Addr]*net.UDPConn
-	announced map[string]time.Time
-	cut       map[string]bool
-	open      []netip.AddrPort
-	random    *rand.Rand
+// Fabric is the fabric.
+type Fabric struct {
+	hostConn     *net.UDPConn
+	control      net.Listener
+	serviceConns map[netip.AddrPort]*net.UDPConn
+	hostNames    map[netip.AddrPort]string
+
+	mu             sync.Mutex
+	returnConns    map[netip.Addr]*net.UDPConn
+	announcedUntil map[string]time.Time
+	cutHosts       map[string]bool
+	openHosts      []netip.AddrPort
+	random         *rand.Rand
 }
 
 // New opens the inside address, to which hosts send, and every service address
 // of the settings. seed makes the choice of hosts repeatable.
-func New(inside, control netip.AddrPort, settings *resolver.Settings, seed uint64) (*Sprayer, error) {
-	s := &Sprayer{
-		services:  map[netip.AddrPort]*net.UDPConn{},
-		listed:    map[netip.AddrPort]string{},
-		returns:   map[netip.Addr]*net.UDPConn{},
-		announced: map[string]time.Time{},
-		cut:       map[string]bool{},
-		random:    rand.New(rand.NewPCG(seed, seed)),
+func New(hostListen, control netip.AddrPort, settings *resolver.Settings, seed uint64) (*Fabric, error) {
+	f := &Fabric{
+		serviceConns:   map[netip.AddrPort]*net.UDPConn{},
+		hostNames:      map[netip.AddrPort]string{},
+		returnConns:    map[netip.Addr]*net.UDPConn{},
+		announcedUntil: map[string]time.Time{},
+		cutHosts:       map[string]bool{},
+		random:         rand.New(rand.NewPCG(seed, seed)),
 	}
 	var err error
-	if s.inside, err = listen(inside); err != nil {
+	if f.hostConn, err = listen(hostListen); err != nil {
 		return nil, err
 	}
 	for _, service := range settings.Services {
-		if s.services[service.Address], err = listen(service.Address); err != nil {
+		if f.serviceConns[service.Address], err = listen(service.Address); err != nil {
 			return nil, err
 		}
 	}
 	for _, host := range settings.Hosts {
-		s.listed[host.FabricAddress] = host.Name
+		f.hostNames[host.FabricAddress] = host.Name
 	}
-	if s.control, err = net.Listen("tcp", control.String()); err != nil {
+	if f.control, err = net.Listen("tcp", control.String()); err != nil {
 		return nil, &Error{Op: "listen for control", Err: err}
 	}
-	return s, nil
+	return f, nil
 }
 
 func listen(address netip.AddrPort) (*net.UDPConn, error) {
@@ -88,72 +88,74 @@
 	if err != nil {
 		return nil, &Error{Op: "listen", Err: err}
 	}
-	_ = conn.SetReadBuffer(bufferBytes)
+	_ = conn.SetReadBuffer(receiveBufferBytes)
 	return conn, nil
 }
 
 // Run moves packets until the context ends, and reports its end.
-func (s *Sprayer) Run(ctx context.Context) <-chan error {
-	end := make(chan error, 1)
-	server := s.controlServer()
+func (f *Fabric) Run(ctx context.Context) <-chan error {
+	done := make(chan error, 1)
+	server := f.controlServer()
 	var readers sync.WaitGroup
 	context.AfterFunc(ctx, func() {
 		_ = server.Close()
-		s.closeAll()
+		f.closeAll()
 	})
-	for address, conn := range s.services {
+	for address, conn := range f.serviceConns {
 		readers.Go(func() {
-			s.read(ctx, conn, func(from netip.AddrPort, data []byte) { s.spray(from, address, data) })
+			f.readLoop(ctx, conn, func(from netip.AddrPort, data []byte) { f.sendToRandomHost(from, address, data) })
 		})
 	}
-	readers.Go(func() { s.read(ctx, s.inside, func(from netip.AddrPort, data []byte) { s.fromHost(ctx, from, data) }) })
+	readers.Go(func() {
+		f.readLoop(ctx, f.hostConn, func(from netip.AddrPort, data []byte) { f.handleFromHost(ctx, from, data) })
+	})
 	go func() {
-		err := server.Serve(s.control)
+		err := server.Serve(f.control)
 		readers.Wait()
 		if errors.Is(err, http.ErrServerClosed) {
 			err = nil
 		}
-		end <- err
+		done <- err
 	}()
-	return end
+	return done
 }
 
-func (s *Sprayer) closeAll() {
-	_ = s.inside.Close()
-	for _, conn := range s.services {
+func (f *Fabric) closeAll() {
+	_ = f.hostConn.Close()
+	for _, conn := range f.serviceConns {
 		_ = conn.Close()
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, conn := range s.returns {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, conn := range f.returnConns {
 		_ = conn.Close()
 	}
 }
 
 // controlServer cuts hosts off the fabric: POST /cut?host=NAME, /heal?host=NAME.
-func (s *Sprayer) controlServer() *http.Server {
+func (f *Fabric) controlServer() *http.Server {
 	mux := http.NewServeMux()
 	set := func(cut bool) http.HandlerFunc {
 		return func(_ http.ResponseWriter, request *http.Request) {
-			s.mu.Lock()
-			defer s.mu.Unlock()
-			s.cut[request.URL.Query().Get("host")] = cut
-			s.renew()
+			f.mu.Lock()
+			defer f.mu.Unlock()
+			f.cutHosts[request.URL.Query().Get("host")] = cut
+			f.updateOpenHosts()
 		}
 	}
 	mux.HandleFunc("POST /cut", set(true))
 	mux.HandleFunc("POST /heal", set(false))
 	mux.HandleFunc("GET /hosts", func(w http.ResponseWriter, _ *http.Request) {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		s.renew()
-		_, _ = fmt.Fprintln(w, len(s.open))
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		f.updateOpenHosts()
+		_, _ = fmt.Fprintln(w, len(f.openHosts))
 	})
 	return &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
 }
 
-func (s *Sprayer) read(ctx context.Context, conn *net.UDPConn, handle func(netip.AddrPort, []byte)) {
-	buffer := make([]byte, maxDatagram)
+func (f *Fabric) readLoop(ctx context.Context, conn *net.UDPConn, handle func(netip.AddrPort, []byte)) {
+	buffer := make([]byte, maxDatagramBytes)
 	for {
 		n, from, err := conn.ReadFromUDPAddrPort(buffer)
 		if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
@@ -166,88 +168,88 @@
 	}
 }
 
-// spray hands a packet to a random host.
-func (s *Sprayer) spray(from, to netip.AddrPort, payload []byte) {
+// sendToRandomHost hands a packet to a random host.
+func (f *Fabric) sendToRandomHost(from, to netip.AddrPort, payload []byte) {
 	data, err := encoder.EncodeEncapsulatedPacket(encoder.EncapsulatedPacket{From: from, To: to, Payload: payload})
 	if err != nil {
 		return
 	}
-	if host, ok := s.pick(); ok {
-		_, _ = s.inside.WriteToUDPAddrPort(data, host)
+	if host, ok := f.pickHost(); ok {
+		_, _ = f.hostConn.WriteToUDPAddrPort(data, host)
 	}
 }
 
-func (s *Sprayer) pick() (netip.AddrPort, bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if len(s.open) == 0 {
+func (f *Fabric) pickHost() (netip.AddrPort, bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if len(f.openHosts) == 0 {
 		return netip.AddrPort{}, false
 	}
-	return s.open[s.random.IntN(len(s.open))], true
+	return f.openHosts[f.random.IntN(len(f.openHosts))], true
 }
 
-// renew lists the hosts that get packets. The caller holds mu.
-func (s *Sprayer) renew() {
+// updateOpenHosts lists the hosts that get packets. The caller holds mu.
+func (f *Fabric) updateOpenHosts() {
 	now := time.Now()
-	s.open = s.open[:0]
-	for address, name := range s.listed {
-		if until, ok := s.announced[name]; ok && now.Before(until) && !s.cut[name] {
-			s.open = append(s.open, address)
+	f.openHosts = f.openHosts[:0]
+	for address, name := range f.hostNames {
+		if until, ok := f.announcedUntil[name]; ok && now.Before(until) && !f.cutHosts[name] {
+			f.openHosts = append(f.openHosts, address)
 		}
 	}
 }
 
-// fromHost takes a packet, or an announcement, from a host.
-func (s *Sprayer) fromHost(ctx context.Context, from netip.AddrPort, data []byte) {
-	name, ok := s.listed[from]
+// handleFromHost takes a packet, or an announcement, from a host.
+func (f *Fabric) handleFromHost(ctx context.Context, from netip.AddrPort, data []byte) {
+	name, ok := f.hostNames[from]
 	if !ok {
 		return
 	}
 	if a, err := encoder.DecodeAnnouncement(data); err == nil {
-		s.announce(a)
+		f.handleAnnouncement(a)
 		return
 	}
 	d, err := encoder.DecodeEncapsulatedPacket(data)
-	if err != nil || s.isCut(name) {
+	if err != nil || f.isCut(name) {
 		return
 	}
-	if conn, ok := s.services[d.From]; ok {
+	if conn, ok := f.serviceConns[d.From]; ok {
 		_, _ = conn.WriteToUDPAddrPort(d.Payload, d.To)
 		return
 	}
-	if conn := s.returnSocket(ctx, d.From); conn != nil {
+	if conn := f.returnConn(ctx, d.From); conn != nil {
 		_, _ = conn.WriteToUDPAddrPort(d.Payload, d.To)
 	}
 }
 
-func (s *Sprayer) isCut(name string) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.cut[name]
+func (f *Fabric) isCut(name string) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.cutHosts[name]
 }
 
-func (s *Sprayer) announce(a encoder.Announcement) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.announced[a.Host] = time.Time{}
+func (f *Fabric) handleAnnouncement(a encoder.Announcement) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.announcedUntil[a.Host] = time.Time{}
 	if a.Accepting {
-		s.announced[a.Host] = time.Now().Add(announceSpan)
+		f.announcedUntil[a.Host] = time.Now().Add(announcementTTL)
 	}
-	s.renew()
+	f.updateOpenHosts()
 }
 
-// returnSocket returns the socket that stands for a return address.
-func (s *Sprayer) returnSocket(ctx context.Context, address netip.AddrPort) *net.UDPConn {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if conn, ok := s.returns[address.Addr()]; ok {
+// returnConn returns the socket that stands for a return address.
+func (f *Fabric) returnConn(ctx context.Context, address netip.AddrPort) *net.UDPConn {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if conn, ok := f.returnConns[address.Addr()]; ok {
 		return conn
 	}
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil || ctx.Err() != nil {
 		return nil
 	}
-	s.returns[address.Addr()] = conn
-	go s.read(ctx, conn, func(from netip.AddrPort, data []byte) { s.spray(from, address, data) })
+	f.returnConns[address.Addr()] = conn
+	go f.readLoop(ctx, conn, func(from netip.AddrPort, data []byte) { f.sendToRandomHost(from, address, data) })
 	return conn
 }
--- a/standin/main.go
+++ b/standin/main.go
@@ -27,8 +27,8 @@
 	"github.com/urfave/cli/v3"
 )
 
-// exitNotClean says that a run broke, lost, doubled or misrouted something.
-const exitNotClean = 10
+// exitRunFailed says that a run broke, lost, doubled or misrouted something.
+const exitRunFailed = 10
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
@@ -38,29 +38,29 @@
 		Name:  "standin",
 		Usage: "emulate the platform, the fabric, targets or callers",
 		Commands: []*cli.Command{
-			{Name: "platform", Usage: "publish a settings tree", Action: platform, Flags: []cli.Flag{
+			{Name: "platform", Usage: "publish a settings tree", Action: runPlatform, Flags: []cli.Flag{
 				settings,
 				&cli.StringFlag{Name: "listen", Value: "127.0.0.1:8400"},
 			}},
-			{Name: "fabric", Usage: "spray packets over hosts", Action: fabric, Flags: []cli.Flag{
+			{Name: "fabric", Usage: "spray packets over hosts", Action: runFabric, Flags: []cli.Flag{
 				settings,
 				&cli.StringFlag{Name: "listen", Value: "127.0.0.1:8500"},
 				&cli.StringFlag{Name: "control", Value: "127.0.0.1:8501"},
 				&cli.Uint64Flag{Name: "seed", Value: 1},
 			}},
-			{Name: "target", Usage: "run the targets of the tree", Action: target, Flags: []cli.Flag{
+			{Name: "target", Usage: "run the targets of the tree", Action: runTargets, Flags: []cli.Flag{
 				settings,
 				&cli.StringFlag{Name: "control", Value: "127.0.0.1:8600"},
 				&cli.StringSliceFlag{Name: "only", Usage: "names of targets; all where none is given"},
 				&cli.DurationFlag{Name: "work", Value: 10 * time.Millisecond},
 				&cli.DurationFlag{Name: "notifyEvery", Value: 200 * time.Millisecond},
 			}},
-			{Name: "capacity", Usage: "measure how costs grow, and write figures and plots", Action: capacity, Flags: []cli.Flag{
+			{Name: "capacity", Usage: "measure how costs grow, and write figures and plots", Action: runCapacity, Flags: []cli.Flag{
 				&cli.StringFlag{Name: "out", Value: "docs", Usage: "folder for FIGURES.md and plots"},
 			}},
-			{Name: "compare", Usage: "hold the system against simpler placements", Action: compare},
+			{Name: "compare", Usage: "hold the system against simpler placements", Action: runCompare},
 			soakCommand(),
-			{Name: "caller", Usage: "load the services", Action: caller, Flags: []cli.Flag{
+			{Name: "caller", Usage: "load the services", Action: runCallers, Flags: []cli.Flag{
 				settings,
 				&cli.StringSliceFlag{Name: "work", Usage: "KIND:SERVICE:FLOWS, with streams, uploads, checks or presses"},
 				&cli.IntFlag{Name: "openRate", Usage: "new flows a second beside the others"},
@@ -90,7 +90,7 @@
 	return settings, document, err
 }
 
-func platform(ctx context.Context, command *cli.Command) error {
+func runPlatform(ctx context.Context, command *cli.Command) error {
 	_, document, err := readSettings(command)
 	if err != nil {
 		return err
@@ -102,12 +102,12 @@
 	return <-p.Run(ctx)
 }
 
-func fabric(ctx context.Context, command *cli.Command) error {
+func runFabric(ctx context.Context, command *cli.Command) error {
 	settings, _, err := readSettings(command)
 	if err != nil {
 		return err
 	}
-	inside, err := netip.ParseAddrPort(command.String("listen"))
+	hostListen, err := netip.ParseAddrPort(command.String("listen"))
 	if err != nil {
 		return err
 	}
@@ -115,14 +115,14 @@
 	if err != nil {
 		return err
 	}
-	s, err := sprayer.New(inside, control, settings, command.Uint64("seed"))
+	s, err := sprayer.New(hostListen, control, settings, command.Uint64("seed"))
 	if err != nil {
 		return err
 	}
 	return <-s.Run(ctx)
 }
 
-func target(ctx context.Context, command *cli.Command) error {
+func runTargets(ctx context.Context, command *cli.Command) error {
 	settings, _, err := readSettings(command)
 	if err != nil {
 		return err
@@ -131,7 +131,7 @@
 	if names := command.StringSlice("only"); len(names) > 0 {
 		only = func(name string) bool { return slices.Contains(names, name) }
 	}
-	config := responder.Config{Work: command.Duration("work"), NotifyEvery: command.Duration("notifyEvery")}
+	config := responder.Config{ProcessingTime: command.Duration("work"), NotifyInterval: command.Duration("notifyEvery")}
 	r, err := responder.New(config, command.String("control"), settings.Services, only)
 	if err != nil {
 		return err
@@ -139,22 +139,22 @@
 	return <-r.Run(ctx)
 }
 
-func capacity(_ context.Context, command *cli.Command) error {
+func runCapacity(_ context.Context, command *cli.Command) error {
 	out := command.String("out")
 	if err := os.MkdirAll(filepath.Join(out, "plots"), 0o755); err != nil {
 		return err
 	}
-	measures := measurer.All(func(line string) { fmt.Fprintln(os.Stderr, line) })
-	for name, chart := range measures.Charts() {
+	measurements := measurer.MeasureAll(func(line string) { fmt.Fprintln(os.Stderr, line) })
+	for name, chart := range measurements.Charts() {
 		if err := plotter.Draw(chart, filepath.Join(out, "plots", name)); err != nil {
 			return err
 		}
 	}
-	return os.WriteFile(filepath.Join(out, "FIGURES.md"), []byte(measures.Page()), 0o644)
+	return os.WriteFile(filepath.Join(out, "FIGURES.md"), []byte(measurements.Page()), 0o644)
 }
 
-// compare prints broken flows in 10,000 for each story and placement.
-func compare(context.Context, *cli.Command) error {
+// runCompare prints broken flows in 10,000 for each story and placement.
+func runCompare(context.Context, *cli.Command) error {
 	fmt.Print("| story | planned |")
 	for _, p := range comparer.Policies() {
 		fmt.Printf(" %s |", comparer.PolicyName(p))
@@ -181,27 +181,27 @@
 	return nil
 }
 
-func caller(ctx context.Context, command *cli.Command) error {
+func runCallers(ctx context.Context, command *cli.Command) error {
 	settings, _, err := readSettings(command)
 	if err != nil {
 		return err
 	}
 	config := loader.Config{
-		OpenRate:     command.Int("openRate"),
-		Direct:       command.Bool("direct"),
-		Duration:     command.Duration("duration"),
-		Think:        command.Duration("think"),
-		NotifyEvery:  command.Duration("notifyEvery"),
-		UploadBlocks: command.Int("uploadBlocks"),
-		Targets:      command.StringSlice("targets"),
-		Progress:     func(line string) { fmt.Fprintln(os.Stderr, line) },
+		NewFlowsPerSecond:      command.Int("openRate"),
+		Direct:                 command.Bool("direct"),
+		Duration:               command.Duration("duration"),
+		ThinkTime:              command.Duration("think"),
+		NotifyInterval:         command.Duration("notifyEvery"),
+		UploadBlocks:           command.Int("uploadBlocks"),
+		TargetControlAddresses: command.StringSlice("targets"),
+		OnProgress:             func(line string) { fmt.Fprintln(os.Stderr, line) },
 	}
 	for _, text := range command.StringSlice("work") {
-		work, err := parseWork(text)
+		workload, err := parseWorkload(text)
 		if err != nil {
 			return err
 		}
-		config.Work = append(config.Work, work)
+		config.Workloads = append(config.Workloads, workload)
 	}
 	report, err := loader.New(config, settings).Run(ctx)
 	if err != nil {
@@ -215,25 +215,25 @@
 		fmt.Print(report)
 	}
 	if !report.Clean() {
-		return cli.Exit("the run was not clean", exitNotClean)
+		return cli.Exit("the run was not clean", exitRunFailed)
 	}
 	return nil
 }
 
-func parseWork(text string) (loader.Work, error) {
+func parseWorkload(text string) (loader.Workload, error) {
 	parts := strings.Split(text, ":")
 	if len(parts) != 3 {
-		return loader.Work{}, fmt.Errorf("work %q: expected KIND:SERVICE:FLOWS such as checks:ledger:20", text)
+		return loader.Workload{}, fmt.Errorf("work %q: expected KIND:SERVICE:FLOWS such as checks:ledger:20", text)
 	}
-	kind := loader.Kind(parts[0])
+	kind := loader.WorkloadKind(parts[0])
 	switch kind {
 	case loader.KindStream, loader.KindUpload, loader.KindCheck, loader.KindPress:
 	default:
-		return loader.Work{}, fmt.Errorf("work %q: expected streams, uploads, checks or presses, not %q", text, parts[0])
+		return loader.Workload{}, fmt.Errorf("work %q: expected streams, uploads, checks or presses, not %q", text, parts[0])
 	}
 	flows, err := strconv.Atoi(parts[2])
 	if err != nil || flows < 1 || flows > 10_000 {
-		return loader.Work{}, fmt.Errorf("work %q: expected 1 to 10000 flows", text)
+		return loader.Workload{}, fmt.Errorf("work %q: expected 1 to 10000 flows", text)
 	}
-	return loader.Work{Kind: kind, Service: parts[1], Flows: flows}, nil
+	return loader.Workload{Kind: kind, Service: parts[1], Flows: flows}, nil
 }
--- a/standin/soak.go
+++ b/standin/soak.go
@@ -12,7 +12,7 @@
 // soakCommand runs real hosts under random faults.
 func soakCommand() *cli.Command {
 	return &cli.Command{
-		Name: "soak", Usage: "run real hosts that steer flows under random faults, and check the promises", Action: soak,
+		Name: "soak", Usage: "run real hosts that steer flows under random faults, and check the promises", Action: runSoak,
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "program", Value: "bin/cranberryspan", Usage: "the balancer"},
 			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "of the first run"},
@@ -32,14 +32,14 @@
 	}
 }
 
-func soak(ctx context.Context, command *cli.Command) error {
+func runSoak(ctx context.Context, command *cli.Command) error {
 	clean := true
 	for i := range command.Int("runs") {
 		report, err := soaker.Run(ctx, soaker.Config{
-			Seed: command.Uint64("seed") + uint64(i), Duration: command.Duration("duration"), Program: command.String("program"),
-			Zones: command.IntSlice("zones"), Callers: command.Int("callers"), Targets: command.Int("targets"),
-			Later: command.Bool("later"), Newest: command.Bool("newest"), Orders: command.Bool("orders"), Restores: command.Bool("restores"),
-			Block: command.Int("block"), Only: command.StringSlice("only"), Gap: command.Duration("gap"),
+			Seed: command.Uint64("seed") + uint64(i), Duration: command.Duration("duration"), BalancerPath: command.String("program"),
+			HostsPerZone: command.IntSlice("zones"), CallersPerZone: command.Int("callers"), LedgerTargets: command.Int("targets"),
+			SecondFaultSet: command.Bool("later"), ThirdFaultSet: command.Bool("newest"), ZoneEvacuations: command.Bool("orders"), StoreRestores: command.Bool("restores"),
+			AddressBlock: command.Int("block"), OnlyFaults: command.StringSlice("only"), MeanFaultInterval: command.Duration("gap"),
 		})
 		if err != nil {
 			return err
@@ -48,7 +48,7 @@
 		clean = clean && len(report.Problems) == 0
 	}
 	if !clean {
-		return cli.Exit("the soak found problems", exitNotClean)
+		return cli.Exit("the soak found problems", exitRunFailed)
 	}
 	return nil
 }
--- a/standin/system_e2e_test.go
+++ b/standin/system_e2e_test.go
@@ -24,9 +24,9 @@
 
 // A client that nobody here wrote the protocol for: its datagrams are sprayed
 // over all hosts, and it must not notice.
-func TestForeignClientIsServed(t *testing.T) {
+func TestThirdPartyCoAPClientIsServed(t *testing.T) {
 	t.Parallel()
-	s := startSystem(t, 101)
+	s := startTestSystem(t, 101)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 
@@ -37,10 +37,10 @@
 	require.NoError(t, err)
 	require.Equal(t, codes.Changed, answer.Code())
 
-	var notes atomic.Int64
-	observation, err := ledger.Observe(ctx, "/stream", func(*pool.Message) { notes.Add(1) })
+	var notifications atomic.Int64
+	observation, err := ledger.Observe(ctx, "/stream", func(*pool.Message) { notifications.Add(1) })
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return notes.Load() >= 20 }, 20*time.Second, 50*time.Millisecond)
+	require.Eventually(t, func() bool { return notifications.Load() >= 20 }, 20*time.Second, 50*time.Millisecond)
 	require.NoError(t, observation.Cancel(ctx))
 
 	intake, err := udp.Dial(s.address(31, 5683))
@@ -55,17 +55,17 @@
 	require.Contains(t, string(body), "intake/foreign-file 1048576")
 
 	report := s.targetReport()
-	require.Empty(t, report.Doubled)
+	require.Empty(t, report.DuplicateExecutions)
 	require.Empty(t, report.Misrouted)
 }
 
-// requireKept checks what must hold whatever happens to hosts.
-func requireKept(t *testing.T, report loader.Report) {
+// requireGuarantees checks what must hold whatever happens to hosts.
+func requireGuarantees(t *testing.T, report loader.Report) {
 	t.Helper()
-	require.Empty(t, report.Doubled, "requests ran twice")
+	require.Empty(t, report.DuplicateExecutions, "requests ran twice")
 	require.Empty(t, report.Misrouted, "requests reached another service")
 	for kind, tally := range report.Tallies {
-		require.Zero(t, tally.Wrong, "%s got another request's answer", kind)
+		require.Zero(t, tally.WrongResponses, "%s got another request's answer", kind)
 		require.Positive(t, tally.Answered, kind)
 	}
 }
@@ -73,44 +73,44 @@
 // Symptom: checks run twice or streams break when a host dies.
 // Sequence: kill -9 of a host under load; it starts again.
 // Cause: see the tests of package reducer; here it is real processes.
-func TestHostIsKilled(t *testing.T) {
+func TestKilledHostBreaksNoStream(t *testing.T) {
 	t.Parallel()
-	s := startSystem(t, 102)
-	report := s.load(14*time.Second, func() {
+	s := startTestSystem(t, 102)
+	report := s.runLoad(14*time.Second, func() {
 		s.signal(s.hosts[0], syscall.SIGKILL)
 		time.Sleep(4 * time.Second)
-		<-s.hosts[0].done
+		<-s.hosts[0].exited
 		s.launch(s.hosts[0])
 	})
-	requireKept(t, report)
+	requireGuarantees(t, report)
 	require.Zero(t, report.Tallies[loader.KindStream].Broken)
-	require.Zero(t, report.Tallies[loader.KindStream].Lost)
+	require.Zero(t, report.Tallies[loader.KindStream].Unanswered)
 }
 
 // Symptom: checks run twice when a host wakes.
 // Sequence: SIGSTOP for longer than others wait, then SIGCONT, under load.
-func TestHostIsPaused(t *testing.T) {
+func TestPausedHostRunsNoRequestTwice(t *testing.T) {
 	t.Parallel()
-	s := startSystem(t, 103)
-	report := s.load(16*time.Second, func() {
+	s := startTestSystem(t, 103)
+	report := s.runLoad(16*time.Second, func() {
 		s.signal(s.hosts[1], syscall.SIGSTOP)
 		time.Sleep(6 * time.Second)
 		s.signal(s.hosts[1], syscall.SIGCONT)
 	})
-	requireKept(t, report)
+	requireGuarantees(t, report)
 	require.Zero(t, report.Tallies[loader.KindStream].Broken)
 }
 
 // Symptom: work is cut by a release. Sequence: every host is stopped with
 // SIGTERM and started again, one after another, under load.
-func TestRollingReplacement(t *testing.T) {
+func TestRollingHostRestartsBreakNothing(t *testing.T) {
 	t.Parallel()
-	s := startSystem(t, 104)
-	report := s.load(24*time.Second, func() {
+	s := startTestSystem(t, 104)
+	report := s.runLoad(24*time.Second, func() {
 		for _, p := range s.hosts {
 			s.signal(p, syscall.SIGTERM)
 			select {
-			case <-p.done:
+			case <-p.exited:
 			case <-time.After(20 * time.Second):
 				t.Errorf("%s did not leave", p.name)
 				return
@@ -120,59 +120,59 @@
 			s.waitReady(p)
 		}
 	})
-	requireKept(t, report)
+	requireGuarantees(t, report)
 	require.True(t, report.Clean(), "%s", report)
 	for kind, tally := range report.Tallies {
-		require.Zero(t, tally.Unknown, kind)
+		require.Zero(t, tally.OutcomeUnknown, kind)
 	}
 }
 
 // Symptom: hosts go back to old settings, or never get new ones.
 // Sequence: a revision is published; the platform goes down, comes back stale;
 // a host restarts meanwhile; an invalid revision comes between two valid ones.
-func TestPlatformFails(t *testing.T) {
+func TestSettingsSurvivePlatformFailures(t *testing.T) {
 	t.Parallel()
-	s := startSystem(t, 105)
-	s.post(8400, "/control/publish", string(s.document("ledger-1")))
-	s.waitRevision(2, s.hosts...)
-	s.post(8400, "/control/mode", `{"stale": 1}`)
+	s := startTestSystem(t, 105)
+	s.postControl(8400, "/control/publish", string(s.document("ledger-1")))
+	s.waitRevisionInForce(2, s.hosts...)
+	s.postControl(8400, "/control/mode", `{"stale": 1}`)
 	s.signal(s.hosts[2], syscall.SIGKILL)
-	<-s.hosts[2].done
+	<-s.hosts[2].exited
 	s.launch(s.hosts[2])
 	s.waitReady(s.hosts[2])
-	s.waitRevision(2, s.hosts...)
-	s.post(8400, "/control/mode", `{"down": true}`)
+	s.waitRevisionInForce(2, s.hosts...)
+	s.postControl(8400, "/control/mode", `{"down": true}`)
 	time.Sleep(2 * time.Second)
-	s.waitRevision(2, s.hosts...)
+	s.waitRevisionInForce(2, s.hosts...)
 	s.signal(s.hosts[3], syscall.SIGTERM)
-	<-s.hosts[3].done
+	<-s.hosts[3].exited
 	seed := s.settings.Hosts[0]
 	s.hosts[3].args = append(s.hosts[3].args, "--seeds", seed.Name+"="+seed.Address.String(), "--seedKey", "a-key-for-these-tests")
 	s.launch(s.hosts[3])
 	s.waitReady(s.hosts[3])
-	s.waitRevision(2, s.hosts...)
-	s.post(8400, "/control/mode", `{}`)
-	s.post(8400, "/control/publish", "version: 1\nregions: 7\n")
+	s.waitRevisionInForce(2, s.hosts...)
+	s.postControl(8400, "/control/mode", `{}`)
+	s.postControl(8400, "/control/publish", "version: 1\nregions: 7\n")
 	require.Eventually(t, func() bool {
 		snapshot, err := s.status(s.hosts[0])
 		return err == nil && snapshot.RejectedRevision == 3
 	}, 9*time.Second, 50*time.Millisecond)
-	s.post(8400, "/control/publish", string(s.document("ledger-2")))
-	s.waitRevision(4, s.hosts...)
+	s.postControl(8400, "/control/publish", string(s.document("ledger-2")))
+	s.waitRevisionInForce(4, s.hosts...)
 	require.Contains(t, s.hosts[0].log.String(), "settingsRejected")
 }
 
 // Symptom: one lost link breaks flows. Sequence: a host is cut off from the
 // fabric under load, and comes back.
-func TestHostIsCutOffFromTheFabric(t *testing.T) {
+func TestFabricPartitionOfOneHostBreaksNoStream(t *testing.T) {
 	t.Parallel()
-	s := startSystem(t, 106)
-	report := s.load(12*time.Second, func() {
-		s.post(8501, "/cut?host=a2", "")
+	s := startTestSystem(t, 106)
+	report := s.runLoad(12*time.Second, func() {
+		s.postControl(8501, "/cut?host=a2", "")
 		time.Sleep(4 * time.Second)
-		s.post(8501, "/heal?host=a2", "")
+		s.postControl(8501, "/heal?host=a2", "")
 	})
-	requireKept(t, report)
+	requireGuarantees(t, report)
 	require.Zero(t, report.Tallies[loader.KindStream].Broken)
 }
 
@@ -180,9 +180,9 @@
 // Sequence: garbage on every port, a peer with another key, an oversized
 // settings document.
 // Cause: input that is trusted.
-func TestBadInputIsCountedAndNothingDies(t *testing.T) {
+func TestMalformedInputIsCountedAndHostsKeepRunning(t *testing.T) {
 	t.Parallel()
-	s := startSystem(t, 107)
+	s := startTestSystem(t, 107)
 	host := s.settings.Hosts[0]
 	p := s.hosts[0]
 
@@ -199,19 +199,19 @@
 		require.NoError(t, err)
 		_, _ = fabric.Write(data)
 	}
-	wrong, err := encoder.New("b1", []resolver.Secret{"not-the-key"}).Encode(host.Name, &messenger.Ping{Sequence: 1})
+	wrongKeyMessage, err := encoder.New("b1", []resolver.Secret{"not-the-key"}).Encode(host.Name, &messenger.Ping{Sequence: 1})
 	require.NoError(t, err)
-	_, _ = peer.Write(wrong)
+	_, _ = peer.Write(wrongKeyMessage)
 
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	for _, data := range append(garbage, wrong) {
+	for _, data := range append(garbage, wrongKeyMessage) {
 		conn, _, err := websocket.Dial(ctx, "ws://"+host.Address.String()+"/link", nil)
 		require.NoError(t, err)
 		_ = conn.Write(ctx, websocket.MessageBinary, data)
 		_ = conn.CloseNow()
 	}
-	s.post(8400, "/control/publish", strings.Repeat("# filler\n", 2<<20/9))
+	s.postControl(8400, "/control/publish", strings.Repeat("# filler\n", 2<<20/9))
 
 	require.Eventually(t, func() bool {
 		metrics := s.metrics(p)
--- a/standin/system_test.go
+++ b/standin/system_test.go
@@ -25,8 +25,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// binaries builds the real programs once for all tests.
-var binaries = sync.OnceValues(func() (string, error) {
+// buildBinaries builds the real programs once for all tests.
+var buildBinaries = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "cranberryspan")
 	if err != nil {
 		return "", err
@@ -43,29 +43,29 @@
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	if dir, err := binaries(); err == nil {
+	if dir, err := buildBinaries(); err == nil {
 		_ = os.RemoveAll(dir)
 	}
 	os.Exit(code)
 }
 
-// system is a whole system of real processes on loopback addresses of its own.
-type system struct {
-	t        *testing.T
-	block    int
-	dir      string
-	tree     string
-	settings *resolver.Settings
-	hosts    []*process
+// testSystem is a whole system of real processes on loopback addresses of its own.
+type testSystem struct {
+	t            *testing.T
+	addressBlock int
+	binDir       string
+	settingsPath string
+	settings     *resolver.Settings
+	hosts        []*process
 }
 
 type process struct {
-	name  string
-	admin string
-	args  []string
-	cmd   *exec.Cmd
-	done  chan struct{}
-	log   *lockedBuffer
+	name         string
+	adminAddress string
+	args         []string
+	cmd          *exec.Cmd
+	exited       chan struct{}
+	log          *lockedBuffer
 }
 
 type lockedBuffer struct {
@@ -85,19 +85,19 @@
 	return b.text.String()
 }
 
-// startSystem starts five hosts in two zones. block keeps the addresses of
+// startTestSystem starts five hosts in two zones. block keeps the addresses of
 // tests that run side by side apart.
-func startSystem(t *testing.T, block int) *system {
+func startTestSystem(t *testing.T, block int) *testSystem {
 	t.Helper()
-	bin, err := binaries()
+	bin, err := buildBinaries()
 	require.NoError(t, err)
-	s := &system{t: t, block: block, dir: bin, tree: filepath.Join(t.TempDir(), "tree.yaml")}
+	s := &testSystem{t: t, addressBlock: block, binDir: bin, settingsPath: filepath.Join(t.TempDir(), "tree.yaml")}
 	document := s.document()
 	s.settings = driver.MustResolve(document)
-	require.NoError(t, os.WriteFile(s.tree, document, 0o600))
-	s.start("platform", "", filepath.Join(bin, "standin"), "platform", "--settings", s.tree, "--listen", s.address(1, 8400))
-	s.start("fabric", "", filepath.Join(bin, "standin"), "fabric", "--settings", s.tree, "--listen", s.address(1, 8500), "--control", s.address(1, 8501))
-	s.start("target", "", filepath.Join(bin, "standin"), "target", "--settings", s.tree, "--control", s.address(1, 8600), "--notifyEvery", "100ms")
+	require.NoError(t, os.WriteFile(s.settingsPath, document, 0o600))
+	s.start("platform", "", filepath.Join(bin, "standin"), "platform", "--settings", s.settingsPath, "--listen", s.address(1, 8400))
+	s.start("fabric", "", filepath.Join(bin, "standin"), "fabric", "--settings", s.settingsPath, "--listen", s.address(1, 8500), "--control", s.address(1, 8501))
+	s.start("target", "", filepath.Join(bin, "standin"), "target", "--settings", s.settingsPath, "--control", s.address(1, 8600), "--notifyEvery", "100ms")
 	for i, host := range s.settings.Hosts {
 		admin := s.address(1, 8701+i)
 		s.hosts = append(s.hosts, s.start(host.Name, admin, filepath.Join(bin, "balancer"),
@@ -117,12 +117,12 @@
 	return s
 }
 
-func (s *system) address(last, port int) string {
-	return fmt.Sprintf("127.0.%d.%d:%d", s.block, last, port)
+func (s *testSystem) address(last, port int) string {
+	return fmt.Sprintf("127.0.%d.%d:%d", s.addressBlock, last, port)
 }
 
 // document writes the tree: ledger with six targets, intake with two.
-func (s *system) document(draining ...string) []byte {
+func (s *testSystem) document(draining ...string) []byte {
 	var b strings.Builder
 	b.WriteString("version: 1\npeerKeys: [a-key-for-these-tests]\ndefaults: {exchangeLifetime: 9s, slots: 8}\nregions:\n  r:\n    returnPrefix: fd00:1::/64\n    availabilityZones:\n")
 	n := 10
@@ -156,35 +156,35 @@
 	return []byte(b.String())
 }
 
-func (s *system) start(name, admin string, args ...string) *process {
+func (s *testSystem) start(name, admin string, args ...string) *process {
 	s.t.Helper()
-	p := &process{name: name, admin: admin, args: args, log: &lockedBuffer{}}
+	p := &process{name: name, adminAddress: admin, args: args, log: &lockedBuffer{}}
 	s.launch(p)
 	s.t.Cleanup(func() {
 		_ = p.cmd.Process.Signal(syscall.SIGCONT)
 		_ = p.cmd.Process.Kill()
-		<-p.done
+		<-p.exited
 	})
 	return p
 }
 
 // launch starts a process, also again after it ended.
-func (s *system) launch(p *process) {
+func (s *testSystem) launch(p *process) {
 	s.t.Helper()
 	p.cmd = exec.Command(p.args[0], p.args[1:]...)
 	p.cmd.Stdout, p.cmd.Stderr = p.log, p.log
 	require.NoError(s.t, p.cmd.Start())
-	p.done = make(chan struct{})
+	p.exited = make(chan struct{})
 	go func(cmd *exec.Cmd, done chan struct{}) {
 		_ = cmd.Wait()
 		close(done)
-	}(p.cmd, p.done)
+	}(p.cmd, p.exited)
 }
 
-func (s *system) waitReady(p *process) {
+func (s *testSystem) waitReady(p *process) {
 	s.t.Helper()
 	require.Eventually(s.t, func() bool {
-		response, err := http.Get("http://" + p.admin + "/readyz")
+		response, err := http.Get("http://" + p.adminAddress + "/readyz")
 		if err != nil {
 			return false
 		}
@@ -193,12 +193,12 @@
 	}, time.Minute, 100*time.Millisecond, "%s is not ready", p.name)
 }
 
-func (s *system) signal(p *process, signal syscall.Signal) {
+func (s *testSystem) signal(p *process, signal syscall.Signal) {
 	s.t.Helper()
 	require.NoError(s.t, p.cmd.Process.Signal(signal))
 }
 
-func (s *system) post(port int, path, body string) {
+func (s *testSystem) postControl(port int, path, body string) {
 	s.t.Helper()
 	response, err := http.Post("http://"+s.address(1, port)+path, "text/plain", strings.NewReader(body))
 	require.NoError(s.t, err)
@@ -206,9 +206,9 @@
 	require.Equal(s.t, http.StatusOK, response.StatusCode)
 }
 
-func (s *system) status(p *process) (reducer.Snapshot, error) {
+func (s *testSystem) status(p *process) (reducer.Snapshot, error) {
 	var snapshot reducer.Snapshot
-	response, err := http.Get("http://" + p.admin + "/status")
+	response, err := http.Get("http://" + p.adminAddress + "/status")
 	if err != nil {
 		return snapshot, err
 	}
@@ -216,9 +216,9 @@
 	return snapshot, json.NewDecoder(response.Body).Decode(&snapshot)
 }
 
-func (s *system) metrics(p *process) string {
+func (s *testSystem) metrics(p *process) string {
 	s.t.Helper()
-	response, err := http.Get("http://" + p.admin + "/metrics")
+	response, err := http.Get("http://" + p.adminAddress + "/metrics")
 	require.NoError(s.t, err)
 	defer func() { _ = response.Body.Close() }()
 	text, err := io.ReadAll(response.Body)
@@ -226,8 +226,8 @@
 	return string(text)
 }
 
-// waitRevision waits until every running host has a revision in force.
-func (s *system) waitRevision(revision uint64, hosts ...*process) {
+// waitRevisionInForce waits until every running host has a revision in force.
+func (s *testSystem) waitRevisionInForce(revision uint64, hosts ...*process) {
 	s.t.Helper()
 	require.Eventually(s.t, func() bool {
 		for _, p := range hosts {
@@ -239,34 +239,34 @@
 	}, 9*time.Second, 50*time.Millisecond, "revision %d is not in force everywhere", revision)
 }
 
-// load runs callers while do happens, and returns their report.
-func (s *system) load(duration time.Duration, do func()) loader.Report {
+// runLoad runs callers while do happens, and returns their report.
+func (s *testSystem) runLoad(duration time.Duration, disrupt func()) loader.Report {
 	s.t.Helper()
 	config := loader.Config{
-		Work: []loader.Work{
+		Workloads: []loader.Workload{
 			{Kind: loader.KindStream, Service: "ledger", Flows: 20},
 			{Kind: loader.KindCheck, Service: "ledger", Flows: 20},
 			{Kind: loader.KindUpload, Service: "intake", Flows: 4},
 		},
-		Duration:     duration,
-		Think:        50 * time.Millisecond,
-		NotifyEvery:  100 * time.Millisecond,
-		UploadBlocks: 12,
-		Targets:      []string{s.address(1, 8600)},
+		Duration:               duration,
+		ThinkTime:              50 * time.Millisecond,
+		NotifyInterval:         100 * time.Millisecond,
+		UploadBlocks:           12,
+		TargetControlAddresses: []string{s.address(1, 8600)},
 	}
 	var report loader.Report
 	var err error
 	var running sync.WaitGroup
 	running.Go(func() { report, err = loader.New(config, s.settings).Run(context.Background()) })
 	time.Sleep(time.Second)
-	do()
+	disrupt()
 	running.Wait()
 	require.NoError(s.t, err)
 	s.t.Logf("\n%s", report)
 	return report
 }
 
-func (s *system) targetReport() responder.Report {
+func (s *testSystem) targetReport() responder.Report {
 	s.t.Helper()
 	response, err := http.Get("http://" + s.address(1, 8600) + "/report")
 	require.NoError(s.t, err)
