--- a/scripts/red.sh
+++ b/scripts/red.sh
@@ -60,11 +60,13 @@
 	if in.packet' TestResponseReachesCallerAfterOwnerFailure
 without "memory of given-up requests" reducer/answer.go 'r.count(DropLateAnswer)
 	}
-}' 'r.deliverToCaller(in)
+}
+
+// handleEarlierResponse' 'r.deliverToCaller(in)
 	}
 }
 
-// answerToEarlier' 'TestLateResponseNotDeliveredToNextUserOfPort|TestLateResponseNotMatchedToLaterRequest'
+// handleEarlierResponse' 'TestLateResponseNotDeliveredToNextUserOfPort|TestLateResponseNotMatchedToLaterRequest'
 without "held identities of refusals" reducer/refusal.go 'if outcome == OutcomeUnknown || !q.nonIdempotent() {' 'if true {' 'TestNotRunRefusalNeverRan|TestPartitionRunsRequestsOnce'
 without "held identities of requests" reducer/witness.go 'if successor == "" {
 		r.count' 'if true {
--- a/scripts/redsoak.sh
+++ b/scripts/redsoak.sh
@@ -38,11 +38,11 @@
 	fi
 }
 
-without "the target's tag" steering.go 'to, ok := s.targets.byTag[p.Tag]' 'to, ok := s.chooseTarget(placement{service: "ledger", hash: key.hash()}), true' 31 reload 'ran [0-9]* times\|after the last fault\|another service\|of a flow'
+without "the target's tag" forwarding.go 'to, ok := s.targets.byTag[p.Tag]' 'to, ok := s.chooseTarget(placement{service: "ledger", hash: key.hash()}), true' 31 reload 'ran [0-9]* times\|after the last fault\|another service\|of a flow'
 without "resets of what may run again only" health.go '!f.waiting && f.paced == nil || f.route.Kind != KindIdempotent' '!f.waiting && f.paced == nil' 32 crashTarget 'was reset though it may have run'
-without "flows away from draining targets" choosing.go 'case t.Draining || s.excludedAsMissing(t) ||' 'case s.excludedAsMissing(t) ||' 33 replaceTarget 'drain'
-without "reads of later versions" reading.go 'if s.due(settings, rank,' 'if s.settings == nil && s.due(settings, rank,' 34 publish 'has not put version'
-without "orders to evacuate zones" choosing.go 'case view.evacuated:' 'case false && view.evacuated:' 35 evacuateZone 'its zone was to be evacuated'
+without "flows away from draining targets" target_selection.go 'case t.Draining || s.excludedAsMissing(t) ||' 'case s.excludedAsMissing(t) ||' 33 replaceTarget 'drain'
+without "reads of later versions" platformread.go 'if s.due(settings, rank,' 'if s.settings == nil && s.due(settings, rank,' 34 publish 'has not put version'
+without "orders to evacuate zones" target_selection.go 'case view.evacuated:' 'case false && view.evacuated:' 35 evacuateZone 'its zone was to be evacuated'
 
 echo "$passed passed, $failed failed"
 test "$failed" -eq 0
