--- a/balancer/internal/exchanger/exchanger.go
+++ b/balancer/internal/exchanger/exchanger.go
@@ -272,7 +272,7 @@
 	compressed []byte
 }
 
-// compressSyncResponse returns what belongs to a key, compressed; write writes it plain.
+// get returns what belongs to a key, compressed; write writes it plain.
 func (p *compressionCache[K]) get(key K, encode func() ([]byte, error)) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/balancer/internal/flowrunner/flowrunner.go
+++ b/balancer/internal/flowrunner/flowrunner.go
@@ -72,7 +72,7 @@
 	inspector inspector.Inspector[*steerer.Steerer]
 
 	meter *meterer.Meter
-	// transferTotals is what the meterer had counted at the last tick.
+	// lastTransferTotals is what the meterer had counted at the last tick.
 	lastTransferTotals      transferTotals
 	forwarder               *forwarder.Forwarder
 	gossiper                *gossiper.Gossiper
--- a/core/admitter/admitter.go
+++ b/core/admitter/admitter.go
@@ -113,7 +113,7 @@
 	state      ServiceState
 	demand     Demand
 	overloaded bool
-	// ratios are the parts of new requests that fit in, by priority; credits what is left
+	// admitRatios are the parts of new requests that fit in, by priority; credits what is left
 	// of them from earlier requests.
 	admitRatios [PriorityLevels]float64
 	credits     [PriorityLevels]float64
--- a/core/evacuator/evacuator.go
+++ b/core/evacuator/evacuator.go
@@ -95,7 +95,7 @@
 	return zones
 }
 
-// Includes reports whether a zone gets nothing more.
+// Evacuates reports whether a zone gets nothing more.
 func (e *Evacuator) Evacuates(zone string) bool {
 	_, held := e.retained[zone]
 	return held || e.orders.Includes(zone)
--- a/core/limiter/limiter.go
+++ b/core/limiter/limiter.go
@@ -51,7 +51,7 @@
 
 // FlowLimit is what a target holds, as one flow asks for it.
 type FlowLimit struct {
-	// LocalFlows is how many flows a target holds at once.
+	// MaxFlows is how many flows a target holds at once.
 	MaxFlows int
 	// Reserved is how many of them are kept for others than the flow that asks: liveness
 	// checks, and flows of higher priority.
@@ -72,7 +72,7 @@
 	Min int
 }
 
-// EstimateFlows is what a host takes the flows at a target to be.
+// FlowEstimate is what a host takes the flows at a target to be.
 type FlowEstimate struct {
 	// Local are flows through this host.
 	Local int
@@ -91,7 +91,7 @@
 	Incarnation uint64
 	// SameZone says that the host is of this host's availability zone.
 	SameZone bool
-	// LocalFlows are the host's flows by target. A target that is left out holds as many as
+	// Flows are the host's flows by target. A target that is left out holds as many as
 	// were told last.
 	Flows map[uint32]uint16
 	// Partial says that the host has flows at more targets than it could tell of.
@@ -119,7 +119,7 @@
 type remoteHost struct {
 	incarnation uint64
 	sameZone    bool
-	// partialReporters says that the host holds flows at targets of which it has not told.
+	// partial says that the host holds flows at targets of which it has not told.
 	partial bool
 	// timedOut says that nothing was heard of it for too long; its flows end bit by bit.
 	timedOut  bool
@@ -166,7 +166,7 @@
 	}
 }
 
-// TargetFlows returns the record of a target, which it makes if there is none.
+// Target returns the record of a target, which it makes if there is none.
 func (l *Limiter) Target(tag uint32) *TargetFlows {
 	t, ok := l.targets[tag]
 	if !ok {
@@ -192,16 +192,16 @@
 // SetLivePeers takes in how many other hosts of the own zone live.
 func (l *Limiter) SetLivePeers(livePeers int) { l.livePeers = livePeers }
 
-// timeout is after how long a host of the own zone that tells nothing has ended.
+// hostTimeout is after how long a host of the own zone that tells nothing has ended.
 func (l *Limiter) hostTimeout() time.Duration {
 	rounds := (l.peerCount() + ZoneReportFanout - 1) / ZoneReportFanout
 	return max(minHostTimeout, hostTimeoutPasses*time.Duration(rounds)*ZoneReportInterval)
 }
 
-// unreported is how many other hosts the own zone has.
+// peerCount is how many other hosts the own zone has.
 func (l *Limiter) peerCount() int { return max(l.livePeers, l.reporters) }
 
-// Reported reports whether any other host has told of its flows of late.
+// HasReports reports whether any other host has told of its flows of late.
 func (l *Limiter) HasReports() bool { return len(l.hosts) > 0 }
 
 // Reporters is how many hosts of the own zone have told what they hold at a target, be it
--- a/core/messenger/report.go
+++ b/core/messenger/report.go
@@ -154,7 +154,7 @@
 	TargetsSince   uint64 `cbor:"since,omitempty"`
 	// TargetsSinceEra is the era of the platform's history that Since belongs to.
 	TargetsSinceEra uint64 `cbor:"sinceEra,omitempty"`
-	// MissingTargets asks for the targets that are no longer listed and that open flows may
+	// IncludeMissing asks for the targets that are no longer listed and that open flows may
 	// still name.
 	IncludeMissing bool `cbor:"gone,omitempty"`
 }
@@ -191,7 +191,7 @@
 	TargetsReadNumber uint64        `cbor:"revRead,omitempty"`
 	// Scope says which targets are told.
 	Scope Scope `cbor:"scope,omitempty"`
-	// IncludeTargets travel in Packed, as CBOR compressed with gzip: thousands of them say
+	// Targets travel in Packed, as CBOR compressed with gzip: thousands of them say
 	// much the same.
 	Targets           []TargetState `cbor:"-"`
 	CompressedTargets []byte        `cbor:"targets,omitempty"`
--- a/core/reducer/permission.go
+++ b/core/reducer/permission.go
@@ -8,7 +8,7 @@
 	"cranberryspan.dev/core/placer"
 )
 
-// checkPermission says whether this host may run a request that must run only once.
+// permission says whether this host may run a request that must run only once.
 type permission uint8
 
 const (
--- a/core/reducer/request.go
+++ b/core/reducer/request.go
@@ -54,7 +54,7 @@
 	stateRefused
 )
 
-// handleRequest is one request that this host is responsible for, kept for as long
+// request is one request that this host is responsible for, kept for as long
 // as the caller may repeat it if it must not run twice.
 type request struct {
 	id             uint64
--- a/core/steerer/changes.go
+++ b/core/steerer/changes.go
@@ -18,7 +18,7 @@
 type pendingChange struct {
 	target   *target
 	deadline timekeeper.Instant
-	// batch counts the reports that have told of it.
+	// timesSent counts the reports that have told of it.
 	timesSent int
 }
 
--- a/core/steerer/peers.go
+++ b/core/steerer/peers.go
@@ -101,14 +101,14 @@
 	byName map[string]*peer
 	sorted []*peer
 	zones  peerZones
-	// aliveCounts is how many hosts live as far as anybody says.
+	// alive is how many hosts live as far as anybody says.
 	alive aliveCounts
 	// visits counts the entries of the lists handed out; see table.visits.
 	visits uint64
-	// inRecent are the hosts that reported within peerTimeout, a few of a large fleet, in the
+	// recent are the hosts that reported within peerTimeout, a few of a large fleet, in the
 	// order of their names.
 	recent []*peer
-	// inLoaded are the hosts whose requests under way count in the load of targets.
+	// loaded are the hosts whose requests under way count in the load of targets.
 	loaded []*peer
 	// sweepDeadline is when hosts that fell silent are next looked for.
 	sweepDeadline timekeeper.Instant
--- a/core/steerer/reports.go
+++ b/core/steerer/reports.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// sent returns the target that a host's report speaks of, by its tag. What a host says
+// reportedTarget returns the target that a host's report speaks of, by its tag. What a host says
 // that has not learned yet that the target has started again is about its earlier life.
 func (s *Steerer) reportedTarget(p *peer, tag uint32) (*target, bool) {
 	t, ok := s.targets.byTag[Tag(tag)]
@@ -376,7 +376,7 @@
 	}
 }
 
-// observeTargets is what a host tells the others of its zone of the targets.
+// targetObservations is what a host tells the others of its zone of the targets.
 type targetObservations struct {
 	// busy counts requests under way by the target's tag; quick and silent are the tags of
 	// targets that answered too quickly, or were silent, of late.
--- a/core/steerer/target_selection.go
+++ b/core/steerer/target_selection.go
@@ -84,7 +84,7 @@
 	return s.zoneViews
 }
 
-// targetLoad is what a zone adds to the load of its targets, in requests a slot.
+// penalty is what a zone adds to the load of its targets, in requests a slot.
 func (v *zoneView) penalty() float64 {
 	load := 0.0
 	if v.suspectZones {
--- a/core/throttler/quota.go
+++ b/core/throttler/quota.go
@@ -118,7 +118,7 @@
 	return b
 }
 
-// limit is the host's part of the quota, in requests a second, and how many requests may come
+// hostShare is the host's part of the quota, in requests a second, and how many requests may come
 // at once.
 func (b *bucket) hostShare() (perSecond rate.Limit, burst int) {
 	part := b.quota.PerSecond / float64(b.hosts)
--- a/core/throttler/table.go
+++ b/core/throttler/table.go
@@ -46,14 +46,14 @@
 // caller is what is kept of an address, or of a prefix.
 type caller struct {
 	prefix netip.Prefix
-	// rate and passed are the rates of new flows that were asked for and passed on.
+	// requestedRate and passed are the rates of new flows that were asked for and passed on.
 	requestedRate meanRate
 	forwardedRate meanRate
 	// openFlows is how many flows are open since changed, weight the mean of it in calm times.
 	openFlows int
 	updatedAt timekeeper.Instant
 	weight    float64
-	// established says that there were calm times since it came.
+	// hasHistory says that there were calm times since it came.
 	hasHistory bool
 }
 
@@ -215,7 +215,7 @@
 	updatedAt timekeeper.Instant
 }
 
-// getOrCreate is the mean as of now.
+// at is the mean as of now.
 func (r *meanRate) at(now timekeeper.Instant) float64 {
 	return r.value * math.Exp(-float64(now.Since(r.updatedAt))/float64(rateTimeConstant))
 }
--- a/core/warmer/simulation_test.go
+++ b/core/warmer/simulation_test.go
@@ -37,7 +37,7 @@
 // many hosts live as far as it knows.
 type equalShares struct {
 	limit warmer.RateLimit
-	// knownShare is how many hosts each host counts.
+	// knownHosts is how many hosts each host counts.
 	knownHosts []int
 	nextFlowAt map[[2]int]timekeeper.Instant
 }
--- a/standin/internal/loader/loader.go
+++ b/standin/internal/loader/loader.go
@@ -40,7 +40,7 @@
 	maxMissedNotifications = 15
 )
 
-// Workloads is so many flows of one kind to one service.
+// Workload is so many flows of one kind to one service.
 type Workload struct {
 	Kind    WorkloadKind
 	Service string
