--- a/core/steerer/capacity.go
+++ b/core/steerer/capacity.go
@@ -160,7 +160,7 @@
 	reach := s.currentVisibility()
 	for zone, slots := range s.updateSlotTotals(service).byZone {
 		view := &views[zone]
-		if !view.evacuated && !view.suspectZones && !reach.zoneSilent(s.targets.zones[zone]) {
+		if !view.evacuated && !view.suspect && !reach.zoneSilent(s.targets.zones[zone]) {
 			room += slots
 		}
 	}
--- a/core/steerer/target_selection.go
+++ b/core/steerer/target_selection.go
@@ -58,7 +58,7 @@
 	// could take.
 	evacuated    bool
 	lastResort   bool
-	suspectZones bool
+	suspect bool
 	// slowness is the binary logarithm of the time that the service takes there, as a
 	// multiple of the usual.
 	slowness float64
@@ -77,7 +77,7 @@
 			inRegion:     len(c.route.Regions) == 0 || slices.Contains(c.route.Regions, s.config.Regions[zone]),
 			evacuated:    evacuated && !lastResort,
 			lastResort:   lastResort,
-			suspectZones: s.diagnoser.ZoneSuspect(zone, s.now),
+			suspect: s.diagnoser.ZoneSuspect(zone, s.now),
 			slowness:     s.zoneLogSlowdown(c.service, zone),
 		})
 	}
@@ -87,7 +87,7 @@
 // penalty is what a zone adds to the load of its targets, in requests a slot.
 func (v *zoneView) penalty() float64 {
 	load := 0.0
-	if v.suspectZones {
+	if v.suspect {
 		load += suspectZonePenalty
 	}
 	if v.lastResort {
--- a/scripts/red.sh
+++ b/scripts/red.sh
@@ -92,36 +92,36 @@
 without "the way around a broken link" reducer/witness.go 'if r.detector.State(peer).Liveness == messenger.LivenessAlive {' 'if true {' TestSingleLinkFailureInCellRefusesNothing
 without "the limit of a tenant" reducer/dispatch.go 'if r.tenantInFlight[tenant] >= policy.MaxTenantInFlight {' 'if r.tenantInFlight[tenant] < 0 {' TestTenantCannotTakeAllSlots
 without "shedding what would be late" reducer/dispatch.go 'case r.now.Add(t.expectedWait(r.now)) >= q.deadline:' 'case false:' TestRequestThatWouldMissDeadlineRefusedImmediately
-without "the comparison of revisions" reducer/adoption.go 'if revision <= r.Revision() ||' 'if revision == r.Revision() ||' TestRevisionReachesAllHostsAndIsNeverReverted
-without "learning settings from peers" reducer/adoption.go 'if host == "" || highest' 'if true || host == "" || highest' TestRevisionReachesAllHostsAndIsNeverReverted
-without "asking other hosts at the start" reducer/adoption.go 'if len(r.seedHosts) == 0 ||' 'if true ||' TestRevisionReachesAllHostsAndIsNeverReverted
-without "few watchers" reducer/adoption.go 'watch := !ok || watchersAhead < watchersPerZone' 'watch := !ok || watchersAhead >= 0' TestOnlyWatchersReadPlatform
+without "the comparison of revisions" reducer/settings.go 'if revision <= r.Revision() ||' 'if revision == r.Revision() ||' TestRevisionReachesAllHostsAndIsNeverReverted
+without "learning settings from peers" reducer/settings.go 'if host == "" || highest' 'if true || host == "" || highest' TestRevisionReachesAllHostsAndIsNeverReverted
+without "asking other hosts at the start" reducer/settings.go 'if len(r.seedHosts) == 0 ||' 'if true ||' TestRevisionReachesAllHostsAndIsNeverReverted
+without "few watchers" reducer/settings.go 'watch := !ok || watchersAhead < watchersPerZone' 'watch := !ok || watchersAhead >= 0' TestOnlyWatchersReadPlatform
 without "a fallback that keeps nothing" reducer/request.go 'if role == roleFallback {' 'if false {' TestHostWithoutPeersReleasesTargetSlots
 without "the wait for other hosts" reducer/joining.go 'if r.startedAt.Add(peerDiscoveryTimeout).Passed(r.now) {' 'if true {' TestStartingHostAcceptsNoPacketsBeforePeerDiscovery
 without "what successors hold for others" reducer/handover.go 'if !r.isKnownUnsent(id, body.WitnessedIdentities) {' 'if true {' TestUnsentRequestRunsDespiteWitnessedIdentity
 
 package=steerer
-without "the target's tag" steerer/steering.go 'to, ok := s.targets.byTag[p.Tag]' 'to, ok := s.chooseTarget(placement{service: "ledger", hash: key.hash()}), true' 'TestFlowStaysOnItsTargetThroughAnyHost|TestFleetAgainstOracle'
-without "copies to a target that lives" steerer/steering.go 'f.target.health.lastProgress > f.openingSentAt' 'f.target.health.lastProgress > f.openingSentAt.Add(1<<60)' TestResentOpeningStaysWithRespondingTarget
-without "copies away from a silent target" steerer/steering.go 'if keepTarget && f.target.health' 'if keepTarget || f.target.health' TestResentOpeningAvoidsUnresponsiveTarget
+without "the target's tag" steerer/forwarding.go 'to, ok := s.targets.byTag[p.Tag]' 'to, ok := s.chooseTarget(placement{service: "ledger", hash: key.hash()}), true' 'TestFlowStaysOnItsTargetThroughAnyHost|TestFleetAgainstOracle'
+without "copies to a target that lives" steerer/forwarding.go 'f.target.health.lastProgress > f.openingSentAt' 'f.target.health.lastProgress > f.openingSentAt.Add(1<<60)' TestResentOpeningStaysWithRespondingTarget
+without "copies away from a silent target" steerer/forwarding.go 'if keepTarget && f.target.health' 'if keepTarget || f.target.health' TestResentOpeningAvoidsUnresponsiveTarget
 without "distrust after a pause" steerer/health.go 'return s.pause.graceDeadline.Passed(s.now) &&' 'return true || s.pause.graceDeadline.Passed(s.now) &&' TestPausedHostDoesNotMakeTargetsUnreachable
 without "progress over a check that hangs" steerer/health.go 'h.lastProgress.Add(e.Took) > s.now' 'false' TestTargetWithProgressIsNotUnreachable
 without "resets of what may run again only" steerer/health.go '!f.awaitingResponse && f.paced == nil || !f.route.Kind.retryable()' '!f.awaitingResponse && f.paced == nil' TestIdempotentRequestsToUnresponsiveTargetAreReset
-without "the highest version" steerer/reading.go 'if s.settings != nil && settings.Version <= s.settings.Version {' 'if false {' TestSettingsNeverGoBack
-without "flows to targets whose entries lapsed" steerer/listing.go 'return !inGracePeriod || !alive' '_, _ = inGracePeriod, alive
+without "the highest version" steerer/platformread.go 'if s.settings != nil && settings.Version <= s.settings.Version {' 'if false {' TestSettingsNeverGoBack
+without "flows to targets whose entries lapsed" steerer/targetlist.go 'return !inGracePeriod || !alive' '_, _ = inGracePeriod, alive
 	return true' TestMissingTargetsWithRecentProgressStillGetFlows
-without "the end of that" steerer/listing.go 'return !inGracePeriod || !alive' '_ = inGracePeriod
+without "the end of that" steerer/targetlist.go 'return !inGracePeriod || !alive' '_ = inGracePeriod
 	return !alive' TestTargetThatStaysMissingGetsNoFlows
-without "ranks among readers" steerer/reading.go 'rank := s.rank()' 'rank := 0' TestPlatformReadsDoNotGrowWithFleet
-without "reads of its own at the latest" steerer/reading.go 'return min(firstReaderMaxAge(within, transfer)+time.Duration(rank)*readRankDelay, latest)' '_, _ = latest, rank
+without "ranks among readers" steerer/platformread.go 'rank := s.rank()' 'rank := 0' TestPlatformReadsDoNotGrowWithFleet
+without "reads of its own at the latest" steerer/platformread.go 'return min(firstReaderMaxAge(within, transfer)+time.Duration(rank)*readRankDelay, latest)' '_, _ = latest, rank
 	return firstReaderMaxAge(within, transfer) + time.Hour' TestEachSideOfPartitionReadsPlatform
-without "questions to other hosts" steerer/asking.go 'if s.awaitingFirstReads() || s.asking.inFlight || !s.asking.nextRequest.Passed(s.now) {' 'if true {' 'TestHostsStartedDuringPlatformOutageAreReady|TestSettingsReachDeniedHosts'
-without "the delay of the end" steerer/leaving.go 'if !l.started || l.ended || !l.earliest.Passed(s.now) {' 'if !l.started || l.ended {' TestLeavingHostForwardsUntilFabricStopsSendingPackets
-without "only removed routes" steerer/steering.go 'if !routed && s.removedRoutes[p.Service] {' 'if !routed {' TestEstablishedFlowOfUnknownRouteIsForwarded
+without "questions to other hosts" steerer/peersync.go 'if s.awaitingFirstReads() || s.asking.inFlight || !s.asking.nextRequest.Passed(s.now) {' 'if true {' 'TestHostsStartedDuringPlatformOutageAreReady|TestSettingsReachDeniedHosts'
+without "the delay of the end" steerer/shutdown.go 'if !l.started || l.ended || !l.earliest.Passed(s.now) {' 'if !l.started || l.ended {' TestLeavingHostForwardsUntilFabricStopsSendingPackets
+without "only removed routes" steerer/forwarding.go 'if !routed && s.removedRoutes[p.Service] {' 'if !routed {' TestEstablishedFlowOfUnknownRouteIsForwarded
 without "load of flows that have not opened" steerer/target.go 't.pendingRequests + t.halfOpen + t.peersBusy' 't.pendingRequests + t.peersBusy' TestCrashedTargetDoesNotAttractFlows
 without "changes told by turns" steerer/changes.go 'entry.timesSent++
 		c.insert(entry)' '*c = slices.Insert(*c, 0, entry)' TestManyChangesSpreadThroughReports
-without "questions at random" steerer/asking.go 'sameZone[s.random.IntN(len(sameZone))]' 'sameZone[0]' TestSyncRequestsAreSpreadOverPeers
+without "questions at random" steerer/peersync.go 'sameZone[s.random.IntN(len(sameZone))]' 'sameZone[0]' TestSyncRequestsAreSpreadOverPeers
 without "the notice of refusals" steerer/flow.go 'if f.target.health.lastProgress <= timer.since {
 			s.suspect(f.target, "openingSlow", timer.since)
 		}
@@ -139,81 +139,81 @@
 		if f == nil || f.established || f.openingResent || f.lastPacket != f.openingSentAt {
 			return
 		}' TestTargetThatRefusesFlowsIsDetected
-without "packets kept until the first read" steerer/holding.go 'if len(s.heldPackets) == maxHeldPackets {' 'if true {' TestPacketsBeforeFirstReadAreHeld
-without "one of a kept packet's repeats" steerer/holding.go 'if s.heldPackets[i].packet.retransmits(p) {' 'if false {' TestRetransmissionsOfHeldPacketsAreNotHeld
-without "a bound on how long packets are kept" steerer/holding.go 'if expired {' 'if false {' TestHeldPacketsAreBounded
+without "packets kept until the first read" steerer/held_packets.go 'if len(s.heldPackets) == maxHeldPackets {' 'if true {' TestPacketsBeforeFirstReadAreHeld
+without "one of a kept packet's repeats" steerer/held_packets.go 'if s.heldPackets[i].packet.retransmits(p) {' 'if false {' TestRetransmissionsOfHeldPacketsAreNotHeld
+without "a bound on how long packets are kept" steerer/held_packets.go 'if expired {' 'if false {' TestHeldPacketsAreBounded
 without "distrust of a slow path" steerer/health.go '!s.path.slow(s.now) && ' '' TestSlowPathDoesNotMakeTargetsUnreachable
 without "distrust of a full link" steerer/health.go '!s.path.slow(s.now) && ' '' TestFullLinkDoesNotMakeTargetsUnreachable
 without "copies that tell nothing of the path" steerer/path.go 'if f.openingResent {' 'if false {' TestResentOpeningsDoNotMakeThePathSlow
-without "routes that stay as they were" steerer/reading.go 'settings = settings.keepUnreadableRoutes(s.settings)' '' TestMalformedRouteKeepsPreviousVersion
-without "the notice of quick answers" steerer/choosing.go 'if s.failsFast(t) {' 'if false {' TestTargetThatFailsFastGetsFewFlows
+without "routes that stay as they were" steerer/platformread.go 'settings = settings.keepUnreadableRoutes(s.settings)' '' TestMalformedRouteKeepsPreviousVersion
+without "the notice of quick answers" steerer/target_selection.go 'if s.failsFast(t) {' 'if false {' TestTargetThatFailsFastGetsFewFlows
 without "word of quick answers" steerer/reports.go 's.applyFastFailures(p, r.FastFailing)' '' TestFastFailuresAreReportedWithinTheZone
 without "large links before small ones" steerer/peers.go 'return p.linkBytesPerSecond > s.config.LinkBytesPerSecond' '' TestHostsWithFastestLinksReadPlatform
-without "questions for targets that are gone" steerer/asking.go 'p = s.pickMissingTargetsPeer()' 'p = nil' TestStartingHostLearnsMissingTargets
+without "questions for targets that are gone" steerer/peersync.go 'p = s.pickMissingTargetsPeer()' 'p = nil' TestStartingHostLearnsMissingTargets
 without "what is usual on the path" steerer/path.go 'slowHandshakeFactor*s.path.handshake.median' '0' TestDistantCallersDoNotMakeThePathSlow
-without "the end of what was believed of an earlier life" steerer/listing.go 'if restarted {' 'if restarted && from == "" {' 'TestRestartedTargetIsUsedImmediately|TestRequestsOfEarlierIncarnationAreNoLoad|TestRestartReachesEveryHost'
-without "the repeat to the new life" steerer/life.go 'if f.awaitingResponse && len(f.bufferedRequest) > 0 {' 'if false {' TestInFlightRequestIsResentToNewIncarnation
+without "the end of what was believed of an earlier life" steerer/targetlist.go 'if restarted {' 'if restarted && from == "" {' 'TestRestartedTargetIsUsedImmediately|TestRequestsOfEarlierIncarnationAreNoLoad|TestRestartReachesEveryHost'
+without "the repeat to the new life" steerer/target_restart.go 'if f.awaitingResponse && len(f.bufferedRequest) > 0 {' 'if false {' TestInFlightRequestIsResentToNewIncarnation
 without "the life of a check" steerer/health.go '|| t.Incarnation != e.Incarnation' '' TestProbeOfEarlierIncarnationIsIgnored
-without "lives before revisions" steerer/life.go 'if incarnation != t.Incarnation {' 'if false {' TestLaterIncarnationOverridesLaterRevision
+without "lives before revisions" steerer/target_restart.go 'if incarnation != t.Incarnation {' 'if false {' TestLaterIncarnationOverridesLaterRevision
 without "the life that a host's word is about" steerer/reports.go 'if !ok || p.position.Before(t.incarnationPosition) {' 'if !ok {' TestReportsFromBeforeARestartAreIgnored
-without "targets that leave a service" steerer/table.go 't.listUnder(one, one.Service)' 'if one.listedUnder == "" { t.listUnder(one, one.Service) }' TestTargetRestartedInAnotherService
-without "no flows for spoilt entries" steerer/listing.go 'if !t.missing || t.malformed {' 'if !t.missing {' TestTargetWithMalformedEntryKeepsOpenFlowsAndGetsNoNewOnes
-without "one line for each change of an entry" steerer/foreign.go 'if !s.loggedMalformed[entry.Digest] {' 'if !s.loggedMalformed[0] {' TestMalformedEntryIsLoggedOnceAcrossFullLists
-without "one holder for each tag" steerer/table.go 'if !holder.missing {' 'if false {' TestTargetWithDuplicateTagGetsNoFlows
-without "requests that wait" steerer/pacing.go 'if !s.mayQueue(f, v) {' 'if true {' 'TestReadIsQueuedWhileServiceIsCongested|TestNewReadFlowIsRefusedWhileRequestsAreQueued'
-without "the bound on a wait" pacer/line.go 'return r.forcedDeadline.Passed(now)' 'return false' TestQueuedRequestIsForwardedBeforeItsCallerTimesOut
-without "repeats that wait, too" steerer/steering.go 'if f.paced != nil && s.queuePacket(f, p) {' 'if false {' TestRetransmitsOfAQueuedRequestAreNotForwarded
-without "refusals while others wait" steerer/admitting.go 'return v.load.Congested() && s.queuedAtComparableTargets(v, to) > 0' 'return false' TestNewReadFlowIsRefusedWhileRequestsAreQueued
-without "refusals only for who waits beside" steerer/admitting.go 'if s.slowdown(t) <= most {' 'if true || s.slowdown(t) <= most {' TestQueueForSlowTargetDoesNotRefuseFlowsToOthers
+without "targets that leave a service" steerer/target_table.go 't.listUnder(one, one.Service)' 'if one.listedUnder == "" { t.listUnder(one, one.Service) }' TestTargetRestartedInAnotherService
+without "no flows for spoilt entries" steerer/targetlist.go 'if !t.missing || t.malformed {' 'if !t.missing {' TestTargetWithMalformedEntryKeepsOpenFlowsAndGetsNoNewOnes
+without "one line for each change of an entry" steerer/malformed.go 'if !s.loggedMalformed[entry.Digest] {' 'if !s.loggedMalformed[0] {' TestMalformedEntryIsLoggedOnceAcrossFullLists
+without "one holder for each tag" steerer/target_table.go 'if !holder.missing {' 'if false {' TestTargetWithDuplicateTagGetsNoFlows
+without "requests that wait" steerer/queueing.go 'if !s.mayQueue(f, v) {' 'if true {' 'TestReadIsQueuedWhileServiceIsCongested|TestNewReadFlowIsRefusedWhileRequestsAreQueued'
+without "the bound on a wait" pacer/queue.go 'return r.forcedDeadline.Passed(now)' 'return false' TestQueuedRequestIsForwardedBeforeItsCallerTimesOut
+without "repeats that wait, too" steerer/forwarding.go 'if f.paced != nil && s.queuePacket(f, p) {' 'if false {' TestRetransmitsOfAQueuedRequestAreNotForwarded
+without "refusals while others wait" steerer/admission.go 'return v.load.Congested() && s.queuedAtComparableTargets(v, to) > 0' 'return false' TestNewReadFlowIsRefusedWhileRequestsAreQueued
+without "refusals only for who waits beside" steerer/admission.go 'if s.slowdown(t) <= most {' 'if true || s.slowdown(t) <= most {' TestQueueForSlowTargetDoesNotRefuseFlowsToOthers
 without "the end of a request whose caller has gone" steerer/flow.go 'func (s *Steerer) closeFlow(key flowKey, f *flow) {
 	s.discardQueued(f)' 'func (s *Steerer) closeFlow(key flowKey, f *flow) {' TestQueuedRequestIsDiscardedWhenItsCallerResets
-without "what waits at a host that leaves" steerer/leaving.go 's.forwardAllQueued(t, "leaving")' '_ = t' TestLeavingHostForwardsQueuedRequests
+without "what waits at a host that leaves" steerer/shutdown.go 's.forwardAllQueued(t, "leaving")' '_ = t' TestLeavingHostForwardsQueuedRequests
 without "resets of what waits for a silent target" steerer/health.go '!f.awaitingResponse && f.paced == nil' '!f.awaitingResponse' TestQueuedRequestOfAnUnresponsiveTargetIsReset
-without "resets of what waits for a removed route" steerer/pacing.go 'if s.removedRoutes[r.key.service] {' 'if false {' TestQueuedRequestOfARemovedRouteIsReset
-without "the end of counts nobody else ends" steerer/load.go 'f.requestStartedAt == timer.since {' 'false {' TestUnseenResetsDoNotBlockTheQueue
-without "refusals that are no failures" steerer/estimating.go 'fastFailure && !pressed' 'fastFailure' TestRefusalsOfACongestedServiceAreNotFailures
-without "distrust of what waited during a pause" steerer/steering.go 'if s.isStale(p) {' 'if false {' TestPausedHostDropsStalePackets
-without "distrust of load after a pause" steerer/load.go '|| !s.pause.graceDeadline.Passed(s.now) ||' '||' TestHostPauseIsNotTakenForCongestion
-without "one question at a time" steerer/asking.go '|| s.asking.inFlight || !s.asking' '|| !s.asking' TestOnlyOneSyncRequestIsInFlight
-without "patience with other hosts" steerer/asking.go 'share := settingsSyncShare + settingsSyncSpread*s.hostFraction()' 'share := 0.1 + 0*s.hostFraction()' TestHostsFetchChangesFromOtherHosts
-without "pauses that grow with the fleet" steerer/reading.go 'max(src.backoff, fleetPause)' 'src.backoff+0*fleetPause' TestFleetLimitsReadsDuringPlatformOutage
-without "first reads that may be stale" steerer/reading.go '&ReadSettings{ReadOptions{MayBeStale: settings.neverRead(), Era: s.reading.era}}' '&ReadSettings{}' TestFirstReadsMayBeStaleAndOneHostRefreshesThem
+without "resets of what waits for a removed route" steerer/queueing.go 'if s.removedRoutes[r.key.service] {' 'if false {' TestQueuedRequestOfARemovedRouteIsReset
+without "the end of counts nobody else ends" steerer/service_load.go 'f.requestStartedAt == timer.since {' 'false {' TestUnseenResetsDoNotBlockTheQueue
+without "refusals that are no failures" steerer/estimates.go 'fastFailure && !pressed' 'fastFailure' TestRefusalsOfACongestedServiceAreNotFailures
+without "distrust of what waited during a pause" steerer/forwarding.go 'if s.isStale(p) {' 'if false {' TestPausedHostDropsStalePackets
+without "distrust of load after a pause" steerer/service_load.go '|| !s.pause.graceDeadline.Passed(s.now) ||' '||' TestHostPauseIsNotTakenForCongestion
+without "one question at a time" steerer/peersync.go '|| s.asking.inFlight || !s.asking' '|| !s.asking' TestOnlyOneSyncRequestIsInFlight
+without "patience with other hosts" steerer/peersync.go 'share := settingsSyncShare + settingsSyncSpread*s.hostFraction()' 'share := 0.1 + 0*s.hostFraction()' TestHostsFetchChangesFromOtherHosts
+without "pauses that grow with the fleet" steerer/platformread.go 'max(src.backoff, fleetPause)' 'src.backoff+0*fleetPause' TestFleetLimitsReadsDuringPlatformOutage
+without "first reads that may be stale" steerer/platformread.go '&ReadSettings{ReadOptions{MayBeStale: settings.neverRead(), Era: s.reading.era}}' '&ReadSettings{}' TestFirstReadsMayBeStaleAndOneHostRefreshesThem
 without "distrust during transfers" steerer/path.go 'if rate > 0 && float64(max(received, sent))' 'if rate < 0 && float64(max(received, sent))' TestOwnTransferDoesNotMakeTargetsUnreachable
-without "open flows before the settings" steerer/holding.go 'if !ok || p.isOpening() || !s.targetsPosition.Known() {' 'if true || !ok {' TestEstablishedFlowsDoNotWaitForSettings
+without "open flows before the settings" steerer/held_packets.go 'if !ok || p.isOpening() || !s.targetsPosition.Known() {' 'if true || !ok {' TestEstablishedFlowsDoNotWaitForSettings
 without "reports that stay in the zone" steerer/peers.go 'sameZoneFanout = 3' 'sameZoneFanout   = 0' TestMostReportsInALargeFleetStayWithinTheirZone
 without "ages of what is told of hosts" steerer/reports.go 'time.Duration(r.HostAgeTenths[i]) * gossipAgeUnit' '0 * time.Duration(r.HostAgeTenths[i])' TestDeadHostsInLiveZonesAreDetected
-without "first lists as no news" steerer/listing.go 'if s.targetsPosition.Known() {
+without "first lists as no news" steerer/targetlist.go 'if s.targetsPosition.Known() {
 		s.queueChange' 'if true {
 		s.queueChange' TestFirstTargetListIsNotReportedAsChanges
-without "targets before settings" steerer/reading.go '&& !s.settingsWaitForTargets() {' '{' TestTargetsAreReadBeforeTheSettings
-without "numbers of reads" steerer/reading.go 'moment := src.earliestStart(c.read, c.moment)' 'moment := c.moment' TestTargetsAgeGrowsWithoutPlatformReads
-without "orders to evacuate zones" steerer/choosing.go 'case view.evacuated:' 'case false && view.evacuated:' 'TestEvacuatedZoneGetsNoNewFlows|TestOrdersHoldUnderFaults'
-without "copies that obey orders" steerer/steering.go 's.exclusionOf(f.target, s.evaluateZones(c)) == notExcluded' 'true' TestRetransmittedSYNAvoidsEvacuatedZone
+without "targets before settings" steerer/platformread.go '&& !s.settingsWaitForTargets() {' '{' TestTargetsAreReadBeforeTheSettings
+without "numbers of reads" steerer/platformread.go 'moment := src.earliestStart(c.read, c.moment)' 'moment := c.moment' TestTargetsAgeGrowsWithoutPlatformReads
+without "orders to evacuate zones" steerer/target_selection.go 'case view.evacuated:' 'case false && view.evacuated:' 'TestEvacuatedZoneGetsNoNewFlows|TestOrdersHoldUnderFaults'
+without "copies that obey orders" steerer/forwarding.go 's.exclusionOf(f.target, s.evaluateZones(c)) == notExcluded' 'true' TestRetransmittedSYNAvoidsEvacuatedZone
 without "checks that obey orders" steerer/health.go '&& !t.missing && !s.evacuator.Evacuates(t.AvailabilityZone) {' '&& !t.missing {' TestEvacuatedTargetsAreNotChecked
 without "checks for open flows of evacuated zones" steerer/health.go '|| !h.probeDeadline.Passed(s.now) {' '|| !h.probeDeadline.Passed(s.now) || s.evacuator.Evacuates(t.AvailabilityZone) {' TestCrashOfEvacuatedZoneResetsOpenFlows
-without "checks of taken over flows" steerer/silence.go 'if p.Length > 0 && s.zoneHostsSilent(to.AvailabilityZone) {' 'if false && p.Length > 0 && s.zoneHostsSilent(to.AvailabilityZone) {' TestFlowsOfALostZoneAreResetPromptly
-without "hosts that wait for their zone" steerer/returning.go 'return 2*living < s.peers.expectedInZone' 'return false && 2*living < s.peers.expectedInZone' TestRecoveringZoneWaitsForMajorityOfHosts
-without "hosts that wait only while others serve" steerer/returning.go 'case r.Uptime < establishedUptime:' 'case r.Uptime < 0:' TestHostsDoNotWaitAfterLossOfAllZones
-without "an end of waiting for the zone" steerer/returning.go '|| s.config.Start.Add(zoneStartGrace).Passed(s.now) {' '{' TestHostWaitForZoneIsBounded
-without "the end of orders out of touch" steerer/orders.go 'return age(s.now, s.reading.settings.confirmed) > s.settingsPropagationLimit()' 'return false' TestPartitionedHostServesItsEvacuatedZone
-without "orders that hold in an outage" steerer/choosing.go 'if v.lastResort {' 'if false {' TestOrdersOutlastPlatformOutage
+without "checks of taken over flows" steerer/unresponsive_targets.go 'if p.Length > 0 && s.zoneHostsSilent(to.AvailabilityZone) {' 'if false && p.Length > 0 && s.zoneHostsSilent(to.AvailabilityZone) {' TestFlowsOfALostZoneAreResetPromptly
+without "hosts that wait for their zone" steerer/zonestart.go 'return 2*living < s.peers.expectedInZone' 'return false && 2*living < s.peers.expectedInZone' TestRecoveringZoneWaitsForMajorityOfHosts
+without "hosts that wait only while others serve" steerer/zonestart.go 'case r.Uptime < establishedUptime:' 'case r.Uptime < 0:' TestHostsDoNotWaitAfterLossOfAllZones
+without "an end of waiting for the zone" steerer/zonestart.go '|| s.config.Start.Add(zoneStartGrace).Passed(s.now) {' '{' TestHostWaitForZoneIsBounded
+without "the end of orders out of touch" steerer/evacuation.go 'return age(s.now, s.reading.settings.confirmed) > s.settingsPropagationLimit()' 'return false' TestPartitionedHostServesItsEvacuatedZone
+without "orders that hold in an outage" steerer/target_selection.go 'if v.lastResort {' 'if false {' TestOrdersOutlastPlatformOutage
 without "orders in reports" steerer/reports.go 's.applyOrders(evacuator.Orders{Position: sequencer.At(r.OrdersEra, r.OrdersRevision), Zones: r.EvacuatedZones}, p.name)' '_ = evacuator.Orders{}' 'TestHostStartedDuringPlatformOutageLearnsOrders|TestDeniedHostLearnsOrdersFromPeers'
-without "reads as often as orders need" steerer/orders.go 'if s.config.EvacuationPropagationLimit > 0 {' 'if false {' TestOrdersAreReadWithinPropagationLimit
+without "reads as often as orders need" steerer/evacuation.go 'if s.config.EvacuationPropagationLimit > 0 {' 'if false {' TestOrdersAreReadWithinPropagationLimit
 without "tickets for cold targets" steerer/cold.go '!s.leaving.started && t.AvailabilityZone == s.config.AvailabilityZone && s.warmer.Admits(t.ID, bound, s.now)' 'true' 'TestColdTargetsStayWithinTheirFlowLimit|TestZoneIsColdAfterEvacuation'
 without "the warm-up of a zone that is back" steerer/cold.go 'return ok && !lifted' 'return ok && false && !lifted' TestZoneIsColdAfterEvacuation
-without "news of cold targets" steerer/listing.go 'if turnedCold := warmUp > reportInterval && t.warmUpDeadline.Passed(s.now); turnedCold {' 'if false {' TestColdStateReachesOtherHosts
-without "regions of routes" steerer/choosing.go 'case !view.inRegion:' 'case false && !view.inRegion:' TestRoutesStayInTheirRegions
+without "news of cold targets" steerer/targetlist.go 'if turnedCold := warmUp > reportInterval && t.warmUpDeadline.Passed(s.now); turnedCold {' 'if false {' TestColdStateReachesOtherHosts
+without "regions of routes" steerer/target_selection.go 'case !view.inRegion:' 'case false && !view.inRegion:' TestRoutesStayInTheirRegions
 without "early looks at openings" steerer/flow.go 's.suspect(f.target, "openingSlow", timer.since)' '_ = f' TestCrashedZoneIsAvoidedImmediately
 without "checks of neighbours" steerer/health.go 'if noProgress && t.AvailabilityZone' 'if false && noProgress && t.AvailabilityZone' TestCrashedZoneIsAvoidedImmediately
-without "doubt of silent zones" steerer/choosing.go 'if v.suspectZones {' 'if false {' TestCrashedZoneIsAvoidedImmediately
+without "doubt of silent zones" steerer/target_selection.go 'if v.suspect {' 'if false {' TestCrashedZoneIsAvoidedImmediately
 without "signs of life that end doubt" diagnoser/diagnoser.go 'z.gapCount >= minGaps && z.lastActivity <= since && now' 'z.gapCount >= minGaps && now' TestOneCrashedTargetDoesNotEmptyItsZone
 without "distrust of late checks" steerer/health.go '(!s.silenceIsEvidence() || e.Took > lateProbeFactor*h.probeTimeout)' '!s.silenceIsEvidence()' TestLateProbeDoesNotMakeTargetUnreachable
 without "word of silent targets" steerer/reports.go 'r.InFlight, r.FastFailing, r.Unresponsive = observations.busy, observations.fastFailing, observations.silent' 'r.InFlight, r.FastFailing = observations.busy, observations.fastFailing' TestUnresponsiveTargetsAreReportedToOtherHosts
-without "service of a zone that is cut off" steerer/orders.go 'return otherZones >= 2 && !s.otherZonesReporting()' 'return false && !s.otherZonesReporting()' TestPartitionedEvacuatedZoneUsesItsOwnTargets
-without "orders that hold while hosts are heard" steerer/orders.go 'return otherZones >= 2 && !s.otherZonesReporting()' 'return otherZones >= 2' TestPartitionedEvacuatedZoneUsesItsOwnTargets
-without "orders that hold with one other zone" steerer/orders.go 'otherZones >= 2 &&' 'otherZones >= 1 &&' TestEvacuationOrderHoldsWhenOnlyOtherZoneIsLost
-without "first reads that allow for transfers" steerer/reading.go 'return boundedAge(within, firstReadShare, remaining)' 'return scale(within, firstReadShare) + 0*remaining' TestSettingsReachSlowLinksInTime
-without "own reads that allow for transfers" steerer/asking.go 'return boundedAge(within, share, remaining)' 'return scale(within, share) + 0*remaining' TestSettingsReachSlowLinksInTime
+without "service of a zone that is cut off" steerer/evacuation.go 'return otherZones >= 2 && !s.otherZonesReporting()' 'return false && !s.otherZonesReporting()' TestPartitionedEvacuatedZoneUsesItsOwnTargets
+without "orders that hold while hosts are heard" steerer/evacuation.go 'return otherZones >= 2 && !s.otherZonesReporting()' 'return otherZones >= 2' TestPartitionedEvacuatedZoneUsesItsOwnTargets
+without "orders that hold with one other zone" steerer/evacuation.go 'otherZones >= 2 &&' 'otherZones >= 1 &&' TestEvacuationOrderHoldsWhenOnlyOtherZoneIsLost
+without "first reads that allow for transfers" steerer/platformread.go 'return boundedAge(within, firstReadShare, remaining)' 'return scale(within, firstReadShare) + 0*remaining' TestSettingsReachSlowLinksInTime
+without "own reads that allow for transfers" steerer/peersync.go 'return boundedAge(within, share, remaining)' 'return scale(within, share) + 0*remaining' TestSettingsReachSlowLinksInTime
 
 package=evacuator
 without "the order of orders" evacuator/evacuator.go 'if !e.orders.Position.Before(orders.Position) {' 'if false {' 'TestOlderOrdersAreIgnored|TestOrdersAgainstOracle'
@@ -232,8 +232,8 @@
 
 package=pacer
 without "the gradient of the window" pacer/pacer.go 'next := l.window*gradient + windowHeadroom' 'next := l.window + windowHeadroom + 0*gradient' TestPacingKeepsUrgentRequestsOnTimeInSurge
-without "room for those that can be in time" pacer/line.go 'onTime := !r.onTimeDeadline.Passed(now)' 'onTime := true' 'TestPacingKeepsUrgentRequestsOnTimeInSurge|TestLateRequestsYieldToOnTimeRequests'
-without "the turn of those that will be late" pacer/line.go 'if r.agingDeadline.Passed(now) {' 'if false {' TestQueueDelayIsBounded
+without "room for those that can be in time" pacer/queue.go 'onTime := !r.onTimeDeadline.Passed(now)' 'onTime := true' 'TestPacingKeepsUrgentRequestsOnTimeInSurge|TestLateRequestsYieldToOnTimeRequests'
+without "the turn of those that will be late" pacer/queue.go 'if r.agingDeadline.Passed(now) {' 'if false {' TestQueueDelayIsBounded
 without "the end of pacing" pacer/pacer.go '(before && l.pressure > congestionOffThreshold)' 'before' TestNormalLoadIsNotQueued
 
 package=encoder
@@ -245,34 +245,34 @@
 
 package=steerer
 without "eras before revisions" sequencer/sequencer.go 'if c := cmp.Compare(p.Era, other.Era); c != 0 {' 'if c := cmp.Compare(p.Era, other.Era); false && c != 0 {' 'TestRestoredListIsApplied|TestRandomRestoresAgainstOracle'
-without "whole lists of a new era" steerer/asking.go 'case k.Scope == messenger.ScopeFull, !position.ContinuesFrom(s.targetsPosition):' 'case false:' TestFullListRemovesTargetsOfEndedEra
-without "questions after a restore" steerer/asking.go '|| s.inEndedEra() || behind' '|| behind' TestIsolatedHostLearnsNewEraFromPeers
+without "whole lists of a new era" steerer/peersync.go 'case k.Scope == messenger.ScopeFull, !position.ContinuesFrom(s.targetsPosition):' 'case false:' TestFullListRemovesTargetsOfEndedEra
+without "questions after a restore" steerer/peersync.go '|| s.inEndedEra() || behind' '|| behind' TestIsolatedHostLearnsNewEraFromPeers
 without "confirmations of this era only" steerer/reports.go '|| r.era < s.reading.era {' '{' TestConfirmationsFromEndedEraAreIgnored
-without "late answers left out" steerer/reading.go 'if position.Era < s.reading.era {' 'if false {' TestLateReadDoesNotConfirmEndedEra
+without "late answers left out" steerer/platformread.go 'if position.Era < s.reading.era {' 'if false {' TestLateReadDoesNotConfirmEndedEra
 without "states of this era only" steerer/reports.go 'if seen.Era < s.targetsPosition.Era {' 'if false {' TestReportFromEndedEraIsIgnored
-without "dates of a new era" steerer/restoring.go 't.seenPosition = s.targetsPosition' '_ = t' TestSyncResponseUsesPositionsOfNewEra
-without "doubt of targets that had left" steerer/choosing.go '|| s.wasDrainingBeforeRestore(t):' ':' 'TestTerminatedTargetRelistedByRestoreGetsNoFlows'
-without "drains that a copy lacks" steerer/restoring.go 't.restored.wasDraining &&' 'false &&' TestTargetDrainingBeforeRestoreGetsNoFlows
-without "doubt of targets that had vanished" steerer/choosing.go '|| s.missingAcrossRestore(t):' ':' TestTargetMissingBeforeRestoreIsLastResort
-without "lapsed targets that serve" steerer/choosing.go '|| s.wasDrainingBeforeRestore(t):' '|| s.avoidedAfterRestore(t):' TestMissingTargetsListedByRestoreServe
-without "first answers of the era before" steerer/reading.go 'if mayBeStale && position.Era > 0 {' 'if false {' 'TestStaleFirstTargetsReadDoesNotOverrideRestoredList|TestStaleFirstSettingsReadDoesNotEndOrders'
-without "what has gone, for hosts of another era" steerer/asking.go '	for _, t := range targets {
+without "dates of a new era" steerer/restore.go 't.seenPosition = s.targetsPosition' '_ = t' TestSyncResponseUsesPositionsOfNewEra
+without "doubt of targets that had left" steerer/target_selection.go '|| s.wasDrainingBeforeRestore(t):' ':' 'TestTerminatedTargetRelistedByRestoreGetsNoFlows'
+without "drains that a copy lacks" steerer/restore.go 't.restored.wasDraining &&' 'false &&' TestTargetDrainingBeforeRestoreGetsNoFlows
+without "doubt of targets that had vanished" steerer/target_selection.go '|| s.missingAcrossRestore(t):' ':' TestTargetMissingBeforeRestoreIsLastResort
+without "lapsed targets that serve" steerer/target_selection.go '|| s.wasDrainingBeforeRestore(t):' '|| s.avoidedAfterRestore(t):' TestMissingTargetsListedByRestoreServe
+without "first answers of the era before" steerer/platformread.go 'if mayBeStale && position.Era > 0 {' 'if false {' 'TestStaleFirstTargetsReadDoesNotOverrideRestoredList|TestStaleFirstSettingsReadDoesNotEndOrders'
+without "what has gone, for hosts of another era" steerer/peersync.go '	for _, t := range targets {
 		k.Targets' '	for _, t := range targets {
 		if t.missing {
 			continue
 		}
 		k.Targets' TestSyncResponseToOlderReleaseListsMissingTargets
-without "lists that have a revision" steerer/listing.go '|| (s.targetsPosition.Known() && !list.Position.Known())' '' TestListWithoutRevisionIsIgnored
-without "doubt from the latest restore on" steerer/restoring.go 'if !t.restored.deadline.Passed(s.now) {' 'if false {' TestSecondRestoreExtendsAvoidance
-without "some zone for callers" steerer/choosing.go 'nowhere := obeys && s.allZonesEvacuated()' 'nowhere := false' TestConflictingOrdersAfterRestoreLeaveOneZone
-without "the era in reads" steerer/reading.go 'Era: s.reading.era}' 'Era: 0}' TestStartingHostReadsPlatformWithoutEra
-without "a first era that is no restore" steerer/restoring.go 'if previous == 0 || knowsNothing {' 'if knowsNothing {' TestFirstEraIsNotReportedAsRestore
-without "grace for targets that a copy lacks" steerer/listing.go 'if !t.missing || t.malformed {' 'if t.missing { return true }; if !t.missing || t.malformed {' TestLiveTargetsAbsentFromBackupKeepServing
-without "idle targets that a copy lacks" steerer/listing.go 'if s.missingFromBackup(t) {' 'if false {' TestIdleTargetsAbsentFromBackupServe
+without "lists that have a revision" steerer/targetlist.go '|| (s.targetsPosition.Known() && !list.Position.Known())' '' TestListWithoutRevisionIsIgnored
+without "doubt from the latest restore on" steerer/restore.go 'if !t.restored.deadline.Passed(s.now) {' 'if false {' TestSecondRestoreExtendsAvoidance
+without "some zone for callers" steerer/target_selection.go 'nowhere := obeys && s.allZonesEvacuated()' 'nowhere := false' TestConflictingOrdersAfterRestoreLeaveOneZone
+without "the era in reads" steerer/platformread.go 'Era: s.reading.era}' 'Era: 0}' TestStartingHostReadsPlatformWithoutEra
+without "a first era that is no restore" steerer/restore.go 'if previous == 0 || knowsNothing {' 'if knowsNothing {' TestFirstEraIsNotReportedAsRestore
+without "grace for targets that a copy lacks" steerer/targetlist.go 'if !t.missing || t.malformed {' 'if t.missing { return true }; if !t.missing || t.malformed {' TestLiveTargetsAbsentFromBackupKeepServing
+without "idle targets that a copy lacks" steerer/targetlist.go 'if s.missingFromBackup(t) {' 'if false {' TestIdleTargetsAbsentFromBackupServe
 without "orders that a copy lacks" evacuator/evacuator.go 'case restored:' 'case restored && false:' TestOrderAbsentFromBackupHoldsUntilReissued
 without "the end of orders not given again" steerer/steerer.go 's.expireOrders()' '' TestOrderNotReissuedAfterRestoreExpires
-without "reads of all that a restore has undone" steerer/restoring.go 's.reading.targets.urgent = true' '_ = s' TestRestoreFoundBySettingsReadTriggersTargetsRead
-without "versions that never go back" steerer/reading.go 'if s.settings != nil && settings.Version <= s.settings.Version {' 'if false {' TestPublishedVersionNeverGoesBack
+without "reads of all that a restore has undone" steerer/restore.go 's.reading.targets.urgent = true' '_ = s' TestRestoreFoundBySettingsReadTriggersTargetsRead
+without "versions that never go back" steerer/platformread.go 'if s.settings != nil && settings.Version <= s.settings.Version {' 'if false {' TestPublishedVersionNeverGoesBack
 package=estimator
 without "the wait for what is under way" estimator/estimator.go 'max(float64(inFlight+1-slots), 0)/float64(slots)' '0*float64(inFlight+1-slots)/float64(slots)' TestQueueingDelayIsNotCountedAsSlowdown
 without "samples that hold back" estimator/estimator.go 'priorSamples     = 4.0' 'priorSamples     = 0.0' TestLatencyVarianceDoesNotMarkTargetsSlow
@@ -285,18 +285,18 @@
 without "trials" estimator/trials.go 't.slow && t.combined.weight < trialSampleThreshold' 'false && t.combined.weight < trialSampleThreshold' TestTrialsDetectRecoveredTarget
 without "trials that all hosts share" estimator/trials.go 'time.Duration(max(hosts, 1)) * time.Second' 'time.Duration(max(hosts/hosts, 1)) * time.Second' TestTrialRateIsBoundedAcrossHosts
 without "memory that ends" estimator/estimator.go 'sampleDecayTime = time.Second' 'sampleDecayTime = 20 * time.Second' 'TestTrialsDetectRecoveredTarget|TestSlowTargetsGetLoadByTheirCapacity'
-without "the latest quick words" estimator/reports.go 'r[i].deadline < r[oldest].deadline' 'r[i].deadline > r[oldest].deadline' TestBoundedFastFailureReportsMatchUnboundedCount
+without "the latest quick words" estimator/fast_failure_reports.go 'r[i].deadline < r[oldest].deadline' 'r[i].deadline > r[oldest].deadline' TestBoundedFastFailureReportsMatchUnboundedCount
 
 package=steerer
-without "speed in placement" steerer/choosing.go 'slowness > 0 {' 'slowness > 1000 {' 'TestSlowTargetGetsFewFlows|TestSlowZoneSpillsOver'
-without "the speed of zones" steerer/choosing.go 's.zoneLogSlowdown(c.service, zone),' '0,' TestSlowZoneSpillsOver
+without "speed in placement" steerer/target_selection.go 'slowness > 0 {' 'slowness > 1000 {' 'TestSlowTargetGetsFewFlows|TestSlowZoneSpillsOver'
+without "the speed of zones" steerer/target_selection.go 's.zoneLogSlowdown(c.service, zone),' '0,' TestSlowZoneSpillsOver
 without "word of slow targets" steerer/reports.go 's.applySlowdownReports(p, r.Slowdowns)' '' TestSlowTargetIsReportedWithinItsZone
-without "requests that wait too long" steerer/estimating.go 's.recordLatency(f, waited)' '_ = waited' TestHangingTargetIsSlowBeforeItsFirstResponse
-without "trials that avoid silent targets" steerer/estimating.go 'case t.health.unreachable(), t.health.suspect, t.reportedUnresponsive(s.now), s.failsFast(t):' 'case false:' TestUnresponsiveTargetGetsNoTrial
-without "distrust of answers after a pause" steerer/estimating.go '!s.pause.graceDeadline.Passed(s.now) || s.isCold(t)' 's.isCold(t)' TestHostPauseDoesNotMarkTargetsSlow
-without "pressure that leaves out slow targets" steerer/load.go '|| s.targetOrZoneSlow(f.target) {' '{' TestSlowTargetsDoNotCongestTheirService
-without "usual times that leave out slow targets" steerer/estimating.go 'pressed || s.targetOrZoneSlow(f.target)' 'pressed' TestBaselineIgnoresSlowTargets
-without "speed that ends with a life" steerer/life.go 't.slowdownEstimate = estimator.Target{}' '' TestRestartedTargetIsNotSlow
+without "requests that wait too long" steerer/estimates.go 's.recordLatency(f, waited)' '_ = waited' TestHangingTargetIsSlowBeforeItsFirstResponse
+without "trials that avoid silent targets" steerer/estimates.go 'case t.health.unreachable(), t.health.suspect, t.reportedUnresponsive(s.now), s.failsFast(t):' 'case false:' TestUnresponsiveTargetGetsNoTrial
+without "distrust of answers after a pause" steerer/estimates.go '!s.pause.graceDeadline.Passed(s.now) || s.isCold(t)' 's.isCold(t)' TestHostPauseDoesNotMarkTargetsSlow
+without "pressure that leaves out slow targets" steerer/service_load.go '|| s.targetOrZoneSlow(f.target) {' '{' TestSlowTargetsDoNotCongestTheirService
+without "usual times that leave out slow targets" steerer/estimates.go 'pressed || s.targetOrZoneSlow(f.target)' 'pressed' TestBaselineIgnoresSlowTargets
+without "speed that ends with a life" steerer/target_restart.go 't.slowdownEstimate = estimator.Target{}' '' TestRestartedTargetIsNotSlow
 package=limiter
 without "what a host has forgotten since it started" limiter/limiter.go 'b.Estimated = l.estimateForgotten(t, now) + int(unreported+0.5)' 'b.Estimated = int(unreported + 0.5)' TestRestartedHostEstimatesForgottenFlows
 without "what a host told before it started again" limiter/limiter.go 'n := max(reported, l.remaining(int(h.previousFlows[tag]), h.previousSince, now))' 'n := reported' TestFlowsForgottenByRestartedPeerStillCount
@@ -311,28 +311,28 @@
 without "hosts that tell no more" limiter/limiter.go 'if h.sameZone && !h.timedOut && now.Since(h.lastHeard) > timeout {' 'if false {' TestDeadHostsAreNotCountedAsReporters
 
 package=steerer
-without "an even spread of connections" steerer/connections.go 'return connectionWeight * float64(flows)' 'return 0 * connectionWeight * float64(flows)' TestIdleTargetIsNotFilledToItsConnectionLimit
-without "the bound of connections" steerer/connections.go 'if !admits {' 'if false && !admits {' TestFlowsAreRefusedImmediatelyWhenAllTargetsAreFull
-without "brief flows" steerer/places.go 'if v.shortLivedRoutes[route.Name] {' 'if false {' TestShortLivedFlowsAreAdmittedBesideLongLivedFlows
-without "places for higher priority" steerer/places.go 'probeReserve+rank*step' 'probeReserve+0*rank*step' TestConnectionsAreReservedForHigherPriority
-without "places for checks" steerer/places.go 'probeReserve = 1' 'probeReserve = 0' TestConnectionIsReservedForProbes
+without "an even spread of connections" steerer/connections.go 'return connectionWeight * float64(flows)' 'return 0 * connectionWeight * float64(flows)' TestIdleTargetIsNotFilledWithFlows
+without "the bound of connections" steerer/connections.go 'if !admits {' 'if false && !admits {' TestFlowsBeyondAllPlacesAreRefusedAtOnce
+without "brief flows" steerer/places.go 'if v.brief[route.Name] {' 'if false {' TestBriefFlowsFindRoomBesideThoseThatLast
+without "places for higher priority" steerer/places.go 'checkPlaces+rank*step' 'checkPlaces+0*rank*step' TestPlacesAreReservedForHigherPriority
+without "places for checks" steerer/places.go 'checkPlaces = 1' 'checkPlaces = 0' TestChecksFindRoomAtTargetsThatHostsHaveFilled
 without "opening packets that are sent on" steerer/flow.go 's.probeIfPossiblyFull(f)' '_ = f' TestFullTargetIsNotTreatedAsUnreachable
-without "checks of targets just found full" steerer/crowding.go 't.health.probeDeadline = s.now' '_ = s.now' TestTargetRecentlyFoundFullIsReprobedImmediately
-without "memory of targets found full" steerer/crowding.go 'return f.openingResentByCaller || f.target.foundFullBefore(f.openingSentAt)' 'return f.openingResentByCaller' TestTargetRecentlyFoundFullIsReprobedImmediately
-without "openings left to full targets that may have taken them" steerer/crowding.go 'if f.certainlyNotAccepted() {' 'if f.certainlyNotAccepted() || true {' TestFlowEstablishedThroughAnotherHostIsNotRedispatched
-without "copies that go back unless a target was found full" steerer/crowding.go '!f.established && f.target.foundFullBefore(s.now)' '!f.established' TestResentOpeningGoesToFirstTargetIfItResponds
+without "checks of targets just found full" steerer/redispatch.go 't.health.probeDeadline = s.now' '_ = s.now' TestTargetRecentlyFoundFullIsReprobedImmediately
+without "memory of targets found full" steerer/redispatch.go 'return f.openingResentByCaller || f.target.foundFullBefore(f.openingSentAt)' 'return f.openingResentByCaller' TestTargetRecentlyFoundFullIsReprobedImmediately
+without "openings left to full targets that may have taken them" steerer/redispatch.go 'if f.certainlyNotAccepted() {' 'if f.certainlyNotAccepted() || true {' TestFlowEstablishedThroughAnotherHostIsNotRedispatched
+without "copies that go back unless a target was found full" steerer/redispatch.go '!f.established && f.target.foundFullBefore(s.now)' '!f.established' TestResentOpeningGoesToFirstTargetIfItResponds
 without "the end of idle flows" steerer/flow.go 'if f.lastPacket.Add(keep).Passed(s.now) {' 'if f.closed && f.lastPacket.Add(keep).Passed(s.now) {' TestFlowsThatEndWithoutAPacketExpire
 without "word of full zones" steerer/reports.go 's.addLocalZoneFlows(r)' '_ = r' TestZonesShareFlowCounts
-without "targets with flows first in a report" steerer/telling.go 's.connections.limiter.UsedTargets(targets)' 'targets' TestEveryHostOfALargeZoneLearnsAllFlowCounts
-without "openings sent on by the route of today" steerer/crowding.go 'if !ok || route.pickService' 'route = f.route; if false && !ok || false && route.pickService' TestRedispatchUsesCurrentRoute
-without "openings sent on bit by bit" steerer/crowding.go 'c.redispatchesThisTick < maxRedispatchesPerTick' 'true' TestRedispatchesAreSpreadOverTicks
-without "flows that were found open" steerer/places.go 'f.placedHere = !f.established' 'f.placedHere = true' TestConnectionCountsAreSymmetric
-without "closed flows that take no place" steerer/steering.go 'if !f.closed {' 'if true {' TestConnectionCountsAreSymmetric
-without "trials where there is room" steerer/estimating.go 's.connectionLoad(t, crowd); !room {' 's.connectionLoad(t, crowd); false && !room {' TestTrialsSkipFullTargets
-without "a place for checks at small bounds" steerer/places.go 'max(v.limit/maxReserveDivisor, probeReserve), v.limit-1)' 'v.limit/maxReserveDivisor)' TestSmallLimitsReserveAConnectionForProbes
-without "uses of bounded services alone" steerer/places.go 'if s.settings.service(service).MaxConnections <= 0 {' 'if false {' TestUsageOfRemovedRoutesIsForgotten
-without "the end of uses" steerer/connections.go 'delete(c.routeUsage, name)' '_ = name' TestRemovedConnectionLimitLeavesNoState
-without "word of known services alone" steerer/telling.go 'if d.OpenFlows > 0 && known {' '_ = known; if d.OpenFlows > 0 {' TestFlowReportsOfUnknownServicesAreIgnored
+without "targets with flows first in a report" steerer/flow_reports.go 's.connections.limiter.UsedTargets(targets)' 'targets' TestEveryHostOfALargeZoneLearnsAllFlowCounts
+without "openings sent on by the route of today" steerer/redispatch.go 'if !ok || route.pickService' 'route = f.route; if false && !ok || false && route.pickService' TestRedispatchUsesCurrentRoute
+without "openings sent on bit by bit" steerer/redispatch.go 'c.redispatchesThisTick < maxRedispatchesPerTick' 'true' TestRedispatchesAreSpreadOverTicks
+without "flows that were found open" steerer/places.go 'f.placed = !f.opened' 'f.placed = true' TestPlacesAreTakenBackAsTheyWereTaken
+without "closed flows that take no place" steerer/forwarding.go 'if !f.closed {' 'if true {' TestConnectionCountsAreSymmetric
+without "trials where there is room" steerer/estimates.go 's.connectionLoad(t, crowd); !room {' 's.connectionLoad(t, crowd); false && !room {' TestTrialsSkipFullTargets
+without "a place for checks at small bounds" steerer/places.go 'max(v.bound/reservedDivisor, checkPlaces), v.bound-1)' 'v.bound/reservedDivisor)' TestSmallBoundsKeepAPlaceForChecks
+without "uses of bounded services alone" steerer/places.go 'if s.settings.service(service).MaxConnections <= 0 {' 'if false {' TestUsesOfPastRoutesAreForgotten
+without "the end of uses" steerer/connections.go 'delete(c.uses, name)' '_ = name' TestBoundThatIsTakenBackLeavesNothing
+without "word of known services alone" steerer/flow_reports.go 'if d.OpenFlows > 0 && known {' '_ = known; if d.OpenFlows > 0 {' TestFlowReportsOfUnknownServicesAreIgnored
 without "word of flows" steerer/reports.go 'r.OpenFlows = s.flowsForReport(to)' '_ = s.flowsForReport(to)' TestHostsShareFlowCounts
 package=admitter
 without "repeats told from first tries" admitter/admitter.go 'requested.New[i] /= attemptsPerCaller(a.meanRatios[i])' 'requested.New[i] /= 1 + 0*attemptsPerCaller(a.meanRatios[i])' TestRetriesDoNotCountAsDemand
@@ -347,32 +347,32 @@
 	}' TestDemandSumsAreOrderIndependent
 
 package=steerer
-without "refusals when nothing is left" steerer/admitting.go 'case nothingLeft && a.MayShutOut():' 'case false && nothingLeft:' TestLowPriorityIsRefusedWhenHigherPrioritiesTakeAllCapacity
-without "the own window of hosts out of touch" steerer/room.go 'HasPeerReports: reach.connected()}' 'HasPeerReports: true}' TestIsolatedHostFallsBackToItsOwnWindow
-without "shares at the only host of a zone" steerer/room.go 'HasPeerReports: reach.connected()}' 'HasPeerReports: reach.peerHeard}' TestOnlyHostOfAZoneSharesCapacityWithOtherZones
-without "neighbours that are out of touch" steerer/room.go '(!r.zoneHasPeers && len(r.recentZones) > 0)' 'len(r.recentZones) > 0' TestIsolatedHostFallsBackToItsOwnWindow
-without "demand of other zones" steerer/demands.go 'v.room.admitter.ApplyZoneReport(from.zone, decodeDemand(reported), s.now)' '_ = decodeDemand(reported)' TestDemandIncludesOtherZones
-without "demand in reports" steerer/demands.go 'if !a.ShouldReport() {' 'if true || !a.ShouldReport() {' TestDemandIsReportedAboveHalfOfCapacity
-without "what can't run again where nothing is left" steerer/admitting.go 'case nothingLeft && a.MayShutOut():' 'case nothingLeft && a.MayShutOut() && route.Kind.retryable():' TestNonRetryableRequestsDoNotBypassHigherPriorities
-without "work that is not known" steerer/room.go 'case v.room.overallProcessingTime.known():' 'case false:' TestUnknownProcessingTimeDefaultsToThatOfTheService
-without "words of flows left out" steerer/demands.go 'len(reported.ByPriority) == 0 || ' '' TestFlowCountReportDoesNotClearDemand
-without "word of hosts without callers" steerer/demands.go 'if len(encoded.ByPriority) == 0 {' 'if false {' TestIdleHostReportsZeroDemand
-without "an end of what is known of past routes" steerer/reading.go '	s.forgetProcessingTimes(settings)' '' TestProcessingTimesOfRemovedRoutesAreDropped
-without "a bound on what zones are told of flows" steerer/telling.go 'len(r.ZoneDemands) >= maxReportedDemands' 'false' TestZoneFlowsFitIntoOneReport
-without "first answers that count alike" steerer/usual.go 'doubtful && u.known()' 'doubtful' TestFirstSampleUnderLoadDoesNotDominateMedian
+without "refusals when nothing is left" steerer/admission.go 'case nothingLeft && a.MayShutOut():' 'case false && nothingLeft:' TestLowPriorityIsRefusedWhenHigherPrioritiesTakeAllCapacity
+without "the own window of hosts out of touch" steerer/capacity.go 'HasPeerReports: reach.connected()}' 'HasPeerReports: true}' TestIsolatedHostFallsBackToItsOwnWindow
+without "shares at the only host of a zone" steerer/capacity.go 'HasPeerReports: reach.connected()}' 'HasPeerReports: reach.peerHeard}' TestOnlyHostOfAZoneSharesCapacityWithOtherZones
+without "neighbours that are out of touch" steerer/capacity.go '(!r.zoneHasPeers && len(r.recentZones) > 0)' 'len(r.recentZones) > 0' TestIsolatedHostFallsBackToItsOwnWindow
+without "demand of other zones" steerer/demand.go 'v.room.admitter.ApplyZoneReport(from.zone, decodeDemand(reported), s.now)' '_ = decodeDemand(reported)' TestDemandIncludesOtherZones
+without "demand in reports" steerer/demand.go 'if !a.ShouldReport() {' 'if true || !a.ShouldReport() {' TestDemandIsReportedAboveHalfOfCapacity
+without "what can't run again where nothing is left" steerer/admission.go 'case nothingLeft && a.MayShutOut():' 'case nothingLeft && a.MayShutOut() && route.Kind.retryable():' TestNonRetryableRequestsDoNotBypassHigherPriorities
+without "work that is not known" steerer/capacity.go 'case v.room.overallProcessingTime.known():' 'case false:' TestUnknownProcessingTimeDefaultsToThatOfTheService
+without "words of flows left out" steerer/demand.go 'len(reported.ByPriority) == 0 || ' '' TestFlowCountReportDoesNotClearDemand
+without "word of hosts without callers" steerer/demand.go 'if len(encoded.ByPriority) == 0 {' 'if false {' TestIdleHostReportsZeroDemand
+without "an end of what is known of past routes" steerer/platformread.go '	s.forgetProcessingTimes(settings)' '' TestProcessingTimesOfRemovedRoutesAreDropped
+without "a bound on what zones are told of flows" steerer/flow_reports.go 'len(r.ZoneDemands) >= maxReportedDemands' 'false' TestZoneFlowsFitIntoOneReport
+without "first answers that count alike" steerer/median.go 'doubtful && u.known()' 'doubtful' TestFirstSampleUnderLoadDoesNotDominateMedian
 package=steerer
-without "callers' shares" steerer/admitting.go 'if s.refuseThrottled(p, route, service) {' 'if false && s.refuseThrottled(p, route, service) {' 'TestHeaviestCallerIsRefusedFirst|TestQuotaIsDividedAmongTheHostsOfAZone'
+without "callers' shares" steerer/admission.go 'if s.refuseThrottled(p, route, service) {' 'if false && s.refuseThrottled(p, route, service) {' 'TestHeaviestCallerIsRefusedFirst|TestQuotaIsDividedAmongTheHostsOfAZone'
 without "shares only while room is short" steerer/throttling.go 'Overloaded: s.overloadedOrCongested(service)}' 'Overloaded: true || s.overloadedOrCongested(service)}' TestSharesEndWithOverload
 without "quotas over a zone" steerer/steerer.go '	s.divideQuotas()
 ' '' TestQuotaIsDividedAmongTheHostsOfAZone
-without "requests of open flows in quotas" steerer/steering.go 's.chargeQuota(p, f)' '_ = p' TestRequestsOfOpenFlowsCountTowardsQuota
+without "requests of open flows in quotas" steerer/forwarding.go 's.chargeQuota(p, f)' '_ = p' TestRequestsOfOpenFlowsCountTowardsQuota
 
 package=steerer
 without "hosts by zone" steerer/peerzones.go 'z.byZone[p.zone] = slices.DeleteFunc' '_ = slices.DeleteFunc' TestPeerZonesMatchPeers
 without "hosts that leave their zone" steerer/peerzones.go 'if p.shuttingDown != leaving {
 		z.generation++' 'if p.shuttingDown != leaving {
 		z.generation += 0' TestShutdownOfPeerChangesGeneration
-without "targets of the own zone first" steerer/table.go 'if one.AvailabilityZone != t.sameZone {' 'if true {' TestSameZoneTargetsComeFirst
+without "targets of the own zone first" steerer/target_table.go 'if one.AvailabilityZone != t.sameZone {' 'if true {' TestSameZoneTargetsComeFirst
 without "news worked out at each event" steerer/steerer.go 's.ownReport.valid = false' '_ = s.ownReport.valid' 'TestUnresponsiveTargetsAreReportedToOtherHosts|TestFastFailuresAreReportedWithinTheZone'
 
 package=throttler
@@ -394,8 +394,8 @@
 without "quotas of a prefix" throttler/quota.go 'return !q.Prefix.IsValid() || q.Prefix.Contains(caller.Unmap())' 'return true' TestQuotasLimitOnlyMatchingRequests
 
 package=steerer
-without "times from the end of a request" steerer/steering.go 'f.lastData = s.now' '_ = f.lastData' TestSlowUploadsDoNotMarkTargetsSlow
-without "pauses of callers who upload" steerer/estimating.go 'if f.route.Kind == KindUpload {' 'if false {' TestSlowUploadsDoNotMarkTargetsSlow
+without "times from the end of a request" steerer/forwarding.go 'f.lastData = s.now' '_ = f.lastData' TestSlowUploadsDoNotMarkTargetsSlow
+without "pauses of callers who upload" steerer/estimates.go 'if f.route.Kind == KindUpload {' 'if false {' TestSlowUploadsDoNotMarkTargetsSlow
 
 package=throttler
 without "long flows of calm times" throttler/throttler.go 's.addresses.updateWeights(s.weightFreezeDeadline, now)' '_ = now' TestLongFlowsOpenedBeforeOverloadAddWeight
@@ -405,7 +405,7 @@
 without "ends where flows began" steerer/throttling.go 'Service: f.callerCountedAt.name}
 	f.callerCountedAt' 'Service: f.target.Service}
 	f.callerCountedAt' TestFlowEndIsCountedForItsOriginalService
-without "requests that wait here in quotas" steerer/steering.go '	s.chargeQuota(p, f)
+without "requests that wait here in quotas" steerer/forwarding.go '	s.chargeQuota(p, f)
 	if s.enqueue(key, f, p) {
 		return true
 	}
@@ -416,15 +416,15 @@
 ' TestQueuedRequestsCountTowardsQuota
 without "quotas before shares" steerer/throttling.go 's.counts.add(RefusedCallerQuota)' 's.counts.add(RefusedCallerQuota)
 		s.throttler.Check(throttler.Request{Caller: p.Caller.Addr(), Service: service, Overloaded: s.overloadedOrCongested(service)}, s.now)' TestQuotaRefusalsAreNotUnmetDemand
-without "no trials while requests wait" steerer/estimating.go 's.service(c.service).paced > 0' 'false' TestNoTrialsWhileRequestsAreQueued
-without "trials of slow targets" steerer/estimating.go 'if c.avoid != nil || ' 'if true || c.avoid != nil || ' TestSlowTargetGetsTrials
-without "trials that obey orders and regions" steerer/estimating.go 'case s.exclusionOf(t, views) != notExcluded, !s.warmUpAllows(t):' 'case false:' TestDrainingTargetGetsNoTrial
-without "trials in regions" steerer/estimating.go 'case s.exclusionOf(t, views) != notExcluded, !s.warmUpAllows(t):' 'case false:' TestTargetOfAnotherRegionGetsNoTrial
-without "trials in evacuated zones" steerer/estimating.go 'case s.exclusionOf(t, views) != notExcluded, !s.warmUpAllows(t):' 'case false:' TestTargetOfAnEvacuatedZoneGetsNoTrial
-without "trials of targets that are not busy" steerer/estimating.go 'return t.inFlightPerSlot() < 1' 'return true' TestBusyTargetGetsNoTrial
-without "an end to what is known of zones" steerer/estimating.go 'return z.NoData()' 'return false' TestZoneEstimatesOfUnusedServicesExpire
-without "one turn a round" steerer/estimating.go 'if s.estimating.roundDeadline.Passed(s.now) {' 'if true {' TestReportsOfARoundCoverTheSameTargets
-without "trials by service" steerer/estimating.go 's.service(c.service).trials.Allow()' 's.service("").trials.Allow()' TestTrialsAreCountedPerService
+without "no trials while requests wait" steerer/estimates.go 's.service(c.service).paced > 0' 'false' TestNoTrialsWhileRequestsAreQueued
+without "trials of slow targets" steerer/estimates.go 'if c.avoid != nil || ' 'if true || c.avoid != nil || ' TestSlowTargetGetsTrials
+without "trials that obey orders and regions" steerer/estimates.go 'case s.exclusionOf(t, views) != notExcluded, !s.warmUpAllows(t):' 'case false:' TestDrainingTargetGetsNoTrial
+without "trials in regions" steerer/estimates.go 'case s.exclusionOf(t, views) != notExcluded, !s.warmUpAllows(t):' 'case false:' TestTargetOfAnotherRegionGetsNoTrial
+without "trials in evacuated zones" steerer/estimates.go 'case s.exclusionOf(t, views) != notExcluded, !s.warmUpAllows(t):' 'case false:' TestTargetOfAnEvacuatedZoneGetsNoTrial
+without "trials of targets that are not busy" steerer/estimates.go 'return t.inFlightPerSlot() < 1' 'return true' TestBusyTargetGetsNoTrial
+without "an end to what is known of zones" steerer/estimates.go 'return z.NoData()' 'return false' TestZoneEstimatesOfUnusedServicesExpire
+without "one turn a round" steerer/estimates.go 'if s.estimating.roundDeadline.Passed(s.now) {' 'if true {' TestReportsOfARoundCoverTheSameTargets
+without "trials by service" steerer/estimates.go 's.service(c.service).trials.Allow()' 's.service("").trials.Allow()' TestTrialsAreCountedPerService
 without "targets whose digest changed" steerer/digest.go 't.digestSum += next - tgt.digest' 't.digestSum = next' TestDigestMatchesFullRecomputation
 without "targets whose slots changed" steerer/slots.go '	for _, t := range s.targets.slotsStale {
 		t.slotsStale = false
@@ -433,40 +433,40 @@
 		t.slotsStale = false
 	}' TestLargeServiceIsRecountedInBatches
 without "slots counted in turn" steerer/slots.go 'sum.nextIndex += step' 'sum.nextIndex += 0' TestSlotTotalsFollowWarmUpWithinOneCycle
-without "services with plenty of connections" steerer/connections.go 'if known == nil && s.clearlyUnconstrained(service) {' 'if false {' TestTargetsAreNotScannedWhenConnectionsAreNotScarce
-without "services that fill" steerer/connections.go 'return unconstrained(1+s.alivePeers(), all) && unconstrained(s.aliveInZone(), sameZone)' '_, _, _ = unconstrained, all, sameZone
-	return true' TestServiceRunningOutOfConnectionsIsScanned
-without "choices by sample" steerer/choosing.go 'if t := s.chooseSampled(&c, views, constraint); t != nil {' 'if t := s.chooseSampled(&c, views, constraint); t != nil && false {' TestSamplingVisitsFewOfManyIdleTargets
+without "services with plenty of connections" steerer/connections.go 'if known == nil && s.plentyOfConnections(service) {' 'if false {' TestTargetsWithPlentyOfConnectionsAreNotLookedAt
+without "services that fill" steerer/connections.go 'return few(1+s.hostsHeardOf(), all) && few(s.hostsInZone(), near)' '_, _, _ = few, all, near
+	return true' TestServiceThatFillsIsLookedAt
+without "choices by sample" steerer/target_selection.go 'if t := s.chooseSampled(&c, views, constraint); t != nil {' 'if t := s.chooseSampled(&c, views, constraint); t != nil && false {' TestSamplingVisitsFewOfManyIdleTargets
 without "a look at all where sampled ones are busy" steerer/sampling.go 'bestLoad := limit' 'bestLoad := 1000 + 0*limit' TestAllTargetsAreScannedWhenSampledTargetsAreBusy
-without "targets in use apart from all" steerer/using.go '	return s.targets.inUse
+without "targets in use apart from all" steerer/targets_in_use.go '	return s.targets.inUse
 ' '	return s.targets.ordered()
 ' TestCostPerSecondDoesNotGrowWithFleet
 without "one count of the living a round" steerer/peers.go 'l.deadline = s.now.Add(reportInterval)' 'l.deadline = s.now' TestCostPerSecondDoesNotGrowWithFleet
 without "the pace of news" steerer/peers.go 'now = now.Add(maxRoundAdvance)' 'return true' TestSteadyChangesDoNotRaiseReportRate
 without "news at once" steerer/peers.go 'now = now.Add(maxRoundAdvance)' 'now = now.Add(0 * maxRoundAdvance)' TestSingleChangeIsReportedImmediately
 without "the beginning of what is listed" steerer/history.go 'h.completeSince = h.completeSince.Later(old.observed)' '_ = old' TestHistoryCoversOnlyWhatIsComplete
-without "answers from the history" steerer/asking.go 'if s.targetsPosition.ContinuesFrom(position) && s.targets.history.covers(position) {' 'if false {' TestSyncResponseCostFollowsChanges
-without "whole lists of hosts that started later" steerer/asking.go ' && s.targets.history.covers(position) {' ' {' 'TestSyncResponseIsFullIfHistoryStartsAfterRequest|TestSyncResponseIsFullAfterMissingTargetExpired'
-without "lists that end with what they lack" steerer/asking.go 'case k.Scope == messenger.ScopeFull, ' 'case ' TestSyncResponseIsFullIfHistoryStartsAfterRequest
-without "the end of what is known of forgotten targets" steerer/table.go 't.history.completeSince = t.history.completeSince.Later(gone.seenPosition)' '' TestSyncResponseIsFullAfterMissingTargetExpired
+without "answers from the history" steerer/peersync.go 'if s.targetsPosition.ContinuesFrom(position) && s.targets.history.covers(position) {' 'if false {' TestSyncResponseCostFollowsChanges
+without "whole lists of hosts that started later" steerer/peersync.go ' && s.targets.history.covers(position) {' ' {' 'TestSyncResponseIsFullIfHistoryStartsAfterRequest|TestSyncResponseIsFullAfterMissingTargetExpired'
+without "lists that end with what they lack" steerer/peersync.go 'case k.Scope == messenger.ScopeFull, ' 'case ' TestSyncResponseIsFullIfHistoryStartsAfterRequest
+without "the end of what is known of forgotten targets" steerer/target_table.go 't.history.completeSince = t.history.completeSince.Later(gone.seenPosition)' '' TestSyncResponseIsFullAfterMissingTargetExpired
 without "checks that are reset" steerer/health.go '	case ProbeReset:
 ' '	case ProbeReset:
 		s.markUnreachable(t, e)
 ' TestResetProbeDoesNotMakeTargetUnreachable
-without "patience after what was awaited" steerer/asking.go 'case reached || a.awaitedSince == 0:' 'case (false && reached) || a.awaitedSince == 0:' TestSyncRequestRateIsBoundedWhileTargetsChange
+without "patience after what was awaited" steerer/peersync.go 'case reached || a.awaitedSince == 0:' 'case (false && reached) || a.awaitedSince == 0:' TestSyncRequestRateIsBoundedWhileTargetsChange
 without "digests as of a position" steerer/digest.go 'if position.Before(entry.observed) {' 'if false {' TestDigestAtExcludesLaterChanges
 without "agreement as of a position" steerer/reports.go 'return (known && ownDigest == digest) || ' 'return (false && known && ownDigest == digest) || ' TestReleaseDoesNotMakeAllHostsRead
-without "reads of changes alone" steerer/listing.go '	if list.Since.Known() {
+without "reads of changes alone" steerer/targetlist.go '	if list.Since.Known() {
 		s.applyTargetChanges(list)
 		return
 	}
 ' '' TestCostOfIncrementalListFollowsChanges
-without "changes upon what they follow" steerer/listing.go 'if !s.targetsPosition.ContinuesFrom(list.Since) || s.targetsPosition.Before(list.Since) {' 'if false {' TestIncrementalListIsAppliedOnlyToItsBase
-without "tags that pass on" steerer/listing.go '	s.targets.handOverTag(t)
+without "changes upon what they follow" steerer/targetlist.go 'if !s.targetsPosition.ContinuesFrom(list.Since) || s.targetsPosition.Before(list.Since) {' 'if false {' TestIncrementalListIsAppliedOnlyToItsBase
+without "tags that pass on" steerer/targetlist.go '	s.targets.handOverTag(t)
 ' '' TestTagOfMissingTargetIsReassigned
 without "zones that have fallen silent" steerer/peers.go '|| lost[p.zone] {' '|| (false && lost[p.zone]) {' TestHostsOfLostZoneDoNotCountForRank
-without "doubt of answers of an earlier release" steerer/asking.go '		return // Something may be missing; a later read tells.' '		s.targetsPosition = position' TestSyncResponseWithoutScopeIsNotTreatedAsComplete
-without "the end of counts of forgotten targets" steerer/table.go 'if gone.slotsStale {' 'if false {' TestRemovedTargetsAreNotRecounted
+without "doubt of answers of an earlier release" steerer/peersync.go '		return // Something may be missing; a later read tells.' '		s.targetsPosition = position' TestSyncResponseWithoutScopeIsNotTreatedAsComplete
+without "the end of counts of forgotten targets" steerer/target_table.go 'if gone.slotsStale {' 'if false {' TestRemovedTargetsAreNotRecounted
 
 wait
 failed=0
