--- a/core/steerer/target_selection.go
+++ b/core/steerer/target_selection.go
@@ -56,9 +56,9 @@
 	inRegion bool
 	// evacuated zones get nothing; those that are a last resort only what nobody else
 	// could take.
-	evacuated    bool
-	lastResort   bool
-	suspect bool
+	evacuated  bool
+	lastResort bool
+	suspect    bool
 	// slowness is the binary logarithm of the time that the service takes there, as a
 	// multiple of the usual.
 	slowness float64
@@ -74,11 +74,11 @@
 		evacuated := obeys && s.evacuator.Evacuates(zone)
 		lastResort := evacuated && (outOfTouch || (nowhere && s.evacuator.PossiblyStale(zone, s.now)))
 		s.zoneViews = append(s.zoneViews, zoneView{
-			inRegion:     len(c.route.Regions) == 0 || slices.Contains(c.route.Regions, s.config.Regions[zone]),
-			evacuated:    evacuated && !lastResort,
-			lastResort:   lastResort,
-			suspect: s.diagnoser.ZoneSuspect(zone, s.now),
-			slowness:     s.zoneLogSlowdown(c.service, zone),
+			inRegion:   len(c.route.Regions) == 0 || slices.Contains(c.route.Regions, s.config.Regions[zone]),
+			evacuated:  evacuated && !lastResort,
+			lastResort: lastResort,
+			suspect:    s.diagnoser.ZoneSuspect(zone, s.now),
+			slowness:   s.zoneLogSlowdown(c.service, zone),
 		})
 	}
 	return s.zoneViews
