--- a/scripts/red.sh
+++ b/scripts/red.sh
@@ -311,11 +311,11 @@
 without "hosts that tell no more" limiter/limiter.go 'if h.sameZone && !h.timedOut && now.Since(h.lastHeard) > timeout {' 'if false {' TestDeadHostsAreNotCountedAsReporters
 
 package=steerer
-without "an even spread of connections" steerer/connections.go 'return connectionWeight * float64(flows)' 'return 0 * connectionWeight * float64(flows)' TestIdleTargetIsNotFilledWithFlows
-without "the bound of connections" steerer/connections.go 'if !admits {' 'if false && !admits {' TestFlowsBeyondAllPlacesAreRefusedAtOnce
-without "brief flows" steerer/places.go 'if v.brief[route.Name] {' 'if false {' TestBriefFlowsFindRoomBesideThoseThatLast
-without "places for higher priority" steerer/places.go 'checkPlaces+rank*step' 'checkPlaces+0*rank*step' TestPlacesAreReservedForHigherPriority
-without "places for checks" steerer/places.go 'checkPlaces = 1' 'checkPlaces = 0' TestChecksFindRoomAtTargetsThatHostsHaveFilled
+without "an even spread of connections" steerer/connection_limits.go 'return connectionWeight * float64(flows)' 'return 0 * connectionWeight * float64(flows)' TestIdleTargetIsNotFilledToItsConnectionLimit
+without "the bound of connections" steerer/connection_limits.go 'if !admits {' 'if false && !admits {' TestFlowsAreRefusedImmediatelyWhenAllTargetsAreFull
+without "brief flows" steerer/connection_reservations.go 'if v.shortLivedRoutes[route.Name] {' 'if false {' TestShortLivedFlowsAreAdmittedBesideLongLivedFlows
+without "places for higher priority" steerer/connection_reservations.go 'probeReserve+rank*step' 'probeReserve+0*rank*step' TestConnectionsAreReservedForHigherPriority
+without "places for checks" steerer/connection_reservations.go 'probeReserve = 1' 'probeReserve = 0' TestConnectionIsReservedForProbes
 without "opening packets that are sent on" steerer/flow.go 's.probeIfPossiblyFull(f)' '_ = f' TestFullTargetIsNotTreatedAsUnreachable
 without "checks of targets just found full" steerer/redispatch.go 't.health.probeDeadline = s.now' '_ = s.now' TestTargetRecentlyFoundFullIsReprobedImmediately
 without "memory of targets found full" steerer/redispatch.go 'return f.openingResentByCaller || f.target.foundFullBefore(f.openingSentAt)' 'return f.openingResentByCaller' TestTargetRecentlyFoundFullIsReprobedImmediately
@@ -326,12 +326,12 @@
 without "targets with flows first in a report" steerer/flow_reports.go 's.connections.limiter.UsedTargets(targets)' 'targets' TestEveryHostOfALargeZoneLearnsAllFlowCounts
 without "openings sent on by the route of today" steerer/redispatch.go 'if !ok || route.pickService' 'route = f.route; if false && !ok || false && route.pickService' TestRedispatchUsesCurrentRoute
 without "openings sent on bit by bit" steerer/redispatch.go 'c.redispatchesThisTick < maxRedispatchesPerTick' 'true' TestRedispatchesAreSpreadOverTicks
-without "flows that were found open" steerer/places.go 'f.placed = !f.opened' 'f.placed = true' TestPlacesAreTakenBackAsTheyWereTaken
+without "flows that were found open" steerer/connection_reservations.go 'f.placedHere = !f.established' 'f.placedHere = true' TestConnectionCountsAreSymmetric
 without "closed flows that take no place" steerer/forwarding.go 'if !f.closed {' 'if true {' TestConnectionCountsAreSymmetric
 without "trials where there is room" steerer/estimates.go 's.connectionLoad(t, crowd); !room {' 's.connectionLoad(t, crowd); false && !room {' TestTrialsSkipFullTargets
-without "a place for checks at small bounds" steerer/places.go 'max(v.bound/reservedDivisor, checkPlaces), v.bound-1)' 'v.bound/reservedDivisor)' TestSmallBoundsKeepAPlaceForChecks
-without "uses of bounded services alone" steerer/places.go 'if s.settings.service(service).MaxConnections <= 0 {' 'if false {' TestUsesOfPastRoutesAreForgotten
-without "the end of uses" steerer/connections.go 'delete(c.uses, name)' '_ = name' TestBoundThatIsTakenBackLeavesNothing
+without "a place for checks at small bounds" steerer/connection_reservations.go 'max(v.limit/maxReserveDivisor, probeReserve), v.limit-1)' 'v.limit/maxReserveDivisor)' TestSmallLimitsReserveAConnectionForProbes
+without "uses of bounded services alone" steerer/connection_reservations.go 'if s.settings.service(service).MaxConnections <= 0 {' 'if false {' TestUsageOfRemovedRoutesIsForgotten
+without "the end of uses" steerer/connection_limits.go 'delete(c.routeUsage, name)' '_ = name' TestRemovedConnectionLimitLeavesNoState
 without "word of known services alone" steerer/flow_reports.go 'if d.OpenFlows > 0 && known {' '_ = known; if d.OpenFlows > 0 {' TestFlowReportsOfUnknownServicesAreIgnored
 without "word of flows" steerer/reports.go 'r.OpenFlows = s.flowsForReport(to)' '_ = s.flowsForReport(to)' TestHostsShareFlowCounts
 package=admitter
@@ -433,9 +433,9 @@
 		t.slotsStale = false
 	}' TestLargeServiceIsRecountedInBatches
 without "slots counted in turn" steerer/slots.go 'sum.nextIndex += step' 'sum.nextIndex += 0' TestSlotTotalsFollowWarmUpWithinOneCycle
-without "services with plenty of connections" steerer/connections.go 'if known == nil && s.plentyOfConnections(service) {' 'if false {' TestTargetsWithPlentyOfConnectionsAreNotLookedAt
-without "services that fill" steerer/connections.go 'return few(1+s.hostsHeardOf(), all) && few(s.hostsInZone(), near)' '_, _, _ = few, all, near
-	return true' TestServiceThatFillsIsLookedAt
+without "services with plenty of connections" steerer/connection_limits.go 'if known == nil && s.clearlyUnconstrained(service) {' 'if false {' TestTargetsAreNotScannedWhenConnectionsAreNotScarce
+without "services that fill" steerer/connection_limits.go 'return unconstrained(1+s.alivePeers(), all) && unconstrained(s.aliveInZone(), sameZone)' '_, _, _ = unconstrained, all, sameZone
+	return true' TestServiceRunningOutOfConnectionsIsScanned
 without "choices by sample" steerer/target_selection.go 'if t := s.chooseSampled(&c, views, constraint); t != nil {' 'if t := s.chooseSampled(&c, views, constraint); t != nil && false {' TestSamplingVisitsFewOfManyIdleTargets
 without "a look at all where sampled ones are busy" steerer/sampling.go 'bestLoad := limit' 'bestLoad := 1000 + 0*limit' TestAllTargetsAreScannedWhenSampledTargetsAreBusy
 without "targets in use apart from all" steerer/targets_in_use.go '	return s.targets.inUse
