--- a/core/steerer/connection_limits.go
+++ b/core/steerer/connection_limits.go
@@ -10,73 +10,82 @@
 )
 
 const (
-	// constrainedShare is the part of what a service's targets hold beyond which its flows are
-	// counted: chance alone never fills a target whose siblings are two thirds empty.
+	// constrainedShare is the fraction of its connection limit above which a service is
+	// constrained: its flows are counted and balanced. Random placement alone never fills a
+	// target while the other targets of its service are two thirds empty.
 	constrainedShare = 1.0 / 3
-	// unconstrainedShare is the part below which a service has plenty again.
+	// unconstrainedShare is the fraction below which a service is no longer constrained.
 	unconstrainedShare = 1.0 / 4
-	// connectionCheckInterval is the time between two looks at which services are tight.
+	// connectionCheckInterval is the interval between checks of which services are
+	// constrained.
 	connectionCheckInterval = reportInterval
-	// unconstrainedMargin times this host's share of the flows has to be below unconstrainedShare for a
-	// service not to be looked at closely: flows are rounded up at each target.
+	// unconstrainedMargin times this host's share of the flows has to be below
+	// unconstrainedShare for the targets of a service not to be scanned. The margin allows
+	// for the flow counts that are rounded up at each target.
 	unconstrainedMargin = 2
-	// growthChecks is over how many looks flows are taken to have grown without word of it
-	// from others: about half of the greatest age of a host's news.
+	// growthChecks is the number of checks over which unreported flows of other hosts are
+	// assumed to grow: about half the maximum age of a host's report.
 	growthChecks = 2
-	// connectionWeight times the flows over the places that are left is what a target's
-	// connections add to its load, in requests a slot: a tenth of a request when half of its
-	// places are taken, and at nine tenths a whole one, as much as another zone costs.
+	// connectionWeight times the ratio of used to free connections is added to a target's
+	// load, in requests per slot: a tenth of a request when half its connections are used,
+	// and nearly a whole one, as much as crossZonePenalty, at nine tenths.
 	connectionWeight = 0.1
-	// openingAbandonTimeout is how long a flow that does not open holds a place: callers give up after
-	// 1.4 s.
+	// openingAbandonTimeout is how long a half-open flow counts towards the connection
+	// limit: callers give up after 1.4 s.
 	openingAbandonTimeout = 1500 * time.Millisecond
 )
 
-// connectionState is what a host knows of services whose targets hold a bounded number of
-// flows.
+// connectionState holds what a host knows about services whose targets have a connection
+// limit.
 type connectionState struct {
 	limiter *limiter.Limiter
-	// constrained holds the services whose flows are counted and spread evenly.
+	// constrained holds the constrained services by name. Their flows are counted and
+	// balanced.
 	constrained map[string]*constrainedService
-	// deadline is when it is next worked out which services are tight.
+	// deadline is the time of the next check of which services are constrained.
 	deadline timekeeper.Instant
-	// routeUsage tells what each route's callers do with a service, by service and route.
+	// routeUsage holds the usage of each service by each route, by service and route name.
 	routeUsage map[string]map[string]*routeUsage
-	// unlimitedUsage takes the counts of services without a bound, which nobody reads.
+	// unlimitedUsage receives the counts of services without a connection limit; it is
+	// never read.
 	unlimitedUsage routeUsage
-	// redispatchQueue are the openings to be sent on.
+	// redispatchQueue holds the opening packets that wait to be redispatched.
 	redispatchQueue []flowTimer
-	// redispatchesThisTick counts the openings that this host has tried to send on since the last tick.
+	// redispatchesThisTick counts the redispatches that this host has tried since the last
+	// tick.
 	redispatchesThisTick int
-	// remoteZoneFlows is what other zones tell of the flows at their targets.
+	// remoteZoneFlows holds what other zones report about the flows at their targets.
 	remoteZoneFlows map[zoneService]remoteZoneFlows
-	// zoneReportCursor is where the next report begins among the services of which it tells zones.
+	// zoneReportCursor is the index of the first constrained service in the last report to
+	// another zone. It rotates when not all of them fit.
 	zoneReportCursor int
-	// lastFlowReport is when another host last told of its flows.
+	// lastFlowReport is when another host last reported its flows.
 	lastFlowReport timekeeper.Instant
 }
 
 // constrainedService is a service whose targets may run out of connections.
 type constrainedService struct {
 	name string
-	// limit is how many flows each target holds.
+	// limit is how many flows each target can hold.
 	limit int
-	// longLivedPriorities are those of the routes whose flows last, the highest first.
+	// longLivedPriorities holds the priorities of the routes with long-lived flows, the
+	// highest priority first.
 	longLivedPriorities []int
-	// shortLivedRoutes holds the names of the routes whose flows do not last.
+	// shortLivedRoutes holds the names of the routes with short-lived flows.
 	shortLivedRoutes map[string]bool
-	// reserveForShortLived says that a good part of the callers open brief flows.
+	// reserveForShortLived reports whether enough of the requested flows are short-lived
+	// for connections to be reserved for them.
 	reserveForShortLived bool
-	// flows is how many are open as far as known.
+	// flows is the estimated number of open flows.
 	flows int
-	// capacity is how many flows all targets hold together.
+	// capacity is how many flows all targets together can hold.
 	capacity int
-	// localUnreported stands for flows at this zone's targets of which nobody tells.
+	// localUnreported estimates the flows at local-zone targets that no host reports.
 	localUnreported limiter.UnreportedEstimate
-	// localMeanFlows is how many flows each of this zone's targets has on average.
+	// localMeanFlows is the mean number of flows per target in the local zone.
 	localMeanFlows int
-	// localNetHistory is the sum of limiter.Target.Net over this zone's targets at each of the last
-	// looks, the latest last.
+	// localNetHistory holds the sum of limiter.TargetFlows.NetOpened over the targets in
+	// the local zone at each of the last checks, the latest last.
 	localNetHistory []int
 }
 
@@ -89,12 +98,12 @@
 	}
 }
 
-// estimateFlows is what is known of the flows at a target of a tight service.
+// estimateFlows estimates the flows at a target of a constrained service.
 func (s *Steerer) estimateFlows(t *target, v *constrainedService) limiter.FlowEstimate {
 	return s.connections.limiter.EstimateFlows(s.connections.limiter.Target(uint32(t.tag)), v.limit, s.unreportedFlows(t, v), s.now)
 }
 
-// unreportedFlows is what stands for the flows at a target of which nobody tells.
+// unreportedFlows estimates the flows at a target that no host reports.
 func (s *Steerer) unreportedFlows(t *target, v *constrainedService) limiter.UnreportedEstimate {
 	if t.AvailabilityZone == s.config.AvailabilityZone {
 		return v.localUnreported
@@ -106,13 +115,14 @@
 	return limiter.UnreportedEstimate{Min: away.mean}
 }
 
-// connectionConstraint is how the connections of a service's targets bear on a choice.
+// connectionConstraint is how the connection limit of a service restricts a placement.
 type connectionConstraint struct {
 	service *constrainedService
 	limit   limiter.FlowLimit
 }
 
-// constraintFor returns what a choice has to know of connections; nil if the service has plenty.
+// constraintFor returns the connection constraint of a placement; nil if the service is not
+// constrained.
 func (s *Steerer) constraintFor(c *placement) *connectionConstraint {
 	v := s.connections.constrained[c.service]
 	if v == nil {
@@ -121,12 +131,12 @@
 	return &connectionConstraint{service: v, limit: v.limitFor(&c.route)}
 }
 
-// connectionLoad is what the flows at a target add to its load, in requests a slot. It
-// reports whether the target has room for one more.
+// connectionLoad returns what the flows at a target add to its load, in requests per slot,
+// and reports whether the target can hold one more.
 //
-// What goes wrong without it: flows that wait for nothing weigh little, so a target that
-// answers quickly collects them until it is full. It then says nothing to opening packets,
-// and their callers wait for their own repeats while its siblings have room.
+// Without this, a target that responds quickly collects idle flows, which add little load,
+// until it is full. It then does not respond to opening packets, and their callers wait for
+// their own retransmission timeouts while other targets have connections available.
 func (s *Steerer) connectionLoad(t *target, c *connectionConstraint) (float64, bool) {
 	if c == nil {
 		return 0, true
@@ -139,8 +149,8 @@
 	return connectionWeight * float64(flows) / float64(c.limit.MaxFlows-flows), true
 }
 
-// connectionTick works out which services are short of connections, and sends on openings
-// that wait for it.
+// connectionTick updates which services are constrained, and redispatches queued opening
+// packets.
 func (s *Steerer) connectionTick() {
 	c := &s.connections
 	c.redispatchesThisTick = 0
@@ -160,8 +170,8 @@
 	s.sweepConnectionState()
 }
 
-// sweepConnectionState forgets services that have no bound any more, or are no longer published,
-// and old word of other zones.
+// sweepConnectionState removes services that no longer have a connection limit or are no
+// longer published, and expired reports of other zones.
 func (s *Steerer) sweepConnectionState() {
 	c := &s.connections
 	for _, names := range [][]string{s.constrainedServiceNames(), slices.Sorted(maps.Keys(c.routeUsage))} {
@@ -175,11 +185,11 @@
 	maps.DeleteFunc(c.remoteZoneFlows, func(_ zoneService, told remoteZoneFlows) bool { return told.deadline.Passed(s.now) })
 }
 
-// updateConstraint works out whether a service is short of connections, in this host's
-// zone or as a whole.
+// updateConstraint updates whether a service is constrained, in the local zone or over all
+// zones.
 func (s *Steerer) updateConstraint(service Service) {
 	if service.MaxConnections <= 0 {
-		return // What is known of it is swept; see sweepConnectionState.
+		return // sweepConnectionState removes its state.
 	}
 	known := s.connections.constrained[service.Name]
 	v := constrainedService{name: service.Name, limit: service.MaxConnections}
@@ -203,7 +213,8 @@
 			localCapacity += v.limit
 		}
 	}
-	// Callers are spread evenly over the hosts: what this one has stands for all.
+	// Callers are spread evenly over the hosts, so each host has about as many flows as
+	// this one.
 	v.flows = max(v.flows, own*(1+s.alivePeers()))
 	v.localMeanFlows = localFlows * v.limit / max(localCapacity, 1)
 	threshold := constrainedShare
@@ -217,12 +228,13 @@
 	}
 }
 
-// clearlyUnconstrained reports whether this host's own flows show that a service is far from
-// short of connections. It says so only while no host tells of flows, so that they are all
-// that is known, and leaves a margin for what a look at each target would add by rounding.
+// clearlyUnconstrained reports whether this host's own flows show that a service is far
+// from its connection limit, so that its targets need not be scanned. It is true only while
+// no host reports flows, so that the local ones are all that is known, and it leaves a
+// margin for the rounding at each target.
 //
-// What goes wrong without it: a host looks at thousands of targets several times a second
-// that hold a hundredth of the flows that they may.
+// Without this, a host scans thousands of targets that are at a hundredth of their limit,
+// several times a second.
 func (s *Steerer) clearlyUnconstrained(service Service) bool {
 	if s.connections.limiter.HasReports() || len(s.connections.remoteZoneFlows) > 0 {
 		return false
@@ -238,8 +250,9 @@
 	return unconstrained(1+s.alivePeers(), all) && unconstrained(s.aliveInZone(), sameZone)
 }
 
-// estimateLocalUnreported works out what stands for the flows at the own zone's targets of which nobody
-// tells. before is what was known of the service at the last look; nil if it was not tight.
+// estimateLocalUnreported estimates the flows at the targets of the local zone that no host
+// reports. before is the state at the last check; nil if the service was not constrained
+// then.
 func (s *Steerer) estimateLocalUnreported(v, before *constrainedService) {
 	own, reported, net, targets, reporters := 0, 0, 0, 0, 0
 	for _, t := range s.targets.candidates(v.name) {
@@ -263,7 +276,7 @@
 	}
 }
 
-// setConstrained keeps whether a service is short of connections, and logs a change.
+// setConstrained records whether a service is constrained, and logs a change.
 func (s *Steerer) setConstrained(v *constrainedService, tight, was bool) {
 	if !tight {
 		delete(s.connections.constrained, v.name)
@@ -279,7 +292,7 @@
 	}
 }
 
-// updateFullTargets keeps and logs which targets have become full, or have room again.
+// updateFullTargets records and logs which targets have become full or are no longer full.
 func (s *Steerer) updateFullTargets(v *constrainedService) {
 	for _, t := range s.targets.candidates(v.name) {
 		b := s.estimateFlows(t, v)
@@ -295,7 +308,7 @@
 	}
 }
 
-// logConnections logs an event of a target with what its flows are believed to be.
+// logConnections logs an event of a target together with the estimate of its flows.
 func (s *Steerer) logConnections(event string, t *target, v *constrainedService, b limiter.FlowEstimate, inputs ...Field) {
 	fields := []Field{
 		field("service", v.name), field("own", formatInt(b.Local)), field("told", formatInt(b.Reported)), field("estimated", formatInt(b.Estimated)),
--- a/core/steerer/target_selection.go
+++ b/core/steerer/target_selection.go
@@ -7,64 +7,68 @@
 )
 
 const (
-	// idleFlowLoad counts an open flow that waits for nothing as this part of a
-	// request. Callers with long flows send about one request a second, which
-	// takes some 50 ms: a twentieth.
+	// idleFlowLoad is the load of an open flow with no request in flight, as a fraction of
+	// a request. Callers with long-lived flows send about one request a second, which takes
+	// about 50 ms: a twentieth.
 	idleFlowLoad = 0.05
-	// crossZonePenalty is added for a target in another availability zone, in
-	// requests a slot: work spills over only when each slot at home has a request
-	// more to wait for. Traffic between zones is dear, and a flow across zones
-	// stalls when the zones are cut off from each other.
+	// crossZonePenalty is added for a target in another availability zone, in requests per
+	// slot: traffic spills over only when each slot in the local zone has one more request
+	// queued. Cross-zone traffic is expensive, and a cross-zone flow stalls when the zones
+	// are partitioned.
 	crossZonePenalty = 1.0
-	// warmUpLoadFactor multiplies the load of a target that has just started. Such
-	// targets take about 1.6 times as long.
+	// warmUpLoadFactor multiplies the load of a target that has just started. Such targets
+	// take about 1.6 times as long.
 	warmUpLoadFactor = 1.6
-	// maxSlowdownPenalty bounds what is added for a target that takes longer than usual, in requests
-	// a slot: less than suspectZonePenalty, since a slow target answers.
+	// maxSlowdownPenalty limits the penalty for a target that is slower than its baseline,
+	// in requests per slot. It is less than suspectZonePenalty because a slow target still
+	// responds.
 	maxSlowdownPenalty = 8
-	// failingPenalty is added to the load of a target that fails its work, in requests a slot:
-	// it gets flows only when its siblings are busy, so a false alarm costs little.
+	// failingPenalty is added for a target with fast failures, in requests per slot: it
+	// gets flows only when the other targets of its service are loaded, so a false positive
+	// costs little.
 	failingPenalty = 2.0
-	// tieBreakSpread orders targets of equal load by the flow's hash, so that hosts
-	// which do not know of each other's choice make different ones. It is less
-	// than the smallest difference in load.
+	// tieBreakSpread orders targets of equal load by the flow's hash, so that hosts that do
+	// not know each other's choices choose different targets. It is less than the smallest
+	// difference in load.
 	tieBreakSpread = 0.01
-	// suspectZonePenalty is added for a target of a zone that seems to have fallen silent: more
-	// than another zone costs and than a target that fails its work, so that the next
-	// zone is asked, and less than what is known of single targets.
+	// suspectZonePenalty is added for a target in a zone that seems unresponsive: more than
+	// crossZonePenalty and failingPenalty, so that another zone is used, and less than the
+	// penalties for what is known of a single target.
 	suspectZonePenalty = 10
-	// suspectPenalty puts a target that may be silent behind all that are not.
+	// suspectPenalty ranks a target that may be unresponsive after all that are not.
 	suspectPenalty = 1000
-	// unreachablePenalty puts a target that did not answer behind the merely suspect
-	// ones. It is still taken if there is no other: a caller whose flow does not
-	// open loses nothing over one that is refused.
+	// unreachablePenalty ranks an unreachable target after those that are only suspect. It
+	// is still used if there is no other: a flow that cannot be established costs its
+	// caller no more than a refused one.
 	unreachablePenalty = 10 * suspectPenalty
 )
 
-// placement is what a new flow, or a copy of its opening packet, asks for.
+// placement describes a new flow, or a retransmitted opening packet, that needs a target.
 type placement struct {
 	route   Route
 	service string
 	hash    uint64
-	// avoid is a target that is passed over unless there is no other; nil if none is.
+	// avoid is a target that is skipped unless there is no other; nil if there is none to
+	// avoid.
 	avoid *target
 }
 
-// zoneView is what a choice has to know of a zone.
+// zoneView is the state of a zone that matters to one placement.
 type zoneView struct {
-	// inRegion says that the route may run there.
+	// inRegion reports whether the route may run in the zone's region.
 	inRegion bool
-	// evacuated zones get nothing; those that are a last resort only what nobody else
-	// could take.
+	// Targets in evacuated zones get no new flows. Those in last-resort zones get only
+	// flows that no other target could take.
 	evacuated  bool
 	lastResort bool
 	suspect    bool
-	// slowness is the binary logarithm of the time that the service takes there, as a
-	// multiple of the usual.
+	// slowness is the log slowdown (log2) of the service in this zone compared with its
+	// baseline.
 	slowness float64
 }
 
-// evaluateZones looks at all zones, since a choice looks at many targets of each.
+// evaluateZones returns the view of every zone. It is computed once per placement, since a
+// placement compares many targets of each zone.
 func (s *Steerer) evaluateZones(c *placement) []zoneView {
 	s.zoneViews = s.zoneViews[:0]
 	obeys := len(s.evacuator.Zones()) > 0 && !s.partitioned()
@@ -84,7 +88,7 @@
 	return s.zoneViews
 }
 
-// penalty is what a zone adds to the load of its targets, in requests a slot.
+// penalty is added to the load of each target in the zone, in requests per slot.
 func (v *zoneView) penalty() float64 {
 	load := 0.0
 	if v.suspect {
@@ -96,7 +100,7 @@
 	return load
 }
 
-// chooseTarget picks the target of a service for a new flow; nil if there is none.
+// chooseTarget picks a target of the service for a new flow; nil if there is none.
 func (s *Steerer) chooseTarget(c placement) *target {
 	var best *target
 	var bestLoad float64
@@ -110,7 +114,7 @@
 	}
 	for _, t := range s.targets.candidates(c.service) {
 		if best != nil && bestLoad < crossZonePenalty && t.AvailabilityZone != s.config.AvailabilityZone {
-			break // Only targets of other zones follow, each with more load than that.
+			break // The remaining targets are in other zones, and each has at least this load.
 		}
 		if s.exclusionOf(t, views) != notExcluded || !s.warmUpAllows(t) {
 			continue
@@ -129,17 +133,17 @@
 		}
 	}
 	if full && best != nil && best.health.unreachable() {
-		return nil // Those that live are full: the caller should know at once.
+		return nil // All reachable targets are full: refuse at once.
 	}
 	return best
 }
 
-// exclusion is why a target may get no new flows of a route, whatever its load.
+// exclusion is the reason why a target may get no new flows of a route, whatever its load.
 type exclusion uint8
 
 const (
 	notExcluded exclusion = iota
-	// excludedDraining targets are draining, or no longer listed.
+	// excludedDraining targets are draining, or no longer listed by the platform.
 	excludedDraining
 	// excludedRegion targets are in a region that the route does not allow.
 	excludedRegion
@@ -147,7 +151,7 @@
 	excludedZone
 )
 
-// exclusionOf says why a target may get no new flows.
+// exclusionOf returns the reason why a target may get no new flows.
 func (s *Steerer) exclusionOf(t *target, views []zoneView) exclusion {
 	view := &views[t.zone]
 	switch {
@@ -161,7 +165,7 @@
 	return notExcluded
 }
 
-// refuseWithoutTarget refuses a flow for which there is no target, and says why.
+// refuseWithoutTarget refuses a flow for which there is no target, and logs the reason.
 func (s *Steerer) refuseWithoutTarget(p *Packet, c placement) {
 	var counts [excludedZone + 1]int
 	views := s.evaluateZones(&c)
@@ -184,18 +188,18 @@
 		field("outsideRegions", formatInt(counts[excludedRegion])), field("evacuated", formatInt(counts[excludedZone])), field("cold", formatInt(counts[notExcluded])))
 }
 
-// targetLoad estimates how long a new request would take at a target: what others there make it
-// wait for, in requests a slot, and by how much the target is slower than usual, in the
-// same unit.
+// targetLoad estimates how long a new request would take at a target, in requests per slot:
+// the queueing caused by other requests, plus penalties, among them one for a target slower
+// than its baseline.
 //
-// A flow that has not opened yet counts as a request. What goes wrong otherwise: a
-// target that has crashed resets each new flow at once, so it has the least load of
-// all, and callers are sent there again and again until it is found out.
+// A half-open flow counts as a request. Without this, a crashed target, which resets each
+// new flow at once, has the least load of all and gets new flows again and again until it
+// is detected.
 func (s *Steerer) targetLoad(t *target, view *zoneView, hash uint64) float64 {
 	idle := max(t.flows-t.pendingRequests-t.halfOpen, 0)
 	load := (float64(t.inFlight()) + idleFlowLoad*float64(idle)) / float64(max(t.Slots, 1))
 	if s.flowTableFull() {
-		load = 0 // New flows would not be counted, and all go to the least busy.
+		load = 0 // New flows could not be counted, and all would go to the least loaded target.
 	}
 	if s.isCold(t) {
 		load = (load + 1/float64(max(t.Slots, 1))) * warmUpLoadFactor
@@ -218,7 +222,7 @@
 	return load + tieBreakSpread*tieBreak(hash, t)
 }
 
-// tieBreak is a number from 0 to 1 that differs by flow and target.
+// tieBreak returns a number from 0 to 1 that differs by flow and target.
 func tieBreak(hash uint64, t *target) float64 {
 	mixed := (hash ^ uint64(t.Number)) * 0x9e3779b97f4a7c15 // Fibonacci hashing.
 	return float64(mixed>>40) / (1 << 24)
