--- a/core/steerer/effect.go
+++ b/core/steerer/effect.go
@@ -9,8 +9,8 @@
 	"cranberryspan.dev/core/sequencer"
 )
 
-// Effect is something that the host has to do. The set is closed. Effects are
-// data; those of one Reduce call are valid until the next call.
+// Effect is an action that the host has to carry out. The set is closed. Effects are data;
+// those returned by a Reduce call are valid until the next call.
 type Effect interface{ effect() }
 
 func (*ForwardPacket) effect()   {}
@@ -24,11 +24,11 @@
 func (*WriteLog) effect()        {}
 func (*Exit) effect()            {}
 
-// ForwardPacket passes a packet on to a target.
+// ForwardPacket forwards a packet to a target.
 type ForwardPacket struct {
 	Address netip.AddrPort
 	Number  TargetNumber
-	// Tag is written into an opening packet; it is 0 on all others.
+	// Tag is written into an opening packet; it is 0 for all other packets.
 	Tag  Tag
 	Data []byte
 }
@@ -37,32 +37,33 @@
 type ResetFlow struct {
 	Caller  netip.AddrPort
 	Service netip.AddrPort
-	// Sequence lies in the window in which the caller takes a reset.
+	// Sequence lies in the window in which the caller accepts a reset.
 	Sequence uint32
 }
 
-// ReadOptions says how to read the platform.
+// ReadOptions are the options of a read of the platform.
 type ReadOptions struct {
-	// MayBeStale allows an answer that is some seconds old; never with Since.
+	// MayBeStale allows a response that is a few seconds old. It is never set together with
+	// Since.
 	MayBeStale bool
-	// Since is a position up to which this host knows all that is read, so that what has changed
-	// since is enough; zero if it knows none.
+	// Since is a position up to which this host knows everything that is read, so that the
+	// changes after it are enough; zero if there is none.
 	Since sequencer.Position
-	// Era is the newest era of the platform's history that this host has heard of: an
-	// answer that tells none counts as of it.
+	// Era is the newest era of the platform's history that this host has heard of. A
+	// response without an era counts as one of this era.
 	Era uint64
 }
 
-// ReadSettings asks the platform for the newest settings and orders.
+// ReadSettings reads the newest settings and evacuation orders from the platform.
 type ReadSettings struct{ Options ReadOptions }
 
-// ReadTargets asks the platform for the targets.
+// ReadTargets reads the targets from the platform.
 type ReadTargets struct{ Options ReadOptions }
 
-// Probe checks whether a target lives.
+// Probe checks whether a target is alive.
 type Probe struct {
 	Target string
-	// Incarnation is the life of the target that is to be checked; see Target.
+	// Incarnation is the incarnation of the target to be probed; see Target.
 	Incarnation int64
 	Address     netip.AddrPort
 	Path        string
@@ -77,22 +78,23 @@
 	Report  *messenger.Report
 }
 
-// SendSyncRequest asks another host for what it knows.
+// SendSyncRequest asks another host for its settings and targets.
 type SendSyncRequest struct {
 	Host    string
 	Address netip.AddrPort
 	Request *messenger.SyncRequest
-	// Timeout is how long the host may take to begin its answer.
+	// Timeout is how long the host may take to begin its response.
 	Timeout time.Duration
 }
 
-// ObserveLatency says that a target began to answer a request, for histograms.
+// ObserveLatency records for the histograms that a target has begun to respond to a
+// request.
 type ObserveLatency struct {
 	Route   Route
 	Latency time.Duration
 }
 
-// WriteLog is one line for the log.
+// WriteLog writes a log line.
 type WriteLog struct{ recorder.Line }
 
 // Field is a key and a value of a log line.
@@ -100,5 +102,5 @@
 
 func field(key, value string) Field { return Field{Key: key, Value: value} }
 
-// Exit says that the process may end.
+// Exit ends the process.
 type Exit struct{}
--- a/core/steerer/event.go
+++ b/core/steerer/event.go
@@ -10,10 +10,10 @@
 	"cranberryspan.dev/core/timekeeper"
 )
 
-// Event is something that happened to a host. The set is closed. Events carry
-// their own time; they are read, never kept or changed.
+// Event is something that happened to a host. The set is closed. Events carry their own
+// time; they are only read, never kept or changed.
 type Event interface {
-	// at is when the event is handled.
+	// at returns the time at which the event is handled.
 	at() *timekeeper.Instant
 }
 
@@ -36,21 +36,21 @@
 // SettingsRead is the outcome of a ReadSettings effect.
 type SettingsRead struct {
 	At timekeeper.Instant
-	// Started is when the read began: the answer is at least as new as that, unless
+	// Started is when the read began: the response is at least as new as that, unless
 	// MayBeStale is set.
 	Started    timekeeper.Instant
 	MayBeStale bool
 	Published  Published
-	// Err says that the read failed; orders that it brought nevertheless hold.
+	// Err is set if the read failed; evacuation orders that it returned are valid
+	// nevertheless.
 	Err error
 }
 
-// Published is what operators have published, as one read shows it.
+// Published is what operators have published, as shown by one read.
 type Published struct {
 	// Settings is nil if none were published yet, or if they could not be read.
 	Settings *Settings
-	// Document is the settings as they were published, for hosts that can't read them
-	// themselves.
+	// Document is the settings as published, for hosts that cannot read them themselves.
 	Document []byte
 	// Orders are the orders to evacuate availability zones.
 	Orders evacuator.Orders
@@ -66,53 +66,54 @@
 	Err        error
 }
 
-// TargetList is all targets that the platform lists, or what has changed since an earlier
+// TargetList holds all targets that the platform lists, or the changes since an earlier
 // position.
 type TargetList struct {
-	// Position is that of the platform's history that the list shows.
+	// Position is the position in the platform's history that the list reflects.
 	Position sequencer.Position
-	// Since is the position after which the list tells of changes; zero for a whole list.
+	// Since is the position after which the list holds changes; zero for a full list.
 	Since   sequencer.Position
 	Targets []Target
-	// MissingIDs are the IDs of targets that are no longer listed, if only changes are told.
+	// MissingIDs holds the IDs of targets that are no longer listed, if the list holds only
+	// changes.
 	MissingIDs []string
-	// Malformed lists the entries that name no target.
+	// Malformed holds the entries that cannot be read as targets.
 	Malformed []MalformedTarget
 }
 
-// MalformedTarget is a listed entry that names no target: another program's, or one
-// that was written over.
+// MalformedTarget is a listed entry that cannot be read as a target: another program's
+// entry, or one that was overwritten.
 type MalformedTarget struct {
-	// ID is empty if not even that could be read.
+	// ID is empty if it could not be read either.
 	ID string
-	// Digest differs as soon as the entry does.
+	// Digest changes whenever the entry does.
 	Digest uint64
 	Err    error
 }
 
-// ProbeOutcome is what a liveness check has shown.
+// ProbeOutcome is the outcome of a probe.
 type ProbeOutcome uint8
 
-// The outcomes.
+// The outcomes of a probe.
 const (
-	// ProbeHealthy means that the target answered that it is well.
+	// ProbeHealthy means that the target responded as healthy.
 	ProbeHealthy ProbeOutcome = iota + 1
-	// ProbeNotReady means that it answered, and wants no new work.
+	// ProbeNotReady means that the target responded and does not want new flows.
 	ProbeNotReady
-	// ProbeWrongTarget means that another target answered at its address.
+	// ProbeWrongTarget means that another target responded at its address.
 	ProbeWrongTarget
 	// ProbeRefused means that nothing listens at its address.
 	ProbeRefused
-	// ProbeConnectTimeout means that not even a connection opened in time.
+	// ProbeConnectTimeout means that the connection did not open in time.
 	ProbeConnectTimeout
-	// ProbeResponseTimeout means that the target took the connection and did not answer in
-	// time.
+	// ProbeResponseTimeout means that the target accepted the connection and did not
+	// respond in time.
 	ProbeResponseTimeout
-	// ProbeClosed means that the target took the connection and ended it at once, with no
-	// answer.
+	// ProbeClosed means that the target accepted the connection and closed it at once
+	// without a response.
 	ProbeClosed
-	// ProbeReset means that the connection was reset before this host had seen it open: by a
-	// target that holds all the connections that it may, or by one that is about to end.
+	// ProbeReset means that the connection was reset before this host had seen it open: by
+	// a target at its connection limit, or by one that is about to exit.
 	ProbeReset
 )
 
@@ -142,10 +143,10 @@
 type ProbeCompleted struct {
 	At     timekeeper.Instant
 	Target string
-	// Incarnation is the life of the target that was checked.
+	// Incarnation is the incarnation of the target that was probed.
 	Incarnation int64
 	Outcome     ProbeOutcome
-	// Took is how long the check lasted.
+	// Took is the duration of the probe.
 	Took time.Duration
 }
 
@@ -156,28 +157,28 @@
 	Report *messenger.Report
 }
 
-// SyncResponseReceived is the outcome of an SendSyncRequest effect.
+// SyncResponseReceived is the outcome of a SendSyncRequest effect.
 type SyncResponseReceived struct {
 	At   timekeeper.Instant
 	From string
-	// Knowledge is nil if Err is set. Settings and Document are what it brought,
-	// if anything.
+	// Knowledge is nil if Err is set. Settings and Document are those in the response, if
+	// any.
 	Knowledge *messenger.SyncResponse
 	Settings  *Settings
 	Document  []byte
 	Err       error
 }
 
-// Tick lets time pass. It comes every TickInterval.
+// Tick marks the passing of time. It comes every TickInterval.
 type Tick struct {
 	At timekeeper.Instant
-	// TransfersReceived and TransfersSent are the bytes that reads of the platform and answers
-	// between hosts have put on this host's link since the last tick.
+	// TransfersReceived and TransfersSent are the bytes that reads of the platform and
+	// responses between hosts have put on this host's link since the last tick.
 	TransfersReceived int
 	TransfersSent     int
 }
 
-// Shutdown asks the host to leave the fabric's rotation and end.
+// Shutdown asks the host to leave the fabric's rotation and exit.
 type Shutdown struct {
 	At timekeeper.Instant
 }
--- a/core/steerer/redispatch.go
+++ b/core/steerer/redispatch.go
@@ -6,39 +6,42 @@
 	"cranberryspan.dev/core/timekeeper"
 )
 
-// maxRedispatchesPerFlow bounds the targets to which this host sends an opening packet after the first:
-// a caller gives up after 1.4 s, and each takes a round trip, a check and a tick or two.
+// maxRedispatchesPerFlow limits the targets to which this host sends an opening packet
+// after the first: a caller gives up after 1.4 s, and each redispatch takes a round trip, a
+// probe and one or two ticks.
 const maxRedispatchesPerFlow = 8
 
-// maxRedispatchesPerTick bounds the openings that are sent on between two ticks: some milliseconds' work
-// among thousands of targets.
+// maxRedispatchesPerTick limits the redispatches between two ticks: with thousands of
+// targets they take a few milliseconds.
 const maxRedispatchesPerTick = 25
 
-// saveOpeningPacket keeps the opening packet of a flow whose service is short of connections, so
-// that it can be sent on.
+// saveOpeningPacket keeps the opening packet of a flow whose service is constrained, so
+// that it can be redispatched.
 func (s *Steerer) saveOpeningPacket(f *flow, p *Packet) {
 	if s.connections.constrained[f.target.Service] != nil {
 		f.bufferedRequest = slices.Clone(p.Data)
 	}
 }
 
-// possiblyFull reports whether the target of a flow that has not opened was found full of late.
-// Copies of its opening packet then go elsewhere although the target works.
+// possiblyFull reports whether the target of a half-open flow was found full recently.
+// Retransmissions of its opening packet are then sent to another target even if this one
+// responds.
 //
-// What goes wrong if belief is enough: the target has taken the flow, its answer is lost, and
-// the copy opens the flow at a second target.
+// An estimate is not enough: if the target has accepted the flow and its response was lost,
+// the retransmission would open the flow at a second target.
 func (s *Steerer) possiblyFull(f *flow) bool {
 	v := s.connections.constrained[f.target.Service]
 	return v != nil && !f.established && f.target.foundFullBefore(s.now)
 }
 
-// foundFullBefore reports whether a target was found full within some time before a moment.
+// foundFullBefore reports whether a target was found full less than minProbeInterval before
+// the given time.
 func (t *target) foundFullBefore(at timekeeper.Instant) bool {
 	return t.foundFullAt != 0 && t.foundFullAt < at && at.Since(t.foundFullAt) < minProbeInterval
 }
 
-// watchResentOpening looks at a copy of an opening packet as at the first, if its target may be full,
-// too: the caller's next copy comes 400 ms later.
+// watchResentOpening starts the opening timer again for a retransmission if its target may
+// be full, too: the caller's next retransmission comes 400 ms later.
 func (s *Steerer) watchResentOpening(key flowKey, f *flow) {
 	if f.bufferedRequest != nil {
 		f.openingSentAt = s.now
@@ -46,12 +49,13 @@
 	}
 }
 
-// probeIfPossiblyFull checks the target of a flow that should have opened by now, if its service is
-// short of connections.
+// probeIfPossiblyFull probes the target of a flow that should have been established by now,
+// if its service is constrained.
 //
-// What goes wrong if only silence of the whole target counts: a full target answers those
-// that it holds, so it shows life, and the callers that it does not take wait for their
-// repeats. One notices by openings that take 200 ms at targets that work.
+// Without this, with probes only for targets that are unresponsive as a whole, a full
+// target is not noticed: it responds on the flows that it holds, and the callers that it
+// does not accept wait for their retransmission timeouts. This shows as flows that take 200
+// ms to open at targets that work.
 func (s *Steerer) probeIfPossiblyFull(f *flow) {
 	v := s.connections.constrained[f.target.Service]
 	if v == nil || f.bufferedRequest == nil || !s.silenceIsEvidence() {
@@ -60,9 +64,10 @@
 	s.probe(f.target, s.probeTimeout(f.target, f.openingSentAt))
 }
 
-// handleFullTarget takes in that a target has cut a check short. If flows wait there to open, it is
-// full. It may have become so by what it has just taken, so only some are sent on; see
-// certainlyNotAccepted. For the next flow that waits there it may be checked again at once.
+// handleFullTarget handles a probe whose connection the target closed at once. If flows are
+// half-open there, the target is full. One of them may be the flow that filled it, so only
+// some are redispatched; see certainlyNotAccepted. The target may be probed again at once
+// for the next flow that does not open there.
 func (s *Steerer) handleFullTarget(t *target) {
 	v := s.connections.constrained[t.Service]
 	if v == nil {
@@ -82,7 +87,7 @@
 		return
 	}
 	for _, key := range keys {
-		s.uncountConnection(s.flows[key]) // It holds none there, or one among those that fill the target.
+		s.uncountConnection(s.flows[key]) // The flow holds no connection there, or one of those that fill the target.
 	}
 	before := s.estimateFlows(t, v)
 	t.foundFullAt = s.now
@@ -98,10 +103,10 @@
 	s.redispatchQueued()
 }
 
-// redispatchQueued sends on as many of the openings that wait for it as a tick allows.
+// redispatchQueued redispatches as many of the queued opening packets as a tick allows.
 //
-// What goes wrong without a bound: a target with hundreds of openings turns out to be full,
-// a choice among thousands of targets is made for each, and all other packets wait behind.
+// Without the limit, when a target with hundreds of half-open flows is found full, a target
+// among thousands is chosen for each of them in one event, and all other packets wait.
 func (s *Steerer) redispatchQueued() {
 	c := &s.connections
 	for len(c.redispatchQueue) > 0 && c.redispatchesThisTick < maxRedispatchesPerTick {
@@ -119,46 +124,47 @@
 	}
 }
 
-// certainlyNotAccepted reports whether a flow that waits at a full target can't be open there: it was
-// placed when the target was full already, or its caller has repeated itself here.
+// certainlyNotAccepted reports whether a half-open flow at a full target cannot be open
+// there: the target was already found full when the flow was placed, or the caller has
+// retransmitted its opening packet at this host.
 //
-// What goes wrong if all that wait are sent on: a target takes a flow as its last, the caller
-// goes on through another host, and this one opens the flow at a second target. One notices
-// by resets of flows that were open.
+// Without this, if all half-open flows were redispatched: a target accepts a flow as its
+// last, the caller continues through another host, and this host opens the flow at a second
+// target. This shows as resets of established flows.
 func (f *flow) certainlyNotAccepted() bool {
 	return f.openingResentByCaller || f.target.foundFullBefore(f.openingSentAt)
 }
 
-// redispatch sends an opening packet that its target does not take to another.
+// redispatch sends an opening packet that its target does not accept to another target.
 //
-// In general an opening packet goes to one target at a time, since two that both answer
-// leave it open which of them has the flow. One that is full answers nothing.
+// In general an opening packet goes to one target at a time: if two targets respond, it is
+// undefined which of them has the flow. A full target does not respond.
 func (s *Steerer) redispatch(key flowKey, f *flow) {
 	if f.redispatches == maxRedispatchesPerFlow {
 		return
 	}
 	route, ok := s.settings.RouteAt(key.service)
 	if !ok || route.pickService(key.hash()) != f.target.Service {
-		return // Settings have changed; its caller's repeat goes by them.
+		return // The settings have changed; the caller's retransmission is handled by the new ones.
 	}
 	f.route = route
 	c := placement{route: route, service: f.target.Service, hash: key.hash(), avoid: f.target}
 	to := s.chooseTarget(c)
 	if to == nil || to == f.target {
-		return // Its caller repeats itself, and is refused if there is still none.
+		return // The caller retransmits, and is refused if there is still no other target.
 	}
 	s.counts.add(FlowRedispatched)
 	s.log("flowSentOn", field("flow", key.caller.String()), field("from", f.target.ID), field("target", to.ID), field("waitedMillis", formatMillis(s.now.Since(f.openingSentAt))))
 	s.recordColdFlow(to)
 	s.moveFlow(f, to)
 	f.redispatches++
-	f.openingResent = true // How long it takes from now on says nothing of the path.
+	f.openingResent = true // The handshake time no longer measures the network path.
 	f.openingSentAt, f.lastPacket = s.now, s.now
 	s.watchOpening(key, to)
 	s.forward(to, to.tag, f.bufferedRequest)
 }
 
-// anyTargetFull reports whether a target is passed over only because it is full.
+// anyTargetFull reports whether a target is excluded only because it is full.
 func (s *Steerer) anyTargetFull(c *placement, views []zoneView) bool {
 	constraint := s.constraintFor(c)
 	return constraint != nil && slices.ContainsFunc(s.targets.candidates(c.service), func(t *target) bool {
@@ -176,8 +182,8 @@
 		field("bound", formatInt(bound.MaxFlows)), field("reserved", formatInt(bound.Reserved)), field("toldAgeMillis", formatAge(s.now, s.connections.lastFlowReport)))
 }
 
-// connectionsAt is how many flows a target holds as far as known, and how many it may; 0 if
-// its service has plenty.
+// connectionsAt returns the estimated number of flows at a target and its connection limit;
+// both 0 if its service is not constrained.
 func (s *Steerer) connectionsAt(t *target) (flows, bound int) {
 	v := s.connections.constrained[t.Service]
 	if v == nil {
@@ -186,11 +192,11 @@
 	return s.estimateFlows(t, v).Total(), v.limit
 }
 
-// needsFlowReport reports whether a host that has just been heard of should learn at once what
-// this one holds.
+// needsFlowReport reports whether a host that has just been heard from should receive this
+// host's flow counts at once.
 //
-// What goes wrong otherwise: a host starts again, takes the targets to be empty, and sends
-// a crowd of opening packets to targets that are full.
+// Without this, a restarted host assumes that the targets are empty, and sends a burst of
+// opening packets to full targets.
 func (s *Steerer) needsFlowReport(p *peer) bool {
 	return len(s.connections.constrained) > 0 && p.zone == s.config.AvailabilityZone
 }
