--- a/core/steerer/flow.go
+++ b/core/steerer/flow.go
@@ -11,94 +11,106 @@
 )
 
 const (
-	// openingRefusedTimeout is how long an opening packet may go without a copy and
-	// without its flow opening before the target counts as refusing. Callers
-	// send the first copy after 200 ms; the rest is for the network.
+	// openingRefusedTimeout is how long after its opening packet a flow may remain
+	// half-open without a retransmission before the target counts as refusing it. Callers
+	// send the first retransmission after 200 ms; the rest allows for the network.
 	openingRefusedTimeout = 260 * time.Millisecond
-	// flowSweepInterval is how often forgotten flows are looked for.
+	// flowSweepInterval is the interval between sweeps for expired flows.
 	flowSweepInterval = time.Second
-	// closedFlowRetention keeps a flow that ended for late repeats.
+	// closedFlowRetention is how long a closed flow is kept for late retransmissions.
 	closedFlowRetention = 2 * time.Second
-	// defaultIdleTimeout is how long idle flows are kept before settings say so.
+	// defaultIdleTimeout is how long idle flows are kept until settings are known.
 	defaultIdleTimeout = 15 * time.Second
 )
 
-// flow is what a host remembers of a flow whose packets it has seen. Nothing
-// depends on it but the spread of new flows and the notice of silent targets.
+// flow is the state that a host keeps of a flow whose packets it has seen. It is used only
+// to balance new flows and to detect unresponsive targets.
 type flow struct {
 	target *target
 	route  Route
-	// established says that a packet came that only an open flow sends. Until then the
-	// flow counts in its target's opening.
+	// established is set once a packet has come that a caller sends only in an established
+	// flow. Until then the flow counts in its target's halfOpen.
 	established bool
-	// firstRequestCounted says that the flow's first request was counted when it opened.
+	// firstRequestCounted reports whether the flow's first request was counted when the
+	// flow was opened.
 	firstRequestCounted bool
-	// openingResent says that copies of the opening packet came, or that this host sent it on.
+	// openingResent reports whether the opening packet was retransmitted by the caller or
+	// redispatched by this host.
 	openingResent bool
-	// openingResentByCaller says that the caller has repeated its opening packet at this host.
+	// openingResentByCaller reports whether the caller has retransmitted its opening packet
+	// at this host.
 	openingResentByCaller bool
-	// queuedForRedispatch says that the opening packet waits for its turn to be sent on.
+	// queuedForRedispatch reports whether the opening packet is in the redispatch queue.
 	queuedForRedispatch bool
-	// redispatches counts the targets after the first to which this host has sent the opening
-	// packet.
+	// redispatches counts the targets after the first to which this host has sent the
+	// opening packet.
 	redispatches uint8
-	// awaitingResponse says that a request is under way.
+	// awaitingResponse reports whether a request is in flight.
 	awaitingResponse bool
-	// closed says that one end has closed the flow; it is kept for late repeats.
+	// closed reports whether one end has closed the flow. It is kept for late
+	// retransmissions.
 	closed bool
-	// hasSentRequest says that the flow has brought a request.
+	// hasSentRequest reports whether the caller has sent a request.
 	hasSentRequest bool
-	// placedHere says that this host placed the flow at its target; it found any other open.
+	// placedHere reports whether this host placed the flow at its target. Other flows were
+	// already established when this host first saw them.
 	placedHere bool
-	// connectionCount counts the flow among those that its target holds; nil if it is not.
+	// connectionCount is the count of its target's flows in which the flow is included; nil
+	// if it is not counted.
 	connectionCount *limiter.TargetFlows
-	// openingSentAt is when the first opening packet went out.
+	// openingSentAt is when the opening packet was sent, or sent again in a way that restarts
+	// its timer; in a flow that was already established, when this host first saw it.
 	openingSentAt timekeeper.Instant
-	// sentEnd is the end of the data that the caller has sent, acknowledged the
-	// highest byte that the caller has acknowledged.
+	// sentEnd is the end of the data that the caller has sent; acknowledged is the next
+	// byte that the caller expects.
 	sentEnd      uint32
 	acknowledged uint32
-	// requestStartedAt is when the request under way began.
+	// requestStartedAt is when the request in flight began.
 	requestStartedAt timekeeper.Instant
-	// bufferedRequest is the first packet of the request that waits, if it is kept; of a flow that
-	// has not opened it is the opening packet, if its service is short of connections.
+	// bufferedRequest is the first packet of the request in flight, if it is kept. In a
+	// half-open flow it is the opening packet, if the service is constrained.
 	bufferedRequest []byte
-	// paced is the flow's request that waits at this host, pacedFor how long the last
-	// one waited. underWay is the service that counts the request that was passed on.
+	// paced is the flow's request that is queued at this host; pacedFor is how long the
+	// last one was queued. inFlightAt is the service in whose inFlight the forwarded
+	// request is counted.
 	paced      *queuedRequest
 	pacedFor   time.Duration
 	inFlightAt *service
-	// lastData is when the last new data of the request under way was passed on.
+	// lastData is when new data of the request in flight was last forwarded.
 	lastData timekeeper.Instant
-	// expectedLatency is how long that request should take from its end, 0 if that is not known.
+	// expectedLatency is how long the response should take from the end of the request; 0
+	// if unknown.
 	expectedLatency time.Duration
-	// assumedExcess is how much longer it has taken so far, as a binary logarithm; see
-	// estimator.Excess. It was learned while the request waited; 0 if nothing was.
+	// assumedExcess is the log slowdown (log2) of the request in flight so far; see
+	// estimator.LogSlowdown. It was reported to the estimator while the response was
+	// overdue; 0 if nothing was.
 	assumedExcess float64
-	// unconfirmedBytes counts the bytes since the target last showed life.
+	// unconfirmedBytes counts the bytes forwarded since the target last made progress.
 	unconfirmedBytes uint32
 	lastPacket       timekeeper.Instant
-	// bulkWindow is the last of the path's spans in which the flow sent much.
+	// bulkWindow identifies the last link load window in which the flow was counted as a
+	// bulk flow.
 	bulkWindow timekeeper.Instant
-	// callerCountedAt is the service at which the flow counts for its caller; nil if it does not.
+	// callerCountedAt is the service at which the flow counts for its caller; nil if it
+	// does not count.
 	callerCountedAt *service
 }
 
-// flowTimer looks at a flow again at a deadline, because of something that began at a
-// moment.
+// flowTimer checks a flow at a deadline. since identifies the event that started the timer:
+// the timer is obsolete if the flow's state has changed since then.
 type flowTimer struct {
 	key      flowKey
 	since    timekeeper.Instant
 	deadline timekeeper.Instant
 }
 
-// flowTimers are checks in the order in which they were added. One whose deadline is
-// earlier than that of one before it waits for that.
+// flowTimers holds timers in the order in which they were added. A timer with an earlier
+// deadline than the one before it expires only together with that one.
 type flowTimers []flowTimer
 
 func (c *flowTimers) add(timer flowTimer) { *c = append(*c, timer) }
 
-// expire takes out the checks that are due and calls do with each.
+// expire removes the timers whose deadline has passed and calls onExpired with each.
 func (c *flowTimers) expire(now timekeeper.Instant, onExpired func(flowTimer)) {
 	done := 0
 	for _, check := range *c {
@@ -111,8 +123,8 @@
 	*c = (*c)[:copy(*c, (*c)[done:])]
 }
 
-// rememberFlow keeps a flow, unless there are too many. Nothing may be counted for a
-// flow that is not kept: nobody would take it back.
+// rememberFlow adds a flow to the flow table unless the table is full. Nothing may be
+// counted for a flow that is not in the table, since the count would never be undone.
 func (s *Steerer) rememberFlow(key flowKey, f *flow) bool {
 	if s.flowTableFull() {
 		s.counts.add(FlowTableFull)
@@ -128,7 +140,7 @@
 	return true
 }
 
-// flowTableFull reports whether no further flow can be remembered.
+// flowTableFull reports whether no further flow can be added to the flow table.
 func (s *Steerer) flowTableFull() bool { return len(s.flows) >= s.config.MaxFlows }
 
 func (s *Steerer) forgetFlow(key flowKey, f *flow) {
@@ -151,21 +163,22 @@
 	s.setAwaitingResponse(f, false)
 	s.recordFlowEnd(key, f)
 	f.closed = true
-	s.uncountConnection(f) // Both ends close at once: a caller has nothing to wait for after its last answer.
+	s.uncountConnection(f) // Both ends close at once: a caller has nothing to wait for after its last response.
 }
 
-// watchOpening looks at a flow again that has just been sent to a target.
+// watchOpening starts the timer of an opening packet that has just been sent to a target.
 func (s *Steerer) watchOpening(key flowKey, to *target) {
 	s.awaitedOpenings.add(flowTimer{key: key, since: s.now, deadline: s.now.Add(s.diagnoser.ResponseTimeout(to.AvailabilityZone, s.now))})
 }
 
-// checkOpenings looks at flows that should have opened by now.
+// checkOpenings checks flows that should have been established by now.
 //
-// A flow opens within a round trip. What goes wrong if one waits for the caller's copy: a
-// zone crashes, callers repeat themselves after 200 ms, and only then is the first of its
-// targets checked; by then every caller of the zone has an opening packet or a request at
-// a dead target. A target that has crashed and is back refuses new flows with a reset
-// that goes straight to the caller, so that no copy ever shows it.
+// A flow is established within a round trip. Without this check, if the host waited for the
+// caller's retransmission: a zone crashes, callers retransmit after 200 ms, and only then
+// is the first of the zone's targets probed; by then every caller of the zone has an
+// opening packet or a request at a dead target. A crashed target that is back refuses new
+// flows with a reset that goes straight to the caller, so that no retransmission ever shows
+// it.
 func (s *Steerer) checkOpenings() {
 	s.awaitedOpenings.expire(s.now, func(timer flowTimer) {
 		f := s.flows[timer.key]
@@ -247,7 +260,7 @@
 	}
 }
 
-// hash spreads flows; the copies of an opening packet have the same.
+// hash distributes flows. It is the same for all retransmissions of an opening packet.
 func (k flowKey) hash() uint64 { return hashAddresses(k.caller, k.service) }
 
 func hashAddresses(a, b netip.AddrPort) uint64 {
--- a/core/steerer/health.go
+++ b/core/steerer/health.go
@@ -8,42 +8,43 @@
 )
 
 const (
-	// recentProgressAge is how recent a sign of life must be for a stall to count as
-	// the flow's own trouble. Callers repeat after 200 ms, so a target that lives
-	// has answered somebody within that time under any load worth noticing.
+	// recentProgressAge is the age up to which progress of a target means that a stall
+	// concerns only the flow itself. Callers retransmit after 200 ms, so a target that is
+	// alive has responded to some caller within that time under any load that matters.
 	recentProgressAge = 150 * time.Millisecond
-	// minProbeInterval bounds the liveness checks of one target, by this host.
+	// minProbeInterval limits how often this host probes a target.
 	minProbeInterval = time.Second
-	// reprobeInterval is the pause between checks of a target that did not answer.
+	// reprobeInterval is the interval between probes of an unreachable target.
 	reprobeInterval = 2 * time.Second
-	// lateProbeFactor times its patience is how long a check may take to mean anything: one
-	// that ends later was held up by this host, and so was the answer that it missed.
+	// lateProbeFactor times its timeout is how long a probe may take to be conclusive: one
+	// that ends later was delayed by this host, and so was the response that it missed.
 	lateProbeFactor = 2
 )
 
-// health is what a host concludes of a target from its flows.
+// health is the state of a target as concluded from its flows and probes.
 type health struct {
 	// lastProgress is when a flow last showed that the target works.
 	lastProgress timekeeper.Instant
-	// stalls counts repeats since then.
+	// stalls counts the retransmissions since then.
 	stalls int
-	// suspect is set while a stall has not been cleared up.
+	// suspect is set from a stall until progress or a probe resolves it.
 	suspect bool
-	// suspectSince is since when nothing had come then.
+	// suspectSince is the time since which nothing had come from the target when it became
+	// suspect.
 	suspectSince timekeeper.Instant
 	probing      bool
-	// probeTimeout is what the check under way waits for a handshake.
+	// probeTimeout is the handshake timeout of the probe in flight.
 	probeTimeout time.Duration
-	// probeDeadline is when the next check may begin.
+	// probeDeadline is when the next probe may begin.
 	probeDeadline timekeeper.Instant
-	// unreachableSince is when a check got no answer; 0 while the target is reachable.
+	// unreachableSince is when a probe failed; 0 while the target is reachable.
 	unreachableSince timekeeper.Instant
 	lastOutcome      ProbeOutcome
 }
 
 func (h *health) unreachable() bool { return h.unreachableSince != 0 }
 
-// fields describes what a conclusion rests on.
+// fields returns the log fields that explain a conclusion.
 func (h *health) fields(now timekeeper.Instant) []Field {
 	return []Field{
 		field("stalls", formatInt(h.stalls)),
@@ -52,19 +53,20 @@
 	}
 }
 
-// logTarget logs what is concluded of a target, with what its health rests on. The tag
-// leads from a packet that another host dropped to the target.
+// logTarget logs an event of a target together with its health. The tag makes it possible
+// to find the target of a packet that another host dropped.
 func (s *Steerer) logTarget(event string, t *target, inputs ...Field) {
 	fields := append([]Field{field("target", t.ID), field("tag", t.tag.String())}, inputs...)
 	s.log(event, append(fields, t.health.fields(s.now)...)...)
 }
 
-// silenceIsEvidence reports whether silence means anything at present.
+// silenceIsEvidence reports whether missing responses are evidence against a target. They
+// are not after a pause of this host, or while its network path is slow.
 func (s *Steerer) silenceIsEvidence() bool {
 	return s.pause.graceDeadline.Passed(s.now) && !s.path.slow(s.now) && s.now.Since(s.pause.lastTick) <= pauseThreshold
 }
 
-// recordProgress takes in that a target works.
+// recordProgress records that a target works.
 func (s *Steerer) recordProgress(t *target) {
 	s.diagnoser.ObserveActivity(t.AvailabilityZone, s.now)
 	h := &t.health
@@ -81,8 +83,8 @@
 	}
 }
 
-// recordStall takes in that a caller had to repeat itself, having heard nothing since a
-// moment.
+// recordStall records that a caller had to retransmit, having received nothing since the
+// given time.
 func (s *Steerer) recordStall(t *target, cause string, since timekeeper.Instant) {
 	t.health.stalls++
 	if s.now.Since(t.health.lastProgress) >= recentProgressAge {
@@ -90,7 +92,8 @@
 	}
 }
 
-// suspect checks a target from which nothing has come since a moment.
+// suspect marks a target as suspect from which nothing has come since the given time, and
+// probes it.
 func (s *Steerer) suspect(t *target, cause string, since timekeeper.Instant) {
 	if !s.silenceIsEvidence() {
 		return
@@ -105,10 +108,11 @@
 	s.probe(t, s.probeTimeout(t, since))
 }
 
-// probeTimeout is how long a check of a target may go without a handshake, if nothing has come
-// from the target since a moment. As long as its whole zone has been silent, too, a short
-// check is enough to say so; see recordZoneSilence. To say that this target is silent, and to
-// reset its flows, takes a long one: a target whose queue of connections is full works.
+// probeTimeout returns the handshake timeout for a probe of a target from which nothing has
+// come since the given time. While its whole zone has been unresponsive, too, a short probe
+// is enough to make the zone suspect; see recordZoneSilence. To mark this target as
+// unreachable and reset its flows takes a long one: a target with a full accept queue still
+// works.
 func (s *Steerer) probeTimeout(t *target, since timekeeper.Instant) time.Duration {
 	zone := t.AvailabilityZone
 	if s.diagnoser.ZoneUnresponsive(zone, since, s.now) && !s.diagnoser.ZoneSuspect(zone, s.now) {
@@ -117,7 +121,7 @@
 	return diagnoser.MaxResponseTimeout
 }
 
-// probe checks a target that may be silent, if it has not been checked of late.
+// probe probes a target that may be unresponsive, unless it was probed recently.
 func (s *Steerer) probe(t *target, patience time.Duration) {
 	h := &t.health
 	if h.probing || !h.probeDeadline.Passed(s.now) {
@@ -130,11 +134,11 @@
 	s.emit(&Probe{Target: t.ID, Incarnation: t.Incarnation, Address: t.Address, Path: s.settings.healthPath(t.Service), Timeout: patience})
 }
 
-// probeCompleted takes in the outcome of a check.
+// probeCompleted handles the outcome of a probe.
 func (s *Steerer) probeCompleted(e *ProbeCompleted) {
 	t, ok := s.targets.byID[e.Target]
 	if !ok || t.Incarnation != e.Incarnation {
-		return // It was forgotten, or has started again since, and a check of old says nothing.
+		return // The target was removed, or has restarted since the probe began.
 	}
 	h := &t.health
 	h.probing = false
@@ -148,8 +152,8 @@
 	case ProbeConnectTimeout, ProbeRefused, ProbeWrongTarget:
 		s.markUnreachable(t, e)
 	case ProbeReset:
-		// Somebody answered, so the target is not silent, but not that it works either. The next
-		// stall has it checked again.
+		// Something responded, so the target is not unresponsive, but this does not show that it
+		// works. The next stall starts another probe.
 	}
 	s.logTarget("targetProbed", t, field("outcome", e.Outcome.String()), field("tookMillis", formatMillis(e.Took)))
 	if e.Outcome == ProbeClosed {
@@ -157,26 +161,25 @@
 	}
 }
 
-// markUnreachable takes a target out of reach, and tells the callers that wait for
-// it.
+// markUnreachable marks a target as unreachable, and resets the flows that wait for it.
 //
-// What goes wrong otherwise: a caller whose target has crashed silently repeats
-// its packets until its deadline, and only then opens a flow elsewhere. The reset
-// is sent only for requests that may run again: whether the others have run is
-// unknown, and their callers do not repeat them.
+// Without the resets, a caller whose target has crashed silently retransmits its packets
+// until its deadline, and only then opens a flow elsewhere. Only flows with retryable
+// requests are reset: whether the others have run is unknown, and their callers do not
+// retry them.
 func (s *Steerer) markUnreachable(t *target, e *ProbeCompleted) {
 	h := &t.health
 	if e.Outcome == ProbeConnectTimeout && (!s.silenceIsEvidence() || e.Took > lateProbeFactor*h.probeTimeout) {
-		h.probeDeadline = s.now // It says nothing: the next stall checks again.
+		h.probeDeadline = s.now // The probe is inconclusive: the next stall starts another.
 		return
 	}
 	if h.lastProgress.Add(e.Took) > s.now {
-		return // A flow has shown life while the check was under way.
+		return // A flow has made progress while the probe was in flight.
 	}
 	short := h.probeTimeout < diagnoser.MaxResponseTimeout
 	s.recordZoneSilence(t)
 	if e.Outcome == ProbeConnectTimeout && short {
-		s.probe(t, diagnoser.MaxResponseTimeout) // A long check decides.
+		s.probe(t, diagnoser.MaxResponseTimeout) // Only a long probe is conclusive.
 		return
 	}
 	if !h.unreachable() {
@@ -189,13 +192,14 @@
 	s.resetWaitingFlows(t)
 }
 
-// recordZoneSilence takes in that a target was found silent, and checks its neighbours if
-// nothing has come from their zone since it fell silent.
+// recordZoneSilence records that a target was found unresponsive. If nothing has come from
+// its zone since then, it probes the zone's other targets.
 //
-// What goes wrong if each target is checked only once a caller repeats itself there: a zone
-// crashes without a word, and each of its callers waits for its own repeat, 200 ms, and for
-// a check after it, before it may ask elsewhere. One notices by requests that are late by
-// the length of a check. The first that is found silent tells of all.
+// Without this, if each target were probed only once a caller retransmits to it: a zone
+// crashes without sending resets, and each of its callers waits for its own retransmission
+// timeout, 200 ms, and for a probe after it, before it may try another target. This shows
+// as requests that are late by the length of a probe. The first target that is found
+// unresponsive is enough to probe all of them.
 func (s *Steerer) recordZoneSilence(found *target) {
 	h := &found.health
 	h.probeDeadline = s.now
@@ -213,7 +217,8 @@
 	}
 }
 
-// resetWaitingFlows resets the flows that wait for a silent target and may run again.
+// resetWaitingFlows resets the flows with a retryable request that waits for an unreachable
+// target.
 func (s *Steerer) resetWaitingFlows(t *target) {
 	for _, key := range s.flowsTo(t) {
 		f := s.flows[key]
@@ -226,8 +231,8 @@
 	}
 }
 
-// probeUnreachable checks unreachable targets again from time to time, but for those of
-// evacuated zones: they get no flows however they answer.
+// probeUnreachable probes unreachable targets again at intervals. Targets in evacuated
+// zones are left out: they get no flows whatever the outcome.
 func (s *Steerer) probeUnreachable() {
 	for _, t := range s.targetsInUse() {
 		if t.health.unreachable() && !t.missing && !s.evacuator.Evacuates(t.AvailabilityZone) {
--- a/core/steerer/held_packets.go
+++ b/core/steerer/held_packets.go
@@ -8,36 +8,36 @@
 )
 
 const (
-	// heldPacketTimeout is how long a packet is kept for the first reads. A start takes 5 to
-	// 90 ms, and up to 200 ms while other hosts have to be asked; after the caller's
-	// next repeat there is little left to save.
+	// heldPacketTimeout is how long a packet is held until the first settings and targets
+	// are read. A start takes 5 to 90 ms, and up to 200 ms if other hosts have to be asked;
+	// after the caller's next retransmission holding a packet saves little.
 	heldPacketTimeout = 300 * time.Millisecond
-	// maxHeldPackets bounds the packets that are kept, to 0.7 MB of the largest.
+	// maxHeldPackets limits the held packets, to 0.7 MB if all have the maximum size.
 	maxHeldPackets = 512
 )
 
-// heldPacket is a packet that came before this host knew where packets go.
+// heldPacket is a packet that came before this host was ready to forward it.
 type heldPacket struct {
 	packet   Packet
 	deadline timekeeper.Instant
 }
 
-// retransmits reports whether one packet is a repeat of another.
+// retransmits reports whether one packet is a retransmission of another.
 func (p *Packet) retransmits(other *Packet) bool {
 	return p.Caller == other.Caller && p.Service == other.Service && p.isOpening() == other.isOpening() &&
 		p.Sequence == other.Sequence && p.Length == other.Length
 }
 
-// canRoute reports whether this host has learned where packets go.
+// canRoute reports whether this host has settings and targets.
 func (s *Steerer) canRoute() bool { return s.settings != nil && s.targetsPosition.Known() }
 
-// forwardByTag passes on a packet of an open flow while this host knows targets and no
-// settings yet, and reports whether it has. The tag alone says where the packet goes.
+// forwardByTag forwards a packet of an established flow while this host has targets but no
+// settings yet, and reports whether it did. The tag alone identifies the target.
 //
-// What goes wrong if it waits for the settings: after a loss of all hosts a document of
-// 400 KB keeps hosts with links of 2 Mbit/s for two seconds, and every feed of callers
-// with it. Nothing is remembered of the flow: without its route nothing can be concluded
-// from it.
+// Without this, packets wait for the settings: after a loss of all hosts a 400 KB document
+// keeps hosts with 2 Mbit/s links busy for two seconds, and every long-lived flow stalls
+// that long. The flow is not added to the flow table: without its route nothing can be
+// concluded from it.
 func (s *Steerer) forwardByTag(p *Packet) bool {
 	to, ok := s.targets.byTag[p.Tag]
 	if !ok || p.isOpening() || !s.targetsPosition.Known() {
@@ -47,13 +47,13 @@
 	return true
 }
 
-// holdPacket keeps a packet until this host knows where it goes.
+// holdPacket holds a packet until this host is ready to forward it.
 //
-// What goes wrong if it is dropped: after a loss of all hosts callers have repeated
-// their packets already, and the next repeat comes after 0.4 to 1.6 s, while the
-// host needs some milliseconds to learn its targets. One notices by answers that are
-// late long after the hosts are back. A repeat takes the place of the packet that it
-// repeats: two at once would look like a target that is silent.
+// Without this, after a loss of all hosts callers have already retransmitted, and the next
+// retransmission comes after 0.4 to 1.6 s, while the host needs only a few milliseconds to
+// read its targets. This shows as responses that are late long after the hosts are back. A
+// retransmission replaces the packet that it repeats: two copies at once would look like an
+// unresponsive target.
 func (s *Steerer) holdPacket(p *Packet) {
 	kept := *p
 	kept.Data = slices.Clone(p.Data)
@@ -70,8 +70,8 @@
 	s.heldPackets = append(s.heldPackets, heldPacket{packet: kept, deadline: s.now.Add(heldPacketTimeout)})
 }
 
-// releaseHeldPackets passes kept packets on as soon as this host knows where they go, and
-// drops those that have waited too long.
+// releaseHeldPackets forwards held packets as soon as this host is ready, and drops those
+// that were held too long.
 func (s *Steerer) releaseHeldPackets() {
 	if len(s.heldPackets) == 0 {
 		return
@@ -96,8 +96,8 @@
 	})
 }
 
-// dropUnroutable gives up a packet of which nobody knows where it goes. Its caller
-// repeats it.
+// dropUnroutable drops a packet that this host cannot forward yet. Its caller retransmits
+// it.
 func (s *Steerer) dropUnroutable(p *Packet, reason string) {
 	s.counts.add(DropNotReady)
 	s.log("packetDropped", field("flow", p.Caller.String()), field("reason", reason),
--- a/core/steerer/target_restart.go
+++ b/core/steerer/target_restart.go
@@ -7,18 +7,19 @@
 	"cranberryspan.dev/core/sequencer"
 )
 
-// A target may end and start again under the ID that it had, at the same address. It
-// then holds none of its flows, and nothing that was learned of it holds any more.
+// A target may exit and restart under the same ID and address. The new incarnation holds
+// none of its flows, and nothing that was learned about the earlier one applies to it.
 //
-// What goes wrong if it is taken for the same: it counts as unreachable, as failing
-// its work or as busy for seconds in which it would serve; a check that was sent to the
-// old process speaks against the new one; and word of the old life, from a host that
-// missed the restart, undoes what is known of the new one. One notices by a restarted
-// target that gets no flows, on some hosts only.
+// Without this distinction, the target counts as unreachable, failing or loaded for seconds
+// in which it would serve; a probe of the old process counts against the new one; and a
+// report about the old incarnation, from a host that missed the restart, overrides what is
+// known of the new one. This shows as a restarted target that gets no flows, on some hosts
+// only.
 
-// olderThan reports whether what is known of a target is older than a state of some
-// life as seen at a position. Lives go first: what an earlier life has written may
-// reach the platform, or this host, after the news of a later one.
+// olderThan reports whether what is known of a target is older than the state of the given
+// incarnation as read at the given position. Incarnations are compared first: what an
+// earlier incarnation has written may reach the platform, or this host, after the updates
+// of a later one.
 func (t *target) olderThan(incarnation int64, position sequencer.Position) bool {
 	if incarnation != t.Incarnation {
 		return t.Incarnation < incarnation
@@ -26,7 +27,7 @@
 	return t.seenPosition.Before(position)
 }
 
-// resetForRestart drops what this host believes of a target's earlier life.
+// resetForRestart discards the state of a target's earlier incarnation.
 func (s *Steerer) resetForRestart(t *target, from string) {
 	s.log("targetReborn", field("target", t.ID), field("born", formatInt(int(t.Incarnation))), field("revision", t.seenPosition.String()),
 		field("flows", formatInt(t.flows)), field("from", from))
@@ -49,14 +50,14 @@
 	t.peersBusy = 0
 }
 
-// resendRequest repeats a request that waits to a target that has started again, or passes
-// on one that waits at this host.
+// resendRequest sends a request in flight again to a target that has restarted, or forwards
+// one that is queued at this host.
 //
-// A target answers packets of flows that it does not hold with a reset, so that the
-// caller asks elsewhere at once. What goes wrong without the repeat: the old life had
-// acknowledged the request, so its caller repeats nothing, and waits until its
-// deadline. A reset by this host would be a guess: the flow may have opened at the new
-// life, before the news of it came, and then the repeat does no harm.
+// A target responds to packets of unknown flows with a reset, so that the caller tries
+// another target at once. Without resending, the caller waits until its deadline: the old
+// incarnation had acknowledged the request, so the caller does not retransmit it. This host
+// must not send the reset itself: the flow may have been opened at the new incarnation
+// before this host learned of it, and then a duplicate request packet is harmless.
 func (s *Steerer) resendRequest(f *flow, t *target) {
 	if f.paced != nil {
 		for _, data := range f.paced.packets {
@@ -69,14 +70,14 @@
 	}
 }
 
-// bufferRequest keeps a request that has begun, if it may run more than once and fits a
-// packet; see resendRequest.
+// bufferRequest keeps a request that has begun, if it is retryable and small enough; see
+// resendRequest.
 func (f *flow) bufferRequest(data []byte) {
 	if f.route.Kind.retryable() && len(data) <= maxBufferedRequestBytes {
 		f.bufferedRequest = slices.Clone(data)
 	}
 }
 
-// maxBufferedRequestBytes bounds a request that is kept while it waits, in bytes: requests
-// without a body take some 300.
+// maxBufferedRequestBytes limits the size of a buffered request: requests without a body
+// take about 300 bytes.
 const maxBufferedRequestBytes = 600
