--- a/core/steerer/held_packets.go
+++ b/core/steerer/held_packets.go
@@ -52,7 +52,7 @@
 // Without this, after a loss of all hosts callers have already retransmitted, and the next
 // retransmission comes after 0.4 to 1.6 s, while the host needs only a few milliseconds to
 // read its targets. This shows as responses that are late long after the hosts are back. A
-// retransmission replaces the packet that it repeats: two copies at once would look like an
+// retransmission replaces the packet that it repeats: both at once would look like an
 // unresponsive target.
 func (s *Steerer) holdPacket(p *Packet) {
 	kept := *p
--- a/core/steerer/path.go
+++ b/core/steerer/path.go
@@ -7,63 +7,68 @@
 )
 
 const (
-	// minSlowHandshake is how long a flow may take to open, from its opening packet to the
-	// caller's next one, on a path that can be trusted. Callers, hosts and targets
-	// are some milliseconds apart; a third of a check's patience leaves the check
-	// room.
+	// minSlowHandshake is the time up to which a handshake, from the opening packet to the
+	// caller's next packet, never counts as slow. Callers, hosts and targets are a few
+	// milliseconds apart, and a third of a probe's timeout leaves time for the probe
+	// itself.
 	minSlowHandshake = 50 * time.Millisecond
-	// slowHandshakeFactor times the usual is slow where callers are further away, but
-	// maxNormalHandshake always is: a check is given up after 150 ms.
+	// slowHandshakeFactor times the median handshake time is slow where callers are more
+	// distant, but a handshake longer than maxNormalHandshake is always slow: a probe times
+	// out after 150 ms.
 	slowHandshakeFactor = 3
 	maxNormalHandshake  = 120 * time.Millisecond
-	// slowHandshakeHold is how long a slow opening counts: some openings come each second.
+	// slowHandshakeHold is how long a slow handshake marks the path as slow: several
+	// handshakes happen every second.
 	slowHandshakeHold = 2 * time.Second
-	// linkLoadWindow is over what time the bytes on the host's link are added up, and
-	// busyLinkShare the part of what the link can carry in it that makes the link busy.
+	// linkLoadWindow is the window over which the bytes on the host's link are counted, and
+	// busyLinkShare the fraction of the link's capacity in it above which the link is busy.
 	linkLoadWindow = 100 * time.Millisecond
 	busyLinkShare  = 0.5
-	// maxHarmlessQueueDelay is how long packets wait at most in a link that does not harm: as long
-	// as a slow opening. A queue holds at most a window of each flow that sends much.
+	// maxHarmlessQueueDelay is the queueing delay in the link up to which the path does not
+	// count as slow: as long as a slow handshake. A queue holds at most one window of each
+	// bulk flow.
 	maxHarmlessQueueDelay = minSlowHandshake
-	// bulkPacketBytes tells packets of large requests, which come in full packets.
+	// bulkPacketBytes is the size from which a packet belongs to a large request; large
+	// requests are sent in full packets.
 	bulkPacketBytes = 1000
-	// bulkTransferShare is the part of what the link can carry that reads of the platform and
-	// answers between hosts take while they hold up packets of flows: such a transfer
-	// takes all that the flows leave.
+	// bulkTransferShare is the fraction of the link's capacity above which reads of the
+	// platform and responses between hosts delay the packets of flows: such a transfer
+	// takes all capacity that the flows leave.
 	bulkTransferShare = 0.3
-	// fullLinkHold is how long a full link counts: longer than a caller's first repeat
-	// and the check that follows it.
+	// fullLinkHold is how long a full link marks the path as slow: longer than a caller's
+	// first retransmission timeout and the probe that follows.
 	fullLinkHold = 600 * time.Millisecond
-	// packetOverheadBytes is what a packet takes on the link beside itself: the heads of
-	// IP, UDP and the frame.
+	// packetOverheadBytes is the size of the IP, UDP and frame headers of a packet.
 	packetOverheadBytes = 46
 )
 
-// path is what a host knows of the way between itself and everybody else.
+// path is the state of the network path between this host and all callers, targets and
+// hosts.
 //
-// What goes wrong without it: some uploads fill a small host's link, and packets wait
-// in it for longer than callers wait before they repeat them, and longer than a
-// liveness check takes. Every target looks silent, and the host resets flows whose
-// targets work. One notices by resets on hosts with small links only, of targets
-// which other hosts reach. So silence means nothing while the path is slow.
+// Without it: a few uploads fill a small host's link, and packets are queued in it for
+// longer than callers' retransmission timeouts and than a probe takes. Every target looks
+// unresponsive, and the host resets flows whose targets work. This shows as resets only on
+// hosts with small links, of targets that other hosts reach. So missing responses are no
+// evidence while the path is slow.
 type path struct {
-	// slowDeadline is until when silence means nothing.
+	// slowDeadline is until when the path counts as slow.
 	slowDeadline timekeeper.Instant
-	// windowDeadline is when received and sent start from zero again.
+	// windowDeadline is when receivedBytes and sentBytes restart from zero.
 	windowDeadline timekeeper.Instant
 	receivedBytes  int
 	sentBytes      int
-	// bulkFlows counts the flows that have sent much since then.
+	// bulkFlows counts the bulk flows in the current window.
 	bulkFlows int
-	// handshake is how long flows usually take to open.
+	// handshake estimates the median handshake time of flows.
 	handshake medianEstimator
 }
 
-// slow reports whether packets may wait on the path.
+// slow reports whether packets may be delayed on the path.
 func (p *path) slow(now timekeeper.Instant) bool { return !p.slowDeadline.Passed(now) }
 
-// recordHandshake learns from a flow's first packet after its opening packet. A copy of
-// that says that the first was lost, or its target silent, and nothing of the path.
+// recordHandshake records the handshake time of a flow from its first packet after the
+// opening packet. If the opening packet was sent again, the first one was lost or its
+// target unresponsive, and the time says nothing about the path.
 func (s *Steerer) recordHandshake(f *flow) {
 	if f.openingResent {
 		return
@@ -77,7 +82,7 @@
 	s.diagnoser.ObserveRoundTrip(f.target.AvailabilityZone, took)
 }
 
-// recordLinkBytes adds up what a packet puts on the host's link, which carries it in and
+// recordLinkBytes counts the bytes of a packet on the host's link, which carries it in and
 // out again.
 func (s *Steerer) recordLinkBytes(received, sent int) {
 	if s.config.LinkBytesPerSecond <= 0 {
@@ -100,12 +105,12 @@
 	}
 }
 
-// recordTransfers takes in what reads of the platform and answers between hosts have put
+// recordTransfers records what reads of the platform and responses between hosts have put
 // on the link since the last tick.
 //
-// What goes wrong without it: a host with a small link reads a large document of
-// settings. The answers of liveness checks wait behind it, targets that work look
-// silent, and their flows are reset.
+// Without this, when a host with a small link reads a large settings document, the
+// responses to its probes are queued behind it, working targets look unresponsive, and
+// their flows are reset.
 func (s *Steerer) recordTransfers(received, sent int) {
 	rate := float64(s.config.LinkBytesPerSecond)
 	if rate > 0 && float64(max(received, sent)) > rate*TickInterval.Seconds()*bulkTransferShare {
@@ -113,7 +118,7 @@
 	}
 }
 
-// recordBulkFlow counts the flows that send much at the same time.
+// recordBulkFlow counts the flows that send large requests at the same time.
 func (s *Steerer) recordBulkFlow(f *flow, p *Packet) {
 	if p.Length >= bulkPacketBytes && f.bulkWindow != s.path.windowDeadline {
 		f.bulkWindow = s.path.windowDeadline
@@ -121,7 +126,7 @@
 	}
 }
 
-// markPathSlow distrusts silence for a while.
+// markPathSlow marks the path as slow for the given time.
 func (s *Steerer) markPathSlow(cause string, took, hold time.Duration) {
 	if !s.path.slow(s.now) {
 		s.log("pathSlow", field("cause", cause), field("millis", formatMillis(took)))
--- a/core/steerer/pause.go
+++ b/core/steerer/pause.go
@@ -7,34 +7,35 @@
 )
 
 const (
-	// pauseThreshold is a gap between two ticks that shows that the process stood
-	// still; ticks come every 50 ms.
+	// pauseThreshold is the gap between two ticks above which the process counts as paused;
+	// ticks come every 50 ms.
 	pauseThreshold = 200 * time.Millisecond
-	// pauseGracePeriod is how long after a pause nothing is concluded from silence:
-	// longer than a liveness check and a caller's first repeat.
+	// pauseGracePeriod is how long after a pause missing responses are no evidence: longer
+	// than a probe and a caller's first retransmission timeout.
 	pauseGracePeriod = 600 * time.Millisecond
-	// stalePauseFactor times a route's timeout is how long a pause has to be for its packets
-	// to be taken for old. What came during the pause is on average half as old, and
-	// a third of it is of no use to anybody then.
+	// stalePauseFactor times a route's timeout is the pause from which its packets count as
+	// stale. Packets that came during the pause are on average half as old, and a third of
+	// them are then of no use to any caller.
 	stalePauseFactor = 1.5
-	// staleWindow is how long after such a pause packets are taken for old: the time in
-	// which a host reads what waits, some thousand packets. A caller whose packet was
-	// fresh repeats it after 200 ms, so a longer span costs more than it saves.
+	// staleWindow is how long after such a pause packets count as stale: the time in which
+	// a host reads the packets queued in its socket, a few thousand. A caller whose packet
+	// was not stale retransmits it after 200 ms, so a longer window costs more than it
+	// saves.
 	staleWindow = 20 * time.Millisecond
 )
 
-// pause notices that the process stood still.
+// pause detects that the process was paused.
 type pause struct {
 	lastTick timekeeper.Instant
-	// graceDeadline is until when silence means nothing, staleDeadline until when
-	// packets may have waited in the socket for as long as gap.
+	// graceDeadline is until when missing responses are no evidence; staleDeadline is until
+	// when packets may have waited in the socket for as long as duration.
 	graceDeadline timekeeper.Instant
 	staleDeadline timekeeper.Instant
 	duration      time.Duration
 }
 
-// detectPause keeps a host that stood still from blaming targets: their answers
-// were there, it only did not look.
+// detectPause detects a pause, so that this host does not suspect targets whose responses
+// it has not read yet.
 func (s *Steerer) detectPause() {
 	gap := s.now.Since(s.pause.lastTick)
 	s.diagnoser.ObserveLag(max(gap-TickInterval, 0), s.now)
@@ -47,15 +48,14 @@
 	s.pause.lastTick = s.now
 }
 
-// isStale reports whether a packet is likely to have waited in the host's socket, while it
-// stood still, for longer than its caller waits.
+// isStale reports whether a packet is likely to have waited in the socket of the paused
+// host for longer than its caller waits.
 //
-// What goes wrong if they are passed on: a host stands still for some seconds and wakes.
-// Its callers have been served by others meanwhile, or have given up. All that they
-// asked of it reaches the targets in one moment, and takes their slots for answers that
-// nobody waits for. One notices by targets that are full just after a host wakes, and by
-// requests that they run after their callers' deadlines. What a caller still waits for
-// it repeats.
+// Without this, when a host pauses for several seconds and resumes, its callers have been
+// served by other hosts meanwhile, or have given up. All their requests reach the targets
+// at once, and take slots for responses that no caller waits for. This shows as targets
+// that are full just after a host resumes, and as requests that run after their callers'
+// deadlines. A caller that still waits retransmits.
 func (s *Steerer) isStale(p *Packet) bool {
 	gap := s.now.Since(s.pause.lastTick)
 	if !s.pause.staleDeadline.Passed(s.now) {
--- a/core/steerer/service_load.go
+++ b/core/steerer/service_load.go
@@ -10,28 +10,29 @@
 )
 
 const (
-	// inFlightBaselineFactor times the usual is how long a request counts as under way, and
-	// minInFlightTimeout the least. A target's queue holds some four requests a slot, so that
-	// an answer takes five times the usual at the most. A target that resets a flow
-	// tells its caller alone; the host would count the request until its timeout.
+	// inFlightBaselineFactor times the baseline latency is how long a request counts as in
+	// flight, with minInFlightTimeout as the minimum. A target's queue holds about four
+	// requests per slot, so that a response takes at most five times the baseline. A target
+	// that resets a flow tells only its caller; without this limit the host would count the
+	// request until its timeout.
 	inFlightBaselineFactor = 8
 	minInFlightTimeout     = 200 * time.Millisecond
-	// defaultInFlightTimeout is used before anything is known of a route.
+	// defaultInFlightTimeout is used while the baseline latency of a route is unknown.
 	defaultInFlightTimeout = time.Second
 )
 
-// service is what a host knows of the load of a service.
+// service is the load of a service as seen by this host.
 type service struct {
 	name string
 	load pacer.Load
 	room capacityState
-	// inFlight counts the requests that this host has passed on, paced those that
-	// wait.
+	// inFlight counts the requests that this host has forwarded; paced counts those queued
+	// at it.
 	inFlight int
 	paced    int
 	trials   estimator.TrialLimiter
-	// queuingTargets are the targets at which requests wait, in the order in which the first
-	// of them came.
+	// queuingTargets holds the targets for which requests are queued, in the order in which
+	// the first request of each was queued.
 	queuingTargets []*target
 }
 
@@ -44,13 +45,13 @@
 	return v
 }
 
-// congested reports whether a service is asked for more than its targets can do.
+// congested reports whether the latency of a service shows queueing at its targets.
 func (s *Steerer) congested(name string) bool {
 	v, ok := s.services[name]
 	return ok && v.load.Congested()
 }
 
-// beginRequest counts a request that is passed on, first packet first.
+// beginRequest counts a request that is forwarded; first is its first packet.
 func (s *Steerer) beginRequest(key flowKey, f *flow, first []byte) {
 	s.setExpectedResponse(key, f)
 	s.setAwaitingResponse(f, true)
@@ -64,7 +65,7 @@
 	s.inFlight.add(flowTimer{key: key, since: s.now, deadline: s.now.Add(timeout)})
 }
 
-// endInFlight ends the count of a request.
+// endInFlight stops counting a request as in flight.
 func (f *flow) endInFlight() {
 	if f.inFlightAt != nil {
 		f.inFlightAt.inFlight--
@@ -72,7 +73,7 @@
 	}
 }
 
-// expireInFlight ends the count of requests whose answers nobody has seen.
+// expireInFlight stops counting requests whose responses this host has not seen.
 func (s *Steerer) expireInFlight() {
 	s.inFlight.expire(s.now, func(timer flowTimer) {
 		if f := s.flows[timer.key]; f != nil && f.awaitingResponse && f.requestStartedAt == timer.since {
@@ -81,12 +82,12 @@
 	})
 }
 
-// observeLoad learns from an answer how pressed its service is. An answer that came
-// too quickly for work says nothing of the time that work takes, and neither do answers
-// that were late because this host stood still, or because their target is slow.
+// observeLoad updates the congestion of a service from a response. Implausibly fast
+// responses say nothing about the time that requests take, and neither do responses that
+// were late because this host was paused or because their target is slow.
 //
-// What goes wrong if slow targets count: half of the targets of a service turn slow, the
-// service is pressed, and new flows are refused that the idle other half would serve.
+// Without leaving out slow targets, when half of a service's targets turn slow, the service
+// counts as congested, and new flows are refused that the idle other half would serve.
 func (s *Steerer) observeLoad(f *flow, took time.Duration) {
 	u, ok := s.baselines[f.route.Name]
 	if !ok || !u.known() || u.implausiblyFast(took) || !s.pause.graceDeadline.Passed(s.now) || s.targetOrZoneSlow(f.target) {
