--- a/core/steerer/connection_reservations.go
+++ b/core/steerer/connection_reservations.go
@@ -9,43 +9,47 @@
 )
 
 const (
-	// probeReserve are left free at each target, for liveness checks and for routes whose flows
-	// end soon.
+	// probeReserve is the number of connections left free at each target for probes and for
+	// routes with short-lived flows.
 	probeReserve = 1
-	// priorityReserveShare of a target's places is kept from each class of flows for those of
-	// higher priority: as many as come while a host's news is on its way.
+	// priorityReserveShare is the fraction of a target's connections that is reserved, at
+	// each priority level, for flows of higher priority: as many as are opened until a
+	// host's report arrives.
 	priorityReserveShare = 0.05
-	// shortLivedLimit is within what time of its opening packet a brief flow leaves its place: that
-	// of a request or two, and far less than flows idle.
+	// shortLivedLimit is the lifetime, from the opening packet, up to which a flow counts
+	// as short-lived: that of a request or two, and far less than the idle time of
+	// long-lived flows.
 	shortLivedLimit = 2 * time.Second
-	// shortLivedShare is the part of a route's flows that have to be brief for all to count so.
+	// shortLivedShare is the fraction of a route's flows above which all of them count as
+	// short-lived.
 	shortLivedShare = 0.5
-	// shortLivedReserveShare is the part of the flows asked for beyond which places are reserved for
-	// brief ones.
+	// shortLivedReserveShare is the fraction of short-lived flows among the requested ones
+	// above which connections are reserved for them.
 	shortLivedReserveShare = 0.1
-	// routeUsageDecay is the part of a route's counts that is kept from one look to the next, so
-	// that they tell of the last seconds.
+	// routeUsageDecay is the fraction of a route's counts that is kept from one check to
+	// the next, so that they reflect the last seconds.
 	routeUsageDecay = 0.95
-	// maxReserveDivisor bounds what is kept back: a quarter of the places, or one for checks
-	// where there are fewer than four.
+	// maxReserveDivisor limits the reservations at a target to a quarter of its
+	// connections, or to one for probes if it has fewer than four.
 	maxReserveDivisor = 4
 )
 
-// routeUsage is what a route's callers do with a service through this host.
+// routeUsage is the usage of a service by a route's callers through this host.
 type routeUsage struct {
 	priority int
-	// openFlows counts their flows that hold places.
+	// openFlows counts their flows that hold connections.
 	openFlows int
-	// requestedFlows counts the flows that they have asked for of late; it fades with each look, as
-	// the next two do.
+	// requestedFlows counts the flows requested recently. It decays with each check, as do
+	// the next two counts.
 	requestedFlows float64
-	// establishedFlows counts those that opened.
+	// establishedFlows counts the flows that were established.
 	establishedFlows float64
-	// shortLivedFlows counts those that opened and left their places within shortLivedLimit.
+	// shortLivedFlows counts the flows that were established and ended within
+	// shortLivedLimit.
 	shortLivedFlows float64
 }
 
-// countConnection counts a flow at its target until uncountConnection takes it back.
+// countConnection counts a flow at its target until uncountConnection undoes it.
 func (s *Steerer) countConnection(f *flow) {
 	if f.connectionCount != nil {
 		return
@@ -60,14 +64,14 @@
 	s.usageOf(f.target.Service, &f.route).openFlows++
 }
 
-// uncountConnection takes back what countConnection counted, if it has.
+// uncountConnection undoes countConnection if the flow is counted.
 func (s *Steerer) uncountConnection(f *flow) {
 	if f.connectionCount == nil {
 		return
 	}
 	switch {
 	case !f.established:
-		f.connectionCount.CancelOpened() // No place comes free: most likely it had none.
+		f.connectionCount.CancelOpened() // No connection becomes free: most likely the flow held none.
 	case f.placedHere:
 		f.connectionCount.RemoveOpened(s.now)
 	default:
@@ -75,14 +79,14 @@
 	}
 	f.connectionCount = nil
 	use := s.usageOf(f.target.Service, &f.route)
-	use.openFlows = max(use.openFlows-1, 0) // Flows are older than the bound, if it has just been set.
+	use.openFlows = max(use.openFlows-1, 0) // Flows may be older than the connection limit.
 	if f.established && s.now.Since(f.openingSentAt) < shortLivedLimit {
 		use.shortLivedFlows++
 	}
 }
 
-// usageOf is what a route's callers do with a service. Nothing is kept for services without a
-// bound: nobody asks, and routes come and go.
+// usageOf returns the usage of a service by a route. Nothing is kept for services without a
+// connection limit: it would not be used, and would accumulate as routes come and go.
 func (s *Steerer) usageOf(service string, route *Route) *routeUsage {
 	if s.settings.service(service).MaxConnections <= 0 {
 		return &s.connections.unlimitedUsage
@@ -101,12 +105,12 @@
 	return use
 }
 
-// limitFor is what a target of the service holds, as a flow of a route asks for it.
+// limitFor returns the connection limit that applies to the flows of a route.
 //
-// What goes wrong if all flows are alike: those that last collect at the targets until there
-// is room for nothing else, and callers with short flows, or with more urgent ones, find
-// every place taken by flows that idle. Short flows may use the place that is kept for
-// checks, since both leave it at once.
+// Without different limits, long-lived flows accumulate at the targets until all
+// connections are used, and callers with short-lived flows, or with a higher priority, find
+// every connection held by an idle flow. Short-lived flows may use the connection that is
+// reserved for probes, since both release it soon.
 func (v *constrainedService) limitFor(route *Route) limiter.FlowLimit {
 	if v.shortLivedRoutes[route.Name] {
 		return limiter.FlowLimit{MaxFlows: v.limit, ShortLived: true}
@@ -122,8 +126,8 @@
 	return limiter.FlowLimit{MaxFlows: v.limit, Reserved: min(probeReserve+rank*step, max(v.limit/maxReserveDivisor, probeReserve), v.limit-1)}
 }
 
-// classifyRoutes tells the routes whose flows last from those whose flows are brief, by what
-// this host's callers do.
+// classifyRoutes separates the routes with long-lived flows from those with short-lived
+// flows, by the flows of this host's callers.
 func (s *Steerer) classifyRoutes(v *constrainedService) {
 	v.shortLivedRoutes = map[string]bool{}
 	asked, brief := 0.0, 0.0
@@ -150,9 +154,9 @@
 	v.reserveForShortLived = brief > shortLivedReserveShare*asked
 }
 
-// shortLived reports whether most of a route's flows leave their places soon. It stays true while
-// none opens: what they did fades alike.
+// shortLived reports whether most of a route's flows end soon. The result does not change
+// while none is established, since both counts decay alike.
 func (u *routeUsage) shortLived() bool { return u.shortLivedFlows > shortLivedShare*u.establishedFlows }
 
-// unused reports whether a route's callers have not used a service of late.
+// unused reports whether a route's callers have not used a service recently.
 func (u *routeUsage) unused() bool { return u.openFlows == 0 && u.requestedFlows < 1 }
--- a/core/steerer/flow_reports.go
+++ b/core/steerer/flow_reports.go
@@ -10,25 +10,26 @@
 )
 
 const (
-	// maxReportedFlows bounds the targets of which one report tells, so that it fits a datagram.
+	// maxReportedFlows limits the targets with flow counts in one report, so that it fits a
+	// datagram.
 	maxReportedFlows = 120
-	// zoneFlowsTTL is how long what another zone tells of its targets counts: one of its
-	// hosts is heard each half second in a larger fleet.
+	// zoneFlowsTTL is how long another zone's report of its flows is valid: in a larger
+	// fleet one of its hosts is heard from every half second.
 	zoneFlowsTTL = 5 * time.Second
 )
 
-// remoteZoneFlows is what another zone tells of a service.
+// remoteZoneFlows is what another zone reports about a service.
 type remoteZoneFlows struct {
-	// mean is how many flows each of the zone's targets has on average.
+	// mean is the mean number of flows per target in the zone.
 	mean     int
 	deadline timekeeper.Instant
 }
 
 type zoneService struct{ zone, service string }
 
-// flowsForReport is how many flows this host has at each target, for a report to another host. One
-// of the own zone is told of all targets, any other of those in its zone. Services that have
-// plenty are left out.
+// flowsForReport returns how many flows this host has at each target, for a report to
+// another host. A host in the same zone receives the counts of all targets, any other those
+// of the targets in its zone. Services that are not constrained are left out.
 func (s *Steerer) flowsForReport(to *peer) map[uint32]uint16 {
 	if len(s.connections.constrained) == 0 || to.zone == "" {
 		return nil
@@ -40,8 +41,8 @@
 			tags = append(tags, uint32(t.tag))
 		}
 	}
-	// Those without flows are left out first, and each receiver has turns of its own: else
-	// some targets come only to some hosts.
+	// Targets without flows are left out first, and the counts rotate separately for each
+	// receiver. Without this, some targets would be reported only to some hosts.
 	targets := tags
 	tags = s.connections.limiter.UsedTargets(targets)
 	if len(tags) > maxReportedFlows {
@@ -50,18 +51,18 @@
 	}
 	flows := s.connections.limiter.LocalFlows(tags)
 	if len(flows) == 0 && len(targets) > 0 {
-		flows[targets[0]] = 0 // A host that tells nothing is taken to hold what others do.
+		flows[targets[0]] = 0 // A host that reports nothing is assumed to have as many flows as the others.
 	}
 	return flows
 }
 
-// addLocalZoneFlows tells a host of another zone how many flows the targets of this zone have on
-// average, of services that are short of connections. Where there are more than maxReportedDemands
-// of these, they take turns.
+// addLocalZoneFlows adds, to a report to another zone, the mean number of flows per target
+// in this zone for each constrained service. If there are more than maxReportedDemands of
+// these, they rotate.
 //
-// What goes wrong otherwise: a zone's targets are full, and its hosts send their callers to
-// another zone's, of which they know only their own flows. One notices by targets that turn
-// out to be full though believed to be empty.
+// Without this, when a zone's targets are full, its hosts send their callers to another
+// zone's targets, of which they know only their own flows. This shows as targets that turn
+// out to be full although they were estimated to be empty.
 func (s *Steerer) addLocalZoneFlows(r *messenger.Report) {
 	names := s.constrainedServiceNames()
 	c := &s.connections
@@ -82,7 +83,7 @@
 	}
 }
 
-// constrainedServiceNames lists the services that are short of connections, sorted.
+// constrainedServiceNames returns the sorted names of the constrained services.
 func (s *Steerer) constrainedServiceNames() []string {
 	var names []string
 	for name := range s.connections.constrained {
@@ -92,7 +93,7 @@
 	return names
 }
 
-// applyZoneFlows takes in what another zone tells of the flows at its targets.
+// applyZoneFlows applies what another zone reports about the flows at its targets.
 func (s *Steerer) applyZoneFlows(r *messenger.Report) {
 	if r.AvailabilityZone == s.config.AvailabilityZone {
 		return
@@ -106,7 +107,7 @@
 	}
 }
 
-// applyFlowReport takes in which flows another host has.
+// applyFlowReport applies the flow counts in another host's report.
 func (s *Steerer) applyFlowReport(p *peer, r *messenger.Report) {
 	s.applyZoneFlows(r)
 	if len(r.OpenFlows) == 0 {
--- a/core/steerer/sampling.go
+++ b/core/steerer/sampling.go
@@ -3,23 +3,24 @@
 import "cranberryspan.dev/core/estimator"
 
 const (
-	// minSampledTargets is how many targets of a service a zone has at least before a choice looks
-	// at a sample of them first.
+	// minSampledTargets is how many targets of a service the local zone must have for a
+	// placement to try a sample of them first.
 	minSampledTargets = 65
-	// sampleSize is how many targets a sample holds. Where half of all are busy, one in 65,000
-	// samples holds no idle one.
+	// sampleSize is the number of targets in a sample. If half of all targets are loaded,
+	// one in 65,000 samples contains no idle target.
 	sampleSize = 16
-	// sampleLoadMargin is by how much more than an idle target's the load of a sampled one may be,
-	// in requests a slot, for it to be taken: a tenth of what a caller waits for behind one
+	// sampleLoadMargin is how far the load of a sampled target may exceed that of an idle
+	// one, in requests per slot, for it to be chosen: a tenth of the delay behind one
 	// request.
 	sampleLoadMargin = 0.1
 )
 
-// chooseSampled picks one of a sample of the own zone's targets if it is nearly idle, so that
-// no other could be better by more than sampleLoadMargin; nil if all have to be looked at.
+// chooseSampled picks a nearly idle target from a sample of the local zone's targets, so
+// that no other target could be better by more than sampleLoadMargin; nil if all targets
+// have to be compared.
 //
-// Without it each new flow costs as much as its zone has targets of the service, most of
-// which are idle in a large fleet.
+// Without this, the cost of each new flow grows with the number of targets of the service
+// in its zone, most of which are idle in a large fleet.
 func (s *Steerer) chooseSampled(c *placement, views []zoneView, constraint *connectionConstraint) *target {
 	sameZone := s.targets.localCandidates(c.service)
 	if constraint != nil || len(sameZone) < minSampledTargets {
@@ -28,7 +29,7 @@
 	view := &views[sameZone[0].zone]
 	limit := view.idleTargetLoad() + sampleLoadMargin
 	if limit >= crossZonePenalty {
-		return nil // Another zone may be better.
+		return nil // A target in another zone may be better.
 	}
 	var best *target
 	bestLoad := limit
@@ -47,7 +48,8 @@
 	return best
 }
 
-// idleTargetLoad is the load of an idle target of the zone, if nothing is known against it.
+// idleTargetLoad returns the load of an idle target of the zone without penalties of its
+// own.
 func (v *zoneView) idleTargetLoad() float64 {
 	load := v.penalty()
 	if v.slowness > 0 {
@@ -56,7 +58,7 @@
 	return load
 }
 
-// splitMix64 turns a number into the next of a sequence that looks random (SplitMix64).
+// splitMix64 returns the next number of a pseudo-random sequence (SplitMix64).
 func splitMix64(state uint64) uint64 {
 	state += 0x9e3779b97f4a7c15
 	mixed := (state ^ state>>30) * 0xbf58476d1ce4e5b9
