--- a/core/steerer/forwarding.go
+++ b/core/steerer/forwarding.go
@@ -1,7 +1,7 @@
 package steerer
 
-// windowBytes is what a caller sends at most without acknowledgement: 16
-// packets of 1,200 bytes. Data beyond it shows that the target lives.
+// windowBytes is the maximum that a caller sends without an acknowledgement: 16 packets of
+// 1,200 bytes. Data beyond it shows that the target makes progress.
 const windowBytes = 16 * 1200
 
 func (s *Steerer) callerPacketReceived(p *Packet) {
@@ -20,7 +20,7 @@
 	s.forwardPacket(p)
 }
 
-// forwardPacket sends a packet to its target.
+// forwardPacket forwards a packet to its target.
 func (s *Steerer) forwardPacket(p *Packet) {
 	if p.isOpening() {
 		s.handleOpeningPacket(p)
@@ -29,7 +29,7 @@
 	s.handleLaterPacket(p)
 }
 
-// handleOpeningPacket chooses a target for a new flow, or for the copy of an opening
+// handleOpeningPacket chooses a target for a new flow, or for a retransmitted opening
 // packet.
 func (s *Steerer) handleOpeningPacket(p *Packet) {
 	key := flowKey{p.Caller, p.Service}
@@ -40,7 +40,7 @@
 	}
 	f := s.flows[key]
 	if f != nil && (f.established || f.closed) {
-		s.forgetFlow(key, f) // The caller uses the port for a new flow.
+		s.forgetFlow(key, f) // The caller reuses the port for a new flow.
 		f = nil
 	}
 	service := route.pickService(key.hash())
@@ -76,12 +76,12 @@
 	s.forward(to, to.tag, p.Data)
 }
 
-// chooseForOpening places a new flow, or the copy of an opening packet.
+// chooseForOpening chooses the target of a new flow, or of a retransmitted opening packet.
 //
-// What goes wrong if every copy goes where the first went: the target is silent
-// and the attempt ends after 1.4 s. If every copy goes elsewhere: the answer of
-// the first target was merely lost, and two targets believe in the flow. So a
-// copy goes elsewhere only if the first target has shown no life since.
+// If every retransmission went to the first target, an attempt at an unresponsive target
+// would fail after 1.4 s. If every one went to another target, a lost response of the first
+// target would leave the flow open at two targets. So a retransmission goes to another
+// target only if the first has made no progress since.
 func (s *Steerer) chooseForOpening(f *flow, c *placement) *target {
 	if f == nil {
 		return s.chooseTarget(*c)
@@ -94,7 +94,8 @@
 	return s.chooseTarget(*c)
 }
 
-// recordOpeningResent moves a flow that has not opened to another target.
+// recordOpeningResent records a retransmitted opening packet, and moves the half-open flow
+// if another target was chosen.
 func (s *Steerer) recordOpeningResent(f *flow, to *target) {
 	s.recordStall(f.target, "openingCopy", f.openingSentAt)
 	f.openingResent = true
@@ -105,7 +106,7 @@
 	}
 }
 
-// handleLaterPacket passes a packet on to the target that its tag names.
+// handleLaterPacket forwards a packet to the target that its tag identifies.
 func (s *Steerer) handleLaterPacket(p *Packet) {
 	key := flowKey{p.Caller, p.Service}
 	f := s.flows[key]
@@ -116,7 +117,7 @@
 	}
 	route, routed := s.settings.RouteAt(p.Service)
 	if !routed && s.removedRoutes[p.Service] {
-		// The flow's route was dropped; the caller should learn it at once.
+		// The flow's route was removed; the caller should learn of it at once.
 		if f != nil {
 			s.discardQueued(f)
 		}
@@ -150,7 +151,7 @@
 	}
 }
 
-// recordEstablished notes that a flow is open, and at which target.
+// recordEstablished records that a flow is established, and at which target.
 func (s *Steerer) recordEstablished(f *flow, to *target, p *Packet) {
 	f.lastPacket = s.now
 	if f.target != to {
@@ -173,8 +174,8 @@
 	s.recordProgress(to)
 }
 
-// observeData reads from a caller's packet whether its target works, and whether a request
-// begins. It reports whether the packet has to wait at this host.
+// observeData infers from a caller's packet whether the target makes progress, and whether
+// a request begins. It reports whether the packet is queued at this host.
 func (s *Steerer) observeData(key flowKey, f *flow, p *Packet) bool {
 	if sequenceAfter(p.Acknowledged, f.acknowledged) {
 		f.acknowledged = p.Acknowledged
@@ -212,7 +213,7 @@
 	return false
 }
 
-// responseStarted takes in that the caller has the beginning of an answer.
+// responseStarted handles a caller's acknowledgement of the beginning of a response.
 func (s *Steerer) responseStarted(f *flow) {
 	if !f.awaitingResponse {
 		return
@@ -226,17 +227,17 @@
 	s.forwardWithinWindow(s.service(f.target.Service))
 }
 
-// dropUnknownTag handles a packet whose target this host does not know.
+// dropUnknownTag drops a packet whose tag this host does not know.
 //
-// The target may be new and this host late, or it has ended. A guess would be
-// wrong either way: another target does not have the flow, and a reset breaks
-// it if the target lives. The caller repeats the packet.
+// Either the target is new and this host has not learned of it yet, or it has exited. Any
+// other action could be wrong: another target does not have the flow, and a reset breaks
+// the flow if the target is alive. The caller retransmits the packet.
 func (s *Steerer) dropUnknownTag(p *Packet) {
 	s.counts.add(DropUnknownTag)
 	s.log("packetDropped", field("flow", p.Caller.String()), field("reason", "unknownTarget"), field("tag", p.Tag.String()), field("targetsAgeMillis", s.targetsAge()))
 }
 
-// refuseFlow tells a caller at once that its flow can't open. Nothing has run.
+// refuseFlow tells a caller at once that its flow cannot be opened. No request has run.
 func (s *Steerer) refuseFlow(p *Packet, reason string, inputs ...Field) {
 	s.counts.add(Refused)
 	s.emit(&ResetFlow{Caller: p.Caller, Service: p.Service})
--- a/core/steerer/median.go
+++ b/core/steerer/median.go
@@ -7,45 +7,46 @@
 )
 
 const (
-	// minMedianSamples is how many answers of a route are needed to know what is usual.
+	// minMedianSamples is how many samples are needed before the median is known.
 	minMedianSamples = 20
-	// medianStep is how far each time moves what is taken for usual, as a part of it,
-	// once many have come; the first ones move it further. It comes to rest at the
-	// median. A crowd of a second or two, with a hundred late answers, must not make
-	// the ordinary ones after it look quick.
+	// medianStep is the fraction by which each sample moves the median once there are many
+	// samples; the first ones move it further. The estimate settles at the median. A load
+	// peak of one or two seconds, with a hundred late responses, must not make normal
+	// responses after it look implausibly fast.
 	medianStep = 0.003
-	// distortedMedianStep is that part while a service is asked for more than it can do, or if the
-	// target is slow: an overload of some seconds moves the estimate by a tenth at the most.
+	// distortedMedianStep is the step while a service is congested or the target is slow:
+	// an overload of several seconds moves the estimate by at most a tenth.
 	distortedMedianStep = medianStep / 10
-	// minMedian keeps the estimate from zero, from which no step leads away.
+	// minMedian keeps the estimate above zero, from which no relative step could raise it.
 	minMedian = 100 * time.Microsecond
 )
 
-// medianEstimator estimates the median of times that come one after another: until a
-// route's answers, or until flows open.
+// medianEstimator estimates the running median of durations: of the latency of a route's
+// responses, or of the handshakes of flows.
 type medianEstimator struct {
 	median time.Duration
-	// samples counts the times that came.
+	// samples counts the durations added.
 	samples int
-	// fromRequestEnd estimates the same from the end of a request on, for a route's answers; nil for
-	// other times.
+	// fromRequestEnd estimates the same for the time from the end of a request, for a
+	// route's responses; nil for other durations.
 	fromRequestEnd *medianEstimator
 }
 
-// known reports whether enough times have come to know what is usual.
+// known reports whether there are enough samples for the median to be known.
 func (u *medianEstimator) known() bool { return u.samples >= minMedianSamples }
 
-// implausiblyFast reports whether no work can have been done in a time.
+// implausiblyFast reports whether a response came too fast for the request to have been
+// processed.
 func (u *medianEstimator) implausiblyFast(took time.Duration) bool {
 	return u.known() && estimator.ImplausiblyFast(took, u.median)
 }
 
-// add takes in a time. One that came while targets were full or slow says less of what is
-// usual, but not nothing: work may have become slower for good. Until enough have come each
-// counts as much as any other.
+// add adds a sample. Samples taken while targets were full or slow have less weight, but
+// some: requests may have become slower permanently. Until there are enough samples, all
+// have the same weight.
 //
-// What goes wrong otherwise: a host starts in a crowd, its first answer has waited, and no
-// later one leads away from it for minutes.
+// Without this, when a host starts during a load peak, its first response is a queued one,
+// and later samples do not correct the estimate for minutes.
 func (u *medianEstimator) add(took time.Duration, doubtful bool) {
 	u.samples++
 	step := 1 + max(medianStep, 1/float64(u.samples))
--- a/core/steerer/steerer.go
+++ b/core/steerer/steerer.go
@@ -1,16 +1,16 @@
-// Package steerer takes every decision of a host that carries flows whose
-// targets answer callers directly. It is one pure function over events, like
-// package reducer for the CoAP edge: Reduce reads an event, changes the
-// steerer's own state, and returns what has to be done as data.
+// Package steerer makes all decisions of a host that forwards flows to targets which
+// respond to callers directly (direct server return). It is a pure function over events,
+// like package reducer for the CoAP edge: Reduce handles an event, changes the steerer's
+// own state, and returns the actions to be carried out as data.
 //
-// No host owns a flow. The first packet of a flow is stamped with a tag that
-// names its target, and both ends repeat the tag, so every host passes every
-// later packet on alike (steering.go). What hosts remember of flows only serves
-// to spread new ones (choosing.go) and to notice targets that fell silent
-// (health.go); losing it breaks nothing.
+// No host owns a flow. The opening packet of a flow is stamped with a tag that identifies
+// its target, and both ends repeat the tag, so every host forwards every later packet to
+// the same target (forwarding.go). The state that hosts keep of flows is used only to
+// balance new flows (target_selection.go) and to detect unresponsive targets (health.go);
+// losing it breaks no flow.
 //
-// Settings and targets come from the platform (reading.go) or from other hosts
-// (peers.go).
+// Settings and targets come from the platform (platformread.go) or from other hosts
+// (peersync.go).
 package steerer
 
 import (
@@ -30,13 +30,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// TickInterval is how often a host sends Tick events. Stalls are noticed from
-// packets; ticks only drive reads, reports and forgetting.
+// TickInterval is the interval between Tick events. Stalls are detected from packets; ticks
+// only drive reads, reports and the expiry of state.
 const TickInterval = 50 * time.Millisecond
 
 // Config is what a steerer needs to know of its host.
 type Config struct {
-	// Self is the host's name, Address where other hosts reach it.
+	// Self is the host's name, Address the address at which other hosts reach it.
 	Self             string
 	Address          netip.AddrPort
 	AvailabilityZone string
@@ -46,26 +46,28 @@
 	Incarnation uint64
 	// Seed makes every random choice repeatable.
 	Seed uint64
-	// Bootstrap says that the whole fleet starts for the first time, before any
+	// Bootstrap reports whether the whole fleet starts for the first time, before any
 	// traffic.
 	Bootstrap bool
-	// SettingsPropagationLimit and DrainingPropagationLimit are the times within which this host has to
-	// know new settings, and targets that drain.
+	// SettingsPropagationLimit and DrainingPropagationLimit are the times within which this
+	// host has to learn of new settings and of draining targets.
 	SettingsPropagationLimit time.Duration
 	DrainingPropagationLimit time.Duration
-	// EvacuationPropagationLimit is the same for orders to evacuate a zone; 0 is as for settings.
+	// EvacuationPropagationLimit is the same for orders to evacuate a zone; 0 means as for
+	// settings.
 	EvacuationPropagationLimit time.Duration
 	// Regions gives the region of each availability zone.
 	Regions map[string]string
-	// ColdBurstFactor times what cold targets bear for long, and ColdBurstAllowance more, is what
-	// they bear in any one second.
+	// A cold target sustains ColdBurstFactor times its long-term rate limit, plus
+	// ColdBurstAllowance, in any one second.
 	ColdBurstFactor    float64
 	ColdBurstAllowance float64
-	// Quotas bound the requests of some callers.
+	// Quotas limit the requests of some callers.
 	Quotas []throttler.Quota
-	// MaxFlows bounds the flows that are remembered.
+	// MaxFlows limits the size of the flow table.
 	MaxFlows int
-	// LinkBytesPerSecond is what the host's link carries each way; 0 if unknown.
+	// LinkBytesPerSecond is the capacity of the host's link in each direction; 0 if
+	// unknown.
 	LinkBytesPerSecond int
 	Start              timekeeper.Instant
 }
@@ -78,70 +80,72 @@
 
 	settings *Settings
 	document []byte
-	// settingsFrom is where they came from: fromPlatform, or a host's name.
+	// settingsFrom is the source of the settings: fromPlatform, or a host's name.
 	settingsFrom string
-	// removedRoutes names the addresses of routes that a later version dropped.
+	// removedRoutes holds the addresses of routes that a later version removed.
 	removedRoutes map[netip.AddrPort]bool
 
-	// evacuator keeps the orders to evacuate zones, warmer this host's tickets for cold
-	// targets.
+	// evacuator holds the orders to evacuate zones; warmer holds this host's tickets for
+	// cold targets.
 	evacuator *evacuator.Evacuator
 	warmer    *warmer.Warmer
-	// diagnoser says how long silence has to last, and which zones have fallen silent.
+	// diagnoser determines response timeouts, and which zones are suspect.
 	diagnoser *diagnoser.Diagnoser
-	// throttler keeps what callers ask, and their quotas.
+	// throttler tracks the demand of callers and their quotas.
 	throttler *throttler.Throttler
 
 	targets targetTable
-	// targetsPosition is the newest position of the platform's history that is reflected
-	// in targets.
+	// targetsPosition is the newest position in the platform's history that targets
+	// reflects.
 	targetsPosition sequencer.Position
-	// targetSweepDeadline is when all targets are next looked at.
+	// targetSweepDeadline is the time of the next sweep over all targets.
 	targetSweepDeadline timekeeper.Instant
-	// loggedMalformed holds the digests of entries that name no target and were logged.
+	// loggedMalformed holds the digests of malformed entries that were logged.
 	loggedMalformed map[uint64]bool
 
 	flows map[flowKey]*flow
-	// flowSweepDeadline is when forgotten flows are next looked for.
+	// flowSweepDeadline is the time of the next sweep for expired flows.
 	flowSweepDeadline timekeeper.Instant
-	// awaitedOpenings are flows that should have opened within a round trip, opening those that
-	// should have opened, or sent a copy, by the time of a caller's repeat.
+	// awaitedOpenings holds the timers of flows that should be established within a round
+	// trip; overdueOpenings holds those of flows that were not, and that should be
+	// established or retransmitted by the caller's retransmission timeout.
 	awaitedOpenings flowTimers
 	overdueOpenings flowTimers
-	// heldPackets are packets that came before this host knew where packets go.
+	// heldPackets are packets that came before this host was ready.
 	heldPackets []heldPacket
 	reading     platformReads
 	asking      peerSync
 	peers       peers
 	pause       pause
 	path        path
-	// baselines holds the usual time until an answer, by route.
+	// baselines holds the baseline latency of each route, by route name.
 	baselines map[string]*medianEstimator
-	// services holds the load of each service, paced counts the requests that wait at
-	// this host, and underWay lists those that were passed on, the oldest first.
+	// services holds the load of each service; paced counts the requests queued at this
+	// host; inFlight holds the timers of the forwarded requests, the oldest first.
 	services map[string]*service
 	reach    peerVisibility
 	paced    int
 	inFlight flowTimers
 	leaving  shutdown
-	// estimating is how fast targets are.
+	// estimating holds the slowdown estimates of targets and zones.
 	estimating slowdownEstimates
-	// connections is what is known of the flows at targets that hold only so many.
+	// connections holds the state of services whose targets have a connection limit.
 	connections connectionState
 
 	effects   []Effect
 	forwards  []ForwardPacket
 	zoneViews []zoneView
 	counts    Counters
-	// ownReport is what reports of the present event tell of the targets.
+	// ownReport caches what this host's reports say about targets; it is valid during one
+	// event.
 	ownReport targetObservations
 	// selfHash is the hash of this host's name.
 	selfHash uint64
 }
 
-// New makes the steerer of a host that has just started and knows nothing.
+// New returns the steerer of a host that has just started, without any state.
 func New(config Config) *Steerer {
-	// Hosts that start in the same moment with the same seed must not choose alike.
+	// Hosts that start at the same time with the same seed must not make the same choices.
 	own := xxhash.Sum64String(config.Self)
 	s := &Steerer{
 		config:        config,
@@ -174,8 +178,8 @@
 	return s
 }
 
-// Reduce takes in one event and returns what has to be done. The effects and
-// what they point to are valid until the next call.
+// Reduce handles an event and returns the actions to be carried out. The effects and what
+// they point to are valid until the next call.
 func (s *Steerer) Reduce(event Event) []Effect {
 	clear(s.effects)
 	s.effects = s.effects[:0]
@@ -207,8 +211,8 @@
 	return s.effects
 }
 
-// advanceClock moves time forward; it never goes back, even if events were stamped
-// out of order.
+// advanceClock moves time forward. It never goes back, even if events were stamped out of
+// order.
 func (s *Steerer) advanceClock(at timekeeper.Instant) { s.now = max(s.now, at) }
 
 func (s *Steerer) tick() {
@@ -240,8 +244,7 @@
 	s.emit(&s.forwards[len(s.forwards)-1])
 }
 
-// Ready reports whether the host can place new flows and the fabric should
-// hand it packets.
+// Ready reports whether the host can place new flows and the fabric should hand it packets.
 func (s *Steerer) Ready() bool {
 	return s.canRoute() && !s.leaving.started && !s.waitsForZone()
 }
--- a/core/steerer/target_table.go
+++ b/core/steerer/target_table.go
@@ -9,31 +9,33 @@
 type targetTable struct {
 	byID  map[string]*target
 	byTag map[Tag]*target
-	// byService lists, for each service, the targets that new flows may go to: those
-	// that hold their tag.
+	// byService holds the candidates for new flows of each service: the targets that own
+	// their tag.
 	byService map[string][]*target
-	// tagless are targets whose tag another one holds.
+	// tagless holds the targets whose tag is owned by another target.
 	tagless []*target
-	// sameZone is the availability zone whose targets stand first in each list of byService.
+	// sameZone is the local availability zone, whose targets come first in each list of
+	// byService.
 	sameZone string
-	// zones are the availability zones of targets that were ever listed; see target.zone.
+	// zones holds the availability zones of all targets ever listed; see target.zone.
 	zones []string
-	// sorted is byID in the order of IDs.
+	// sorted holds the targets of byID in the order of their IDs.
 	sorted []*target
 	// digestSum is the sum of the digests of all targets.
 	digestSum uint64
-	// slots adds up the slots of each service's choices; uncounted are the targets whose part
-	// in it may have changed.
+	// slots holds the sum of the slots of each service's candidates; slotsStale holds the
+	// targets whose contribution may have changed.
 	slots      map[string]*slotTotals
 	slotsStale []*target
-	// inUse are the targets that have flows or were found silent, or failing, of late; gone are
-	// those that are no longer listed. Both in the order in which they became so.
+	// inUse holds the targets that have flows or were recently unreachable or failing; gone
+	// holds those that are no longer listed. Both are in the order in which the targets
+	// were added.
 	inUse []*target
 	gone  []*target
-	// history is what became of targets of late.
+	// history holds the recent changes of targets.
 	history history
-	// entriesVisited counts the entries of the lists handed out: what events cost that go through
-	// them.
+	// entriesVisited counts the entries of the lists that were returned, as a measure of
+	// the cost of events that iterate over them.
 	entriesVisited uint64
 }
 
@@ -41,8 +43,9 @@
 	return targetTable{byID: map[string]*target{}, byTag: map[Tag]*target{}, byService: map[string][]*target{}, slots: map[string]*slotTotals{}, sameZone: near}
 }
 
-// upsert adds a target or changes its record; recordState has to follow. It reports whether
-// another target already has its tag; such a target can't be told apart in packets.
+// upsert adds a target or replaces its record; recordState has to be called afterwards. It
+// reports whether another target already owns its tag; such a target cannot be addressed in
+// packets.
 func (t *targetTable) upsert(record Target) (*target, bool) {
 	one, known := t.byID[record.ID]
 	if !known {
@@ -51,14 +54,14 @@
 		t.sorted = slices.Insert(t.sorted, t.sortedIndex(record.ID), one)
 	}
 	if one.AvailabilityZone != record.AvailabilityZone {
-		t.listUnder(one, "") // Its place in the list depends on its zone.
+		t.listUnder(one, "") // Its position in the list depends on its zone.
 	}
 	one.Target = record
 	one.zone = t.zoneIndex(record.AvailabilityZone)
 	return one, !t.claimTag(one)
 }
 
-// zoneIndex returns the place of a zone in zones.
+// zoneIndex returns the index of a zone in zones, and adds the zone if it is new.
 func (t *targetTable) zoneIndex(zone string) int {
 	at := slices.Index(t.zones, zone)
 	if at < 0 {
@@ -68,12 +71,12 @@
 	return at
 }
 
-// claimTag makes a target the one that its tag names, unless another that is listed
-// has the tag already. It reports whether the target holds it.
+// claimTag makes a target the owner of its tag unless another listed target owns it. It
+// reports whether the target owns it now.
 //
-// What goes wrong if a target without its tag, or one that has changed its service,
-// stays among the choices: a flow is placed on it, and the flow's later packets go to
-// the tag's holder, or it runs what another service was asked.
+// Without this, if a target without its tag, or one that has changed its service, remained
+// a candidate, a flow placed on it would have its later packets sent to the tag's owner, or
+// it would run requests of another service.
 func (t *targetTable) claimTag(one *target) bool {
 	if holder := t.byTag[one.tag]; holder != nil && holder != one {
 		if !holder.missing {
@@ -88,7 +91,7 @@
 	return true
 }
 
-// awaitTag notes that another target holds a target's tag.
+// awaitTag records that another target owns a target's tag.
 func (t *targetTable) awaitTag(one *target) {
 	if !slices.Contains(t.tagless, one) {
 		t.tagless = append(t.tagless, one)
@@ -111,7 +114,8 @@
 	}
 }
 
-// listUnder moves a target to the choices of a service, or takes it out of all.
+// listUnder moves a target to the candidates of a service, or removes it from all if
+// service is empty.
 func (t *targetTable) listUnder(one *target, service string) {
 	if one.listedUnder == service {
 		return
@@ -128,7 +132,8 @@
 	one.listedUnder = service
 }
 
-// insertCandidate adds a target to the choices of a service, behind those of the near zone.
+// insertCandidate adds a target to the candidates of a service, with those of the local
+// zone first.
 func (t *targetTable) insertCandidate(choices []*target, one *target) []*target {
 	if one.AvailabilityZone != t.sameZone {
 		return append(choices, one)
@@ -140,7 +145,7 @@
 	return slices.Insert(choices, firstRemote, one)
 }
 
-// remove forgets a target.
+// remove removes a target from the table.
 func (t *targetTable) remove(gone *target) {
 	t.sorted = slices.Delete(t.sorted, t.sortedIndex(gone.ID), t.sortedIndex(gone.ID)+1)
 	t.listUnder(gone, "")
@@ -156,19 +161,21 @@
 	}
 }
 
-// sortedIndex is where a target with an ID stands in sorted, or would stand.
+// sortedIndex returns the index in sorted of the target with the given ID, or the index at
+// which it would be inserted.
 func (t *targetTable) sortedIndex(id string) int {
 	at, _ := slices.BinarySearchFunc(t.sorted, id, func(one *target, id string) int { return strings.Compare(one.ID, id) })
 	return at
 }
 
-// ordered lists all targets by ID, so that equal events give equal effects.
+// ordered returns all targets in the order of their IDs, so that the same events give the
+// same effects.
 func (t *targetTable) ordered() []*target {
 	t.entriesVisited += uint64(len(t.sorted))
 	return t.sorted
 }
 
-// localCandidates lists the targets of a service in the near zone that new flows may go to.
+// localCandidates returns the candidates of a service in the local zone.
 func (t *targetTable) localCandidates(service string) []*target {
 	list := t.byService[service]
 	count, _ := slices.BinarySearchFunc(list, true, func(one *target, _ bool) int {
@@ -180,8 +187,7 @@
 	return list[:count]
 }
 
-// candidates lists the targets of a service that new flows may go to, those of the near zone
-// first.
+// candidates returns the candidates of a service, those of the local zone first.
 func (t *targetTable) candidates(service string) []*target {
 	list := t.byService[service]
 	t.entriesVisited += uint64(len(list))
--- a/core/steerer/targets_in_use.go
+++ b/core/steerer/targets_in_use.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// markInUse has a target looked at that has a flow, or was found silent.
+// markInUse adds a target that has a flow, or was found unreachable, to the targets in use.
 func (t *targetTable) markInUse(one *target) {
 	if !one.inUse {
 		one.inUse = true
@@ -10,7 +10,7 @@
 	}
 }
 
-// markGone has a target looked at that is no longer listed.
+// markGone adds a target that is no longer listed to the missing targets.
 func (t *targetTable) markGone(one *target) {
 	if !one.gone {
 		one.gone = true
@@ -18,13 +18,14 @@
 	}
 }
 
-// targetsInUse lists the targets of which this host may have something to tell or to do.
+// targetsInUse returns the targets that this host may have to report or act on.
 func (s *Steerer) targetsInUse() []*target {
 	s.targets.entriesVisited += uint64(len(s.targets.inUse))
 	return s.targets.inUse
 }
 
-// removeUnusedFromInUse takes out targets of which there is nothing to tell or do any more.
+// removeUnusedFromInUse removes targets that need no report or action any more from the
+// targets in use.
 func (s *Steerer) removeUnusedFromInUse() {
 	s.targets.inUse = slices.DeleteFunc(s.targetsInUse(), func(t *target) bool {
 		t.inUse = t.flows > 0 || t.health.unreachable() || s.recentFastFailures(t)
@@ -32,8 +33,8 @@
 	})
 }
 
-// removeExpiredTargets forgets targets that no flow can name any more, and takes out those that are
-// listed again.
+// removeExpiredTargets removes missing targets that no flow can refer to any more, and
+// takes those that are listed again out of the missing targets.
 func (s *Steerer) removeExpiredTargets() {
 	s.targets.entriesVisited += uint64(len(s.targets.gone))
 	s.targets.gone = slices.DeleteFunc(s.targets.gone, func(t *target) bool {
