--- a/core/steerer/connection_limits_internal_test.go
+++ b/core/steerer/connection_limits_internal_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Failure: several times a second a host looks at each of its targets for whether they run
-// out of connections, though hardly any is used.
+// Guards against a host scanning all its targets for scarce connections several times a
+// second while hardly any are used.
 func TestTargetsAreNotScannedWhenConnectionsAreNotScarce(t *testing.T) {
 	s := hostWithTargets(12_000)
 	s.settings = NewSettings(2, nil, []Service{{Name: "ledger", MaxConnections: 2000}}, 15*time.Second)
@@ -24,8 +24,8 @@
 	require.Empty(t, s.connections.constrained)
 }
 
-// Failure: a service that runs out of connections goes unnoticed because its targets are not
-// looked at.
+// Guards against a service running out of connections unnoticed because its targets are not
+// scanned.
 func TestServiceRunningOutOfConnectionsIsScanned(t *testing.T) {
 	s := hostWithTargets(100)
 	s.settings = NewSettings(2, nil, []Service{{Name: "ledger", MaxConnections: 3}}, 15*time.Second)
@@ -35,7 +35,8 @@
 	require.Contains(t, s.connections.constrained, "ledger")
 }
 
-// openFlows has flows at the targets of ledger, one at each by turns.
+// openFlows adds established flows at the targets of the ledger service, in round-robin
+// order.
 func (s *Steerer) openFlows(t *testing.T, count int) {
 	t.Helper()
 	all := s.targets.byService["ledger"]
--- a/core/steerer/connection_limits_test.go
+++ b/core/steerer/connection_limits_test.go
@@ -10,38 +10,40 @@
 	"github.com/stretchr/testify/require"
 )
 
-// limitedFleet is a fleet before targets that hold a bounded number of flows. A target that is
-// full says nothing to an opening packet, and cuts checks short.
+// limitedFleet is a fleet in front of targets with a connection limit. A full target does
+// not respond to opening packets, and closes the connections of probes at once.
 type limitedFleet struct {
 	*fleet
 	limit int
-	// held counts the flows at each target, open lists their callers.
+	// held counts the flows at each target; openFlows lists the open flows.
 	held       map[string]int
 	openFlows  []*hostedFlow
 	nextCaller int
-	// attempts counts the openings, late those that had not opened after the repeat of their
-	// callers, refused those that were reset.
+	// attempts counts the flows requested, timedOut those that were not established after
+	// the caller's last retransmission, refused those that were reset.
 	attempts int
 	timedOut int
 	refused  int
-	// retransmissions counts the copies that callers had to send.
+	// retransmissions counts the opening packets that callers had to retransmit.
 	retransmissions int
 }
 
-// hostedFlow is a flow and the host through which it goes.
+// hostedFlow is a flow and the host through which it is sent.
 type hostedFlow struct {
 	*caller
 	host string
 }
 
-// newLimitedFleet starts hosts before the usual six targets of the ledger, three zones or fewer.
+// newLimitedFleet starts hosts in up to three zones, in front of the six default targets of
+// the ledger service.
 func newLimitedFleet(t tester, bound int, hostsByZone ...int) *limitedFleet {
 	s := &limitedFleet{fleet: newFleet(t, hostsByZone...), held: map[string]int{}}
 	s.publish(2, bound)
 	return s
 }
 
-// publish changes how many flows a target holds. Checks go before reads.
+// publish changes the connection limit of the targets. The check route has a higher
+// priority than the read route.
 func (s *limitedFleet) publish(version uint64, bound int) {
 	s.limit = bound
 	routes := routes()
@@ -50,8 +52,8 @@
 	s.step(4 * time.Second)
 }
 
-// openFlow lets a caller open a flow through a host, and repeat its opening packet once. It
-// reports whether the flow opened.
+// openFlow lets a caller open a flow through a host, with up to two retransmissions of its
+// opening packet. It reports whether the flow was established.
 func (s *limitedFleet) openFlow(host string, urgent bool) bool {
 	s.t.Helper()
 	s.nextCaller++
@@ -90,13 +92,14 @@
 
 func (s *limitedFleet) accepts(c *caller) bool { return c.target != "" && s.held[c.target] < s.limit }
 
-// waitForRetransmit lets time pass until a caller's repeat, or until its opening packet was sent on.
+// waitForRetransmit advances time to a caller's retransmission timeout, or until its
+// opening packet is redispatched.
 func (s *limitedFleet) waitForRetransmit(c *caller, host string) {
 	resets := len(s.hosts[host].resets)
 	for range 4 {
 		before := len(s.hosts[host].sent)
 		s.step(10 * time.Millisecond)
-		s.keepFlowsActive() // Targets that are full work.
+		s.keepFlowsActive() // Full targets still respond on their open flows.
 		s.step(steerer.TickInterval - 10*time.Millisecond)
 		for _, one := range s.hosts[host].sent[before:] {
 			if one.flow == c.address.String() && one.tag != 0 {
@@ -109,7 +112,7 @@
 	}
 }
 
-// updateProbeOutcomes says how checks of each target end.
+// updateProbeOutcomes sets the outcome of probes of each target.
 func (s *limitedFleet) updateProbeOutcomes() {
 	for id := range s.targets {
 		delete(s.probeOutcomes, id)
@@ -119,7 +122,7 @@
 	}
 }
 
-// endFlow ends a flow; silently if its caller goes without a word.
+// endFlow ends a flow; with silently set, the caller sends no packet that ends it.
 func (s *limitedFleet) endFlow(at int, silently bool) {
 	v := s.openFlows[at]
 	s.openFlows = append(s.openFlows[:at], s.openFlows[at+1:]...)
@@ -130,7 +133,7 @@
 	s.updateProbeOutcomes()
 }
 
-// keepFlowsActive lets each flow ask something, so that none counts as idle.
+// keepFlowsActive sends a request on each flow, so that none counts as idle.
 func (s *limitedFleet) keepFlowsActive() {
 	for _, v := range s.openFlows {
 		v.sendRequest(v.host)
@@ -148,7 +151,8 @@
 	return count
 }
 
-// flowRange is the least and the most that a target of the ledger holds.
+// flowRange returns the minimum and maximum number of flows at a target of the ledger
+// service.
 func (s *limitedFleet) flowRange() (least, most int) {
 	least = s.limit
 	for id := range s.targets {
@@ -159,8 +163,8 @@
 	return least, most
 }
 
-// Load: as many flows as fill three quarters of all places, over three hosts that hear each
-// other. All open at once, at targets that are even.
+// Flows that use three quarters of all connections, opened through three connected hosts,
+// are all established at once and spread evenly over the targets.
 func TestFlowsAreBalancedWhenConnectionsAreScarce(t *testing.T) {
 	s := newLimitedFleet(t, 20, 3)
 	for n := range 90 {
@@ -173,8 +177,9 @@
 	require.Equal(t, 1, s.countLogged("a1", "connectionsTight"))
 }
 
-// Load: one request under way at each target but one. New flows go where nobody waits, but
-// not until that target is full: whoever comes next would find it so.
+// Guards against filling the only idle target: when every other target has a request in
+// flight, new flows go to the idle one, but not until it is full, since the next caller
+// would find it full.
 func TestIdleTargetIsNotFilledToItsConnectionLimit(t *testing.T) {
 	s := newLimitedFleet(t, 20, 1)
 	for range 66 {
@@ -195,8 +200,9 @@
 	require.Less(t, s.held["i-10000001"], 18, "%v", s.held)
 }
 
-// Load: more flows than all targets hold. Symptom: callers wait until they give up. Cause:
-// a full target says nothing. The host knows that all are full, and says so at once.
+// Guards against callers that wait until they give up: when more flows are opened than all
+// targets can hold, a full target does not respond, so the host, which knows that all are
+// full, refuses at once.
 func TestFlowsAreRefusedImmediatelyWhenAllTargetsAreFull(t *testing.T) {
 	s := newLimitedFleet(t, 20, 2)
 	for n := range 200 {
@@ -215,10 +221,11 @@
 		s.endFlow(0, false)
 	}
 	s.step(time.Second)
-	require.True(t, s.openFlow("a1", true), "places that are left are used again")
+	require.True(t, s.openFlow("a1", true), "connections that are released are used again")
 }
 
-// Load: reads fill what they may, then checks, which go first, are asked for.
+// Guards against callers of the check route, which has a higher priority, being refused
+// after callers of the read route have used all connections that they may.
 func TestConnectionsAreReservedForHigherPriority(t *testing.T) {
 	s := newLimitedFleet(t, 40, 1)
 	for range 3 {
@@ -232,20 +239,21 @@
 			s.keepFlowsActive()
 		}
 	}
-	require.Positive(t, s.refused, "reads fill what they may")
+	require.Positive(t, s.refused, "reads use all connections that they may")
 	opened := 0
 	for range 10 {
 		if s.openFlow("a1", true) {
 			opened++
 		}
 	}
-	require.Equal(t, 10, opened, "checks find room")
+	require.Equal(t, 10, opened, "checks are admitted")
 	require.False(t, s.openFlow("a1", false))
 }
 
-// Symptom: callers wait for their own repeat, 200 ms, at targets that work. Sequence: hosts
-// that this one does not hear have filled a target; its siblings have room. Cause: it shows
-// life on its open flows, so nobody looks for what it does with new ones.
+// Guards against callers waiting for their retransmission timeout, 200 ms, at working
+// targets: when hosts that this one does not hear from have filled a target while others
+// have connections available, the target makes progress on its open flows, so the host must
+// probe what it does with new ones.
 func TestFullTargetIsNotTreatedAsUnreachable(t *testing.T) {
 	s := newLimitedFleet(t, 20, 1)
 	for range 60 {
@@ -253,21 +261,21 @@
 		s.step(steerer.TickInterval)
 	}
 	const full = "i-10000001"
-	s.held[full] = s.limit // Flows of hosts that are not heard.
+	s.held[full] = s.limit // Flows of hosts that send no reports.
 	s.updateProbeOutcomes()
 	for range 30 {
 		require.True(t, s.openFlow("a1", false))
 		s.step(steerer.TickInterval)
 	}
-	require.Equal(t, 1, s.retransmissions, "that of the first alone, which the target might have taken")
+	require.Equal(t, 1, s.retransmissions, "only that of the first caller, whose flow the target might have accepted")
 	require.Zero(t, s.timedOut+s.refused)
 	require.Zero(t, s.countLogged("a1", "targetUnreachable"))
 	require.Zero(t, s.countLogged("a1", "flowReset"))
 }
 
-// Symptom: some callers still wait for their repeats at a target that was found full.
-// Sequence: a flow of this host ends there, and another host takes the place first. Cause: a
-// target may be checked once a second only, unless it was found full.
+// Guards against callers waiting for their retransmission timeouts at a target that was
+// found full: when a flow of this host ends there and another host uses the connection
+// first, the target may be probed again at once, not only once a second.
 func TestTargetRecentlyFoundFullIsReprobedImmediately(t *testing.T) {
 	s := newLimitedFleet(t, 20, 1)
 	for range 60 {
@@ -291,12 +299,12 @@
 		s.updateProbeOutcomes()
 		require.True(t, s.openFlow("a1", false))
 	}
-	require.Equal(t, 1, s.retransmissions, "that of the first alone")
-	require.Positive(t, s.countLogged("a1", "flowSentOn"), "the host sends it on before its caller repeats it")
+	require.Equal(t, 1, s.retransmissions, "only that of the first caller")
+	require.Positive(t, s.countLogged("a1", "flowSentOn"), "the host redispatches it before its caller retransmits it")
 }
 
-// Symptom: flows are refused although targets are half empty. Sequence: callers lose power
-// and end without a word. Cause: their flows count for good. They end with the idle time.
+// Guards against flows being refused at half-empty targets: when callers lose power and end
+// without a packet, their flows stop counting after the idle timeout.
 func TestFlowsThatEndWithoutAPacketExpire(t *testing.T) {
 	s := newLimitedFleet(t, 20, 1)
 	for range 130 {
@@ -307,7 +315,7 @@
 	for range 60 {
 		s.endFlow(0, true)
 	}
-	require.False(t, s.openFlow("a1", true), "nobody knows yet")
+	require.False(t, s.openFlow("a1", true), "no host knows yet")
 	for range 17 {
 		s.keepFlowsActive()
 		s.step(time.Second)
@@ -315,9 +323,9 @@
 	require.True(t, s.openFlow("a1", true))
 }
 
-// Load: all callers come through one host, and fill all places; then some come through
-// another. Symptom: these meet full targets one after the other. Cause: what a host has
-// itself is taken for what each has.
+// Guards against finding full targets one after the other: when all callers have used up
+// the connections through one host and new ones come through another, that host must not
+// assume that its own flows are typical of all hosts.
 func TestHostsShareFlowCounts(t *testing.T) {
 	s := newLimitedFleet(t, 20, 2)
 	for range 130 {
@@ -326,7 +334,7 @@
 	}
 	s.step(time.Second)
 	free := 6*19 - len(s.openFlows)
-	require.Less(t, free, 6*20/10, "the first host uses what the second has no callers for")
+	require.Less(t, free, 6*20/10, "the first host uses the connections that the second has no callers for")
 	s.refused = 0
 	probes := s.probes
 	for range 20 {
@@ -336,12 +344,12 @@
 	}
 	require.GreaterOrEqual(t, s.refused, 20-free)
 	require.Zero(t, s.retransmissions)
-	require.Equal(t, probes, s.probes, "nobody has to try what is full")
+	require.Equal(t, probes, s.probes, "no full target has to be probed")
 }
 
-// Load: a zone's callers fill its targets, then the other zone's callers ask for more than
-// theirs hold. Symptom: these meet one full target after the other across the zones. Cause:
-// a host knows only its own flows at another zone's targets.
+// Guards against finding full targets one after the other in another zone: when a zone's
+// callers have filled its targets and the callers of another zone need more than theirs can
+// hold, a host must know more than its own flows at the other zone's targets.
 func TestZonesShareFlowCounts(t *testing.T) {
 	s := newLimitedFleet(t, 20, 1, 1)
 	for range 60 {
@@ -361,9 +369,9 @@
 	require.LessOrEqual(t, s.probes-probes, 3)
 }
 
-// Symptom: a crowd of openings meets full targets when hosts start again. Sequence: two of
-// three hosts are killed and start again at once. Cause: a host that has started remembers
-// none of its callers' flows.
+// Guards against a burst of opening packets at full targets: when two of four hosts are
+// killed and restarted at once, they do not have the flows of their callers in their flow
+// tables any more.
 func TestRestartedHostsLearnFlowCountsOfOthers(t *testing.T) {
 	s := newLimitedFleet(t, 20, 4)
 	for n := range 200 {
@@ -388,7 +396,8 @@
 	require.LessOrEqual(t, s.probes-probes, 12)
 }
 
-// Load: liveness checks at targets that are as full as hosts let them become.
+// When targets are as full as hosts let them become, a connection is still available for
+// probes.
 func TestConnectionIsReservedForProbes(t *testing.T) {
 	s := newLimitedFleet(t, 20, 3)
 	for n := range 200 {
@@ -407,7 +416,8 @@
 	require.LessOrEqual(t, full, 1, "%v", s.held)
 }
 
-// Nothing changes where targets hold plenty: nobody is told of flows.
+// When targets are far below their connection limit, flows are neither counted nor
+// reported.
 func TestFlowsAreNotReportedWhenConnectionsAreNotScarce(t *testing.T) {
 	s := newLimitedFleet(t, 2000, 2)
 	for n := range 100 {
@@ -440,9 +450,9 @@
 	require.Positive(t, snapshot.Counters[steerer.RefusedFull])
 }
 
-// Load: flows that idle fill the targets; callers with short flows come all the while.
-// Symptom: the latter are refused for good. Cause: once none is placed nothing tells them
-// from those that last.
+// Guards against callers with short-lived flows being refused permanently: when idle flows
+// fill the targets while short-lived ones keep coming, a route with none admitted could no
+// longer be recognized as short-lived.
 func TestShortLivedFlowsAreAdmittedBesideLongLivedFlows(t *testing.T) {
 	s := newLimitedFleet(t, 20, 1)
 	brief, served := 0, 0
@@ -452,7 +462,7 @@
 		if s.openFlow("a1", false) {
 			served++
 			if n%7 == 0 {
-				s.step(2 * time.Second) // Some last somewhat longer.
+				s.step(2 * time.Second) // Some flows last longer.
 			}
 			s.endFlow(len(s.openFlows)-1, false)
 		}
@@ -461,12 +471,12 @@
 			s.keepFlowsActive()
 		}
 	}
-	require.Positive(t, s.refused, "all is asked for")
+	require.Positive(t, s.refused, "more flows are requested than fit")
 	require.Equal(t, brief, served)
 
 	s.publish(3, 10)
 	for n := range 150 {
-		require.False(t, s.openFlow("a1", false), "nothing is left")
+		require.False(t, s.openFlow("a1", false), "no connection is available")
 		s.step(4 * steerer.TickInterval)
 		if n%10 == 0 {
 			s.keepFlowsActive()
@@ -478,10 +488,10 @@
 		}
 	}
 	s.step(time.Second)
-	require.True(t, s.openFlow("a1", false), "one place at each target is enough, however long they were refused")
+	require.True(t, s.openFlow("a1", false), "one connection at each target is enough, however long they were refused")
 }
 
-// newFullFleet fills all targets by flows of a1 as far as it lets them become full.
+// newFullFleet fills all targets with flows of a1 as far as it lets them become full.
 func newFullFleet(t *testing.T) *limitedFleet {
 	s := newLimitedFleet(t, 20, 2)
 	for range 400 {
@@ -496,9 +506,10 @@
 	return s
 }
 
-// Sequence: all targets are nearly full; a caller opens through a1, its target takes it;
-// the fabric sends its next packets through a2. a1 sees it not open, checks the target,
-// which is full by now and cuts the check short.
+// Guards against resetting or redispatching an established flow: when all targets are
+// nearly full, a caller opens a flow through a1, its target accepts it, and the fabric
+// sends its next packets through a2. a1 does not see it established and probes the target,
+// which is full by now and closes the probe's connection at once.
 func TestFlowEstablishedThroughAnotherHostIsNotRedispatched(t *testing.T) {
 	s := newFullFleet(t)
 	var c *caller
@@ -525,15 +536,15 @@
 		s.step(10 * time.Millisecond)
 		s.keepFlowsActive()
 	}
-	t.Log("sent on", s.countLogged("a1", "flowSentOn")-sentOn, "resets", len(s.hosts["a1"].resets)-resets)
+	t.Log("redispatched", s.countLogged("a1", "flowSentOn")-sentOn, "resets", len(s.hosts["a1"].resets)-resets)
 	for _, r := range s.hosts["a1"].resets[resets:] {
-		require.NotEqual(t, c.address, r.Caller, "a1 reset a flow that is open at a target that lives")
+		require.NotEqual(t, c.address, r.Caller, "a1 reset a flow that is established at a live target")
 	}
-	require.Equal(t, sentOn, s.countLogged("a1", "flowSentOn"), "a1 opened it at a second target")
+	require.Equal(t, sentOn, s.countLogged("a1", "flowSentOn"), "a1 opened the flow at a second target")
 }
 
-// Sequence: as before, but no check: another host's word makes the target look full by
-// belief; the target's answer takes 50 ms longer than usual.
+// Guards against redispatching without a probe: when another host's report makes the target
+// full by the estimate alone, and the target's response takes 50 ms longer than usual.
 func TestEstimateAloneDoesNotRedispatchOpening(t *testing.T) {
 	s := newFullFleet(t)
 	var c *caller
@@ -557,15 +568,16 @@
 		s.step(10 * time.Millisecond)
 		s.keepFlowsActive()
 	}
-	t.Log("sent on", s.countLogged("a1", "flowSentOn")-sentOn, "resets", len(s.hosts["a1"].resets)-resets, "probes", s.countLogged("a1", "targetProbed")-probes)
+	t.Log("redispatched", s.countLogged("a1", "flowSentOn")-sentOn, "resets", len(s.hosts["a1"].resets)-resets, "probes", s.countLogged("a1", "targetProbed")-probes)
 	for _, r := range s.hosts["a1"].resets[resets:] {
-		require.NotEqual(t, c.address, r.Caller, "reset without a check, while its target's answer is under way")
+		require.NotEqual(t, c.address, r.Caller, "reset without a probe, while its target's response is in flight")
 	}
 	require.Equal(t, sentOn, s.countLogged("a1", "flowSentOn"))
 }
 
-// An answer to an opening packet is lost. Its target lives, has a quarter of its places left
-// or a few less, and shows life since: before, the copy went there again.
+// Guards against a flow at two targets: when the response to an opening packet is lost, its
+// target has a quarter of its connections available or somewhat fewer, and it has made
+// progress since, the retransmission goes there again.
 func TestResentOpeningGoesToFirstTargetIfItResponds(t *testing.T) {
 	s := newLimitedFleet(t, 20, 1)
 	for range 96 {
@@ -587,8 +599,8 @@
 	require.Equal(t, first, c.target)
 }
 
-// Load: a target with 200 openings turns out to be full. Symptom: all other packets wait.
-// Cause: each of them is placed anew in one event.
+// Guards against all other packets waiting: when a target with 200 half-open flows is found
+// full, they must not all be redispatched in one event.
 func TestRedispatchesAreSpreadOverTicks(t *testing.T) {
 	s := newLimitedFleet(t, 400, 1)
 	for range 860 {
@@ -605,7 +617,7 @@
 		waiting = append(waiting, c)
 	}
 	for _, c := range waiting {
-		c.open("a1", 1) // So they may be sent on.
+		c.open("a1", 1) // So that they may be redispatched.
 	}
 	for id := range s.targets {
 		s.probeOutcomes[id] = steerer.ProbeClosed
@@ -617,7 +629,7 @@
 		now := s.countLogged("a1", "flowSentOn")
 		before, most = now, max(most, now-before)
 	}
-	t.Log("sent on", before, "most in a tick", most)
+	t.Log("redispatched", before, "maximum in a tick", most)
 	require.Greater(t, before, 40)
-	require.LessOrEqual(t, most, 50, "those of the tick before and those of this one")
+	require.LessOrEqual(t, most, 50, "those of the previous tick and of this one")
 }
--- a/core/steerer/fleet_load_test.go
+++ b/core/steerer/fleet_load_test.go
@@ -9,10 +9,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: hosts with small links learn a new version late, and their callers wait
-// meanwhile. Sequence: a document of 400 KB, some 40 KB when compressed, takes longer
-// from host to host than a host waits before it asks the next. Cause: several answers
-// with the same document share one link.
+// Guards against settings reaching hosts with small links late, with callers waiting
+// meanwhile: when a document of 400 KB, about 40 KB compressed, takes longer from host to
+// host than the sync timeout, several responses with the same document must not share one
+// link.
 func TestOnlyOneSyncRequestIsInFlight(t *testing.T) {
 	f := newFleet(t, 6, 6)
 	f.answerDelay = time.Second
@@ -28,10 +28,10 @@
 	require.Equal(t, 1, f.peakPendingSyncRequests)
 }
 
-// Symptom: after each change of the settings the platform sends the whole document to
-// every host of the fleet. Sequence: a version comes; answers between hosts take longer
-// than usual, since the document is large. Cause: a host that reads the platform as soon
-// as one question was not answered at once.
+// Guards against the platform sending the full document to every host after each change of
+// the settings: when a new version is published and sync responses are slow because the
+// document is large, a host must not read the platform as soon as one sync request was not
+// answered at once.
 func TestHostsFetchChangesFromOtherHosts(t *testing.T) {
 	f := newFleet(t, 10, 10, 10)
 	f.step(2 * time.Second)
@@ -42,13 +42,13 @@
 	for _, name := range f.names {
 		require.Equal(t, uint64(2), f.hosts[name].steerer.Snapshot().Version, name)
 	}
-	require.Less(t, f.reads-reads, 20, "of 30 hosts; some 8 when nothing changes")
+	require.Less(t, f.reads-reads, 20, "of 30 hosts; about 8 if nothing changes")
 }
 
-// Symptom: some thousand calls to the platform in an outage of five seconds, most of its
-// price on a day of a large fleet; they are in its way when it comes back. Sequence: the
-// platform goes down; every host tries again about once a second, for settings and
-// targets. Cause: pauses between tries that do not know how many others try.
+// Guards against thousands of calls to the platform in an outage of five seconds, which are
+// most of its price for a day of a large fleet and hinder its recovery: when the platform
+// goes down and every host retries about once a second, for settings and targets, the retry
+// interval must grow with the number of hosts.
 func TestFleetLimitsReadsDuringPlatformOutage(t *testing.T) {
 	f := newFleet(t, 40, 40, 40)
 	f.step(3 * time.Second)
@@ -56,7 +56,7 @@
 	f.step(3 * time.Second)
 	f.reads = 0
 	f.step(6 * time.Second)
-	require.Less(t, f.reads, 2*6*15, "ten tries a second for each of settings and targets")
+	require.Less(t, f.reads, 2*6*15, "ten attempts a second each for settings and targets")
 	f.down = false
 	f.settings = newSettings(2, routes()[:2])
 	f.step(2500 * time.Millisecond)
@@ -65,8 +65,8 @@
 	}
 }
 
-// A host that hears nobody tries as often as a small fleet does, however large the fleet
-// was that it heard before.
+// A host that hears from no other host retries as often as one in a small fleet, however
+// large the fleet was that it heard from before.
 func TestIsolatedHostReadsOften(t *testing.T) {
 	f := newFleet(t, 40, 40)
 	for _, name := range f.names[1:] {
@@ -80,10 +80,10 @@
 	require.Equal(t, uint64(2), f.hosts[f.names[0]].steerer.Snapshot().Version)
 }
 
-// Symptom: the platform refuses calls for its rate after a loss of all hosts, and hosts
-// that are ready wait for it. Sequence: all hosts start at once; each reads settings and
-// all pages of targets. Cause: calls that count, where an answer a few seconds old would
-// do until the first reader has told what changed since.
+// Guards against the platform's rate limit keeping hosts from becoming ready after a loss
+// of all hosts: when all hosts start at once and each reads settings and all pages of
+// targets, the reads may accept a response that is a few seconds old, which does not count
+// towards the limit, until the first reader has reported the changes since.
 func TestFirstReadsMayBeStaleAndOneHostRefreshesThem(t *testing.T) {
 	f := newFleet(t, 30, 30)
 	for _, name := range f.names {
@@ -100,15 +100,15 @@
 	}
 	require.Equal(t, 2*60, f.staleReads)
 	f.step(4 * time.Second)
-	require.Less(t, f.reads-f.staleReads, 60, "reads that count, of 60 hosts")
+	require.Less(t, f.reads-f.staleReads, 60, "reads that count towards the rate limit, of 60 hosts")
 	for _, name := range f.names {
 		require.Less(t, f.hosts[name].steerer.Snapshot().TargetsAge, 3*time.Second, name)
 	}
 }
 
-// Symptom: on a host with a small link flows are reset whose targets work. Sequence: it
-// reads a large document; the answers of liveness checks wait behind it. Cause: the
-// host's own transfer taken for the targets' silence.
+// Guards against a host with a small link resetting flows of working targets: when it reads
+// a large document, the responses to its probes are queued behind it, and its own transfer
+// must not look like unresponsive targets.
 func TestOwnTransferDoesNotMakeTargetsUnreachable(t *testing.T) {
 	const rate = 250_000
 	f := newFleet(t, 1)
@@ -126,10 +126,9 @@
 	require.NotEmpty(t, f.hosts["a1"].resets, "the link is free again")
 }
 
-// Symptom: traffic between zones costs a tenth of what a fleet of 300 hosts is worth, and
-// hosts choose targets by loads of their zone that are seconds old. Sequence: a fleet of
-// five zones is quiet. Cause: each host tells all others in turn, of which four of five
-// are in other zones.
+// Guards against cross-zone traffic that costs a tenth of a fleet of 300 hosts, and against
+// targets chosen by loads that are seconds old: when a fleet of five zones is idle, a host
+// must not report to all others in turn, of which four of five are in other zones.
 func TestMostReportsInALargeFleetStayWithinTheirZone(t *testing.T) {
 	f := newFleet(t, 12, 12, 12, 12, 12)
 	f.step(3 * time.Second)
@@ -143,9 +142,9 @@
 	}
 }
 
-// Symptom: for three seconds after a loss of all hosts of a large fleet they tell each
-// other 23 KB a second each, and 8 KB later. Sequence: all hosts learn their targets from
-// the platform. Cause: what every host has just read told as news.
+// Guards against reports of 23 KB a second per host, and 8 KB later, in the three seconds
+// after a loss of all hosts of a large fleet: when all hosts have just read the targets
+// from the platform, these must not be reported as changes.
 func TestFirstTargetListIsNotReportedAsChanges(t *testing.T) {
 	f := newFleet(t, 8, 8, 8)
 	for n := range 300 {
@@ -165,10 +164,10 @@
 	require.Less(t, f.reportBytes, 2*quiet)
 }
 
-// Symptom: hosts of a large fleet think that others are gone which live, or count dead
-// ones for long; the reader of the platform changes all the time. Sequence: most reports
-// come from the own zone. Cause: hosts are mentioned by those only who hear them, or with
-// no word of how long ago that was.
+// Guards against live hosts of a large fleet counting as dead, dead ones counting as alive
+// for long, and the reader of the platform changing all the time: when most reports come
+// from the local zone, hosts must also report hosts that they have not heard from
+// themselves, together with the age of that information.
 func TestHostsInOtherZonesCountAsLive(t *testing.T) {
 	f := newFleet(t, 20, 20, 20, 20)
 	f.step(20 * time.Second)
@@ -181,8 +180,8 @@
 	require.Equal(t, 39, f.hosts["a1"].steerer.Snapshot().Live)
 }
 
-// Failure: dead hosts count as living for good where their zones live on, because word of a
-// host is passed on without how old it is.
+// Guards against dead hosts counting as alive permanently while others in their zones are
+// alive: when reports about hosts are passed on without their age.
 func TestDeadHostsInLiveZonesAreDetected(t *testing.T) {
 	f := newFleet(t, 20, 20, 20, 20)
 	f.step(20 * time.Second)
@@ -195,10 +194,9 @@
 	require.Equal(t, 39, f.hosts["a1"].steerer.Snapshot().Live)
 }
 
-// Symptom: after a loss of all 295 hosts nobody's feed goes on for a second. Sequence: all
-// read their targets, 240 KB, and the settings, 530 KB, through one link of the platform.
-// Cause: both at once, so that targets come as late as the settings, though open flows
-// need no settings.
+// Guards against all long-lived flows stalling for a second after a loss of all 295 hosts:
+// when all hosts read their targets, 240 KB, and the settings, 530 KB, over one link of the
+// platform, the targets must come first, since established flows need no settings.
 func TestTargetsAreReadBeforeTheSettings(t *testing.T) {
 	f := newFleet(t, 1)
 	open := f.caller(1, readRoute)
@@ -218,8 +216,8 @@
 	require.Len(t, f.hosts["a1"].sent, 1)
 }
 
-// Symptom: a host that starts never knows its settings. Sequence: reads of the targets
-// take for ever. Cause: settings that wait for them without a bound.
+// Guards against a starting host that never gets its settings: when reads of the targets
+// never finish, the wait for them must be limited.
 func TestSettingsDoNotWaitForTargetsForLong(t *testing.T) {
 	f := newFleet(t, 1)
 	f.targetsReadTime = time.Minute
--- a/core/steerer/health_test.go
+++ b/core/steerer/health_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// openOn opens a flow that lands on a target of the caller's choice.
+// openOn opens a flow that is placed on the given target.
 func openOn(f *fleet, name, target string, from int, idempotent bool) *caller {
 	route := readRoute
 	if !idempotent {
@@ -22,14 +22,14 @@
 			return c
 		}
 	}
-	f.t.Fatalf("no flow landed on %s", target)
+	f.t.Fatalf("no flow was placed on %s", target)
 	return nil
 }
 
-// Symptom: callers of a target that crashed silently wait until their deadline.
-// Sequence: a target stops answering while a read and a check wait for it.
-// Cause: nobody tells the callers. The read may run again and is reset; the
-// check may have run, its caller would not repeat it, and it is left alone.
+// Guards against callers of a silently crashed target waiting until their deadline: when a
+// target stops responding while a read and a check wait for it, the read is retryable and
+// its flow is reset. The check may have run and its caller would not retry it, so its flow
+// is not reset.
 func TestIdempotentRequestsToUnresponsiveTargetAreReset(t *testing.T) {
 	f := newFleet(t, 1)
 	const target = "i-10000001"
@@ -53,11 +53,11 @@
 	}
 	idle := read
 	idle.sendRequest("a1")
-	require.Len(t, f.hosts["a1"].resets, 2, "an idle flow's next request is told at once")
+	require.Len(t, f.hosts["a1"].resets, 2, "an idle flow's next request is reset at once")
 }
 
-// Failure: open flows at a target that serves are reset, because the target holds all the
-// connections that it may and resets that of a check.
+// Guards against resetting established flows of a working target: when the target is at its
+// connection limit and resets the connection of a probe.
 func TestResetProbeDoesNotMakeTargetUnreachable(t *testing.T) {
 	f := newFleet(t, 1)
 	const target = "i-10000001"
@@ -75,9 +75,9 @@
 	}
 }
 
-// Symptom: a flow whose target lives is reset. Sequence: one flow stalls, for a
-// packet was lost; the target's check hangs, for its queue of connections is
-// full; other flows make progress. Cause: trust in the check alone.
+// Guards against resetting a flow whose target is alive: when one flow stalls because a
+// packet was lost, and the probe times out because the target's accept queue is full,
+// progress of other flows counts more than the probe.
 func TestTargetWithProgressIsNotUnreachable(t *testing.T) {
 	f := newFleet(t, 1)
 	const target = "i-10000001"
@@ -97,9 +97,9 @@
 	require.Empty(t, f.hosts["a1"].resets)
 }
 
-// Symptom: a host that wakes resets the flows of targets that are well.
-// Sequence: the host stands still for seconds; callers' repeats and the time-outs
-// of checks come out at once. Cause: silence that was only the host's own.
+// Guards against a resumed host resetting flows of working targets: when the host is paused
+// for seconds, callers' retransmissions and probe timeouts are handled at once, and only
+// the host itself was unresponsive.
 func TestPausedHostDoesNotMakeTargetsUnreachable(t *testing.T) {
 	f := newFleet(t, 1)
 	const target = "i-10000001"
@@ -107,7 +107,7 @@
 	f.step(time.Second)
 	f.probeOutcomes[target] = steerer.ProbeConnectTimeout
 	c.sendRequest("a1")
-	f.now = f.now.Add(3 * time.Second) // No tick comes meanwhile.
+	f.now = f.now.Add(3 * time.Second) // No tick comes during the pause.
 	c.retransmit("a1")
 	c.retransmit("a1")
 	f.step(400 * time.Millisecond)
@@ -115,9 +115,9 @@
 	require.Zero(t, f.probes)
 }
 
-// Symptom: flows of a crashed target wait although it refuses everyone.
-// Sequence: the target restarts within its address; it resets every opening
-// packet, straight to the caller. Cause: the host sees neither copy nor answer.
+// Guards against new flows going to a crashed target that refuses them: when the target
+// restarts at its address and resets every opening packet straight to the caller, the host
+// sees neither a retransmission nor a response.
 func TestTargetThatRefusesFlowsIsDetected(t *testing.T) {
 	f := newFleet(t, 1)
 	const target = "i-10000001"
@@ -138,10 +138,9 @@
 	}
 }
 
-// Symptom: a crashed target swallows most of the new flows of its zone.
-// Sequence: it resets each opening packet at once, straight to the caller, who
-// tries again; it has the least load of all. Cause: flows that have not opened do
-// not count as load, so it stays the least busy until it is found out.
+// Guards against a crashed target attracting most new flows of its zone: when it resets
+// each opening packet at once, straight to the caller, which tries again, it has the least
+// load of all until it is detected, unless half-open flows count as load.
 func TestCrashedTargetDoesNotAttractFlows(t *testing.T) {
 	f := newFleet(t, 1)
 	const target = "i-10000001"
@@ -159,11 +158,11 @@
 		}
 		f.step(2 * time.Millisecond)
 	}
-	require.LessOrEqual(t, swallowed, 1+open/3, "no more than its share among six")
+	require.LessOrEqual(t, swallowed, 1+open/3, "no more than its share of six targets")
 }
 
-// A target that did not answer gets flows again once it does, and is asked so
-// rarely that checks stay few.
+// An unreachable target gets flows again once it responds to a probe, and is probed rarely
+// until then.
 func TestUnreachableTargetRecovers(t *testing.T) {
 	f := newFleet(t, 1)
 	const target = "i-10000001"
@@ -181,8 +180,8 @@
 	openOn(f, "a1", target, 3000, true)
 }
 
-// If no target of a service answers, flows are still tried: a flow that does not
-// open costs its caller no more than a refusal.
+// If no target of a service responds, flows are still sent to them: a flow that cannot be
+// established costs its caller no more than a refusal.
 func TestServiceWithOnlyUnreachableTargetsStillGetsFlows(t *testing.T) {
 	f := newFleet(t, 1)
 	var callers []*caller
@@ -206,10 +205,9 @@
 	require.NotEmpty(t, c.target)
 }
 
-// Symptom: after a flood of flows one target gets no new ones any more.
-// Sequence: more flows are open than the host remembers; each packet of the others
-// begins a request that the host never sees end. Cause: load that is counted for
-// flows which are not remembered.
+// Guards against a target getting no new flows any more after a surge: when more flows are
+// open than the flow table holds, each packet of the others begins a request that the host
+// never sees end, so flows that are not in the table must not count as load.
 func TestFlowsBeyondMaxFlowsAddNoLoad(t *testing.T) {
 	f := newFleet(t, 1)
 	f.hosts["a1"].maxFlows = 10
