--- a/core/steerer/fast_failure_test.go
+++ b/core/steerer/fast_failure_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// requestWithLatency opens a flow, asks, and acknowledges the answer after a while.
+// requestWithLatency opens a flow, sends a request, and acknowledges the response after the
+// given time.
 func requestWithLatency(f *fleet, name string, n int, d time.Duration) {
 	c := f.caller(n, checkRoute)
 	c.open(name, 0)
@@ -19,14 +20,14 @@
 	c.close(name)
 }
 
-// learnBaselineLatency lets a host learn that answers take 100 ms.
+// learnBaselineLatency lets a host learn that responses take 100 ms.
 func learnBaselineLatency(f *fleet, name string) {
 	for n := range 30 {
 		requestWithLatency(f, name, 5000+n, 100*time.Millisecond)
 	}
 }
 
-// failFast lets a target answer one request at once.
+// failFast lets a target respond to one request almost at once.
 func failFast(f *fleet, name, target string, from int) {
 	c := openOn(f, name, target, from, false)
 	c.sendRequest(name)
@@ -35,7 +36,8 @@
 	c.close(name)
 }
 
-// countPlacements counts the new flows of a host that land on a target, of ten for each.
+// countPlacements counts how many of 60 new flows of a host, ten for each target, are
+// placed on the given target.
 func countPlacements(f *fleet, name, target string, from int) int {
 	landed := 0
 	for n := range 60 {
@@ -52,16 +54,15 @@
 
 const failingTarget = "i-10000001"
 
-// Symptom: callers fail again and again at one target, whose liveness check is good.
-// Sequence: a target answers a part of its requests at once, with a failure; it has
-// less to do than its siblings. Cause: the least busy target gets the next flow,
-// whatever became of the last.
+// Guards against callers failing again and again at one target with healthy probes: when a
+// target fails some of its requests at once, it has less load than the others, so the
+// choice of the least loaded target must take fast failures into account.
 func TestTargetThatFailsFastGetsFewFlows(t *testing.T) {
 	f := newFleet(t, 1)
 	learnBaselineLatency(f, "a1")
 	require.NotZero(t, countPlacements(f, "a1", failingTarget, 1000))
 	failFast(f, "a1", failingTarget, 2000)
-	require.NotZero(t, countPlacements(f, "a1", failingTarget, 3000), "one quick answer may be chance")
+	require.NotZero(t, countPlacements(f, "a1", failingTarget, 3000), "one fast response may be chance")
 	failFast(f, "a1", failingTarget, 4000)
 	require.Zero(t, countPlacements(f, "a1", failingTarget, 6000))
 	for _, status := range f.hosts["a1"].steerer.TargetStatuses() {
@@ -70,12 +71,11 @@
 		}
 	}
 	f.step(4 * time.Second)
-	require.NotZero(t, countPlacements(f, "a1", failingTarget, 7000), "it is given another chance")
+	require.NotZero(t, countPlacements(f, "a1", failingTarget, 7000), "it gets flows again after a while")
 }
 
-// Symptom: after a crowd targets that work are avoided. Sequence: for two seconds all
-// answers take ten times as long; then they come as before. Cause: what is usual
-// follows a crowd.
+// Guards against avoiding working targets after a load peak: when all responses take ten
+// times as long and then become normal again, the baseline must not have followed the peak.
 func TestLoadPeakDoesNotMakeNormalResponsesLookFast(t *testing.T) {
 	f := newFleet(t, 1)
 	for n := range 300 {
@@ -90,9 +90,9 @@
 	require.Zero(t, f.hosts["a1"].steerer.Snapshot().Counters[steerer.FastFailure])
 }
 
-// Symptom: in a large zone each host has to be failed twice before it avoids a target.
-// Sequence: two hosts see one quick answer each. Cause: hosts that keep it to
-// themselves.
+// Guards against each host of a large zone needing two failed requests before it avoids a
+// target: when two hosts see one fast response each, they report it to the other hosts of
+// the zone.
 func TestFastFailuresAreReportedWithinTheZone(t *testing.T) {
 	f := newFleet(t, 3)
 	learnBaselineLatency(f, "a1")
@@ -105,9 +105,8 @@
 	}
 }
 
-// Symptom: a service is refused although its targets work. Sequence: all its answers
-// come quickly, for the work has changed. Cause: targets that are shut out on
-// suspicion.
+// Guards against refusing all flows of a service whose targets work: when all its responses
+// become fast because the requests have changed, its targets must not be excluded.
 func TestServiceIsNotEmptiedByFastResponses(t *testing.T) {
 	f := newFleet(t, 1)
 	learnBaselineLatency(f, "a1")
--- a/core/steerer/held_packets_test.go
+++ b/core/steerer/held_packets_test.go
@@ -10,22 +10,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// restartBeforeFirstRead restarts a host whose first reads take a while, and lets it take in
-// packets meanwhile.
+// restartBeforeFirstRead restarts a host with slow first reads, and lets it receive packets
+// before they complete.
 func restartBeforeFirstRead(f *fleet, name string, beforeFirstRead func()) {
 	f.kill(name)
 	f.step(100 * time.Millisecond)
 	f.hosts[name].sent = nil
 	f.start(name)
 	beforeFirstRead()
-	require.Empty(f.t, f.hosts[name].sent, "nothing is known yet")
+	require.Empty(f.t, f.hosts[name].sent, "the host is not ready yet")
 }
 
-// Symptom: after a loss of all hosts callers are answered a second or more after
-// the hosts are back. Sequence: a host starts; while it reads the platform, the
-// fabric hands it packets that callers have already repeated; it drops them, and
-// the next repeat comes after 0.4 to 1.6 s. Cause: packets dropped that could be
-// passed on some milliseconds later.
+// Guards against callers being served a second or more after the hosts are back from a loss
+// of all hosts: when a host starts and reads the platform, the fabric hands it packets that
+// callers have already retransmitted. If it dropped them, the next retransmission would
+// come after 0.4 to 1.6 s, although it could forward them a few milliseconds later.
 func TestPacketsBeforeFirstReadAreHeld(t *testing.T) {
 	f := newFleet(t, 1)
 	open := f.caller(1, readRoute)
@@ -42,10 +41,9 @@
 	require.NotZero(t, f.hosts["a1"].sent[1].tag)
 }
 
-// Symptom: after a loss of all hosts nobody's feed goes on for two seconds. Sequence: the
-// hosts have small links, and read a large document of settings; their targets they know
-// after some milliseconds. Cause: packets of open flows that wait for settings, though
-// their tags say where they go.
+// Guards against all long-lived flows stalling for two seconds after a loss of all hosts:
+// when hosts with small links read a large settings document, they know their targets after
+// a few milliseconds, and the tags of established flows suffice to forward packets.
 func TestEstablishedFlowsDoNotWaitForSettings(t *testing.T) {
 	f := newFleet(t, 1)
 	open, early := f.caller(1, readRoute), f.caller(2, checkRoute)
@@ -58,7 +56,7 @@
 	f.step(steerer.TickInterval)
 	open.sendRequest("a1")
 	require.Len(t, f.hosts["a1"].sent, 2)
-	require.Equal(t, early.target, f.hosts["a1"].sent[0].target, "it came before the targets were known")
+	require.Equal(t, early.target, f.hosts["a1"].sent[0].target, "it was received before the targets were known")
 	require.Equal(t, open.target, f.hosts["a1"].sent[1].target)
 	fresh := f.caller(3, checkRoute)
 	fresh.open("a1", 0)
@@ -66,9 +64,9 @@
 	require.False(t, f.hosts["a1"].steerer.Ready())
 }
 
-// Symptom: targets get flows that nobody uses, and checks. Sequence: a caller's
-// packet and its repeat both wait for the host's first read; the repeat looks like
-// a sign that the first packet was lost. Cause: repeats kept beside the first.
+// Guards against unused flows at targets, and needless probes: when a caller's packet and
+// its retransmission both wait for the host's first read, forwarding both would look as if
+// the first had been lost.
 func TestRetransmissionsOfHeldPacketsAreNotHeld(t *testing.T) {
 	f := newFleet(t, 1)
 	open := f.caller(1, readRoute)
@@ -87,9 +85,9 @@
 	require.Equal(t, probes, f.probes)
 }
 
-// Symptom: targets get packets that callers gave up on long ago. Sequence: a host
-// starts while neither the platform nor another host answers; it learns its targets
-// seconds later. Cause: packets kept without a bound of time, or of number.
+// Guards against targets receiving packets whose callers gave up long ago: when a host
+// starts while neither the platform nor another host responds, and learns its targets
+// seconds later, held packets must be limited in time and number.
 func TestHeldPacketsAreBounded(t *testing.T) {
 	f := newFleet(t, 1)
 	fresh := f.caller(1, checkRoute)
@@ -111,10 +109,9 @@
 	require.Less(t, len(f.hosts["a1"].sent), 1000)
 }
 
-// Symptom: right after a start the log tells nothing of flows, and a small host
-// is late to take packets. Sequence: a host of a large fleet learns all targets at
-// once and writes a line for each; the bound on lines is used up. Cause: the first
-// list logged like changes.
+// Guards against a log without any flows right after a start, and a small host being late
+// to forward packets: when a host of a large fleet reads all targets at once, a line for
+// each would use up the log's rate limit.
 func TestFirstTargetListIsLoggedInOneLine(t *testing.T) {
 	f := newFleet(t, 1)
 	for n := range 500 {
--- a/core/steerer/path_test.go
+++ b/core/steerer/path_test.go
@@ -10,8 +10,8 @@
 
 const silentTarget = "i-10000001"
 
-// stallRequest lets a flow's request be repeated once while its target's check gets no
-// answer.
+// stallRequest lets a caller retransmit a request once while the probe of its target times
+// out.
 func stallRequest(f *fleet, read *caller) {
 	f.probeOutcomes[silentTarget] = steerer.ProbeConnectTimeout
 	read.sendRequest("a1")
@@ -20,10 +20,10 @@
 	f.step(300 * time.Millisecond)
 }
 
-// Symptom: on hosts with small links flows are reset whose targets work, hundreds in
-// a minute. Sequence: packets wait in the host's link; a caller repeats its request;
-// the check of the target waits in the same link and is given up.
-// Cause: the host's own delay taken for the target's silence.
+// Guards against hosts with small links resetting flows of working targets, hundreds a
+// minute: when packets are queued in the host's link, a caller retransmits its request, and
+// the probe of the target is queued in the same link and times out, the host's own delay
+// must not make the target unreachable.
 func TestSlowPathDoesNotMakeTargetsUnreachable(t *testing.T) {
 	f := newFleet(t, 1)
 	read := openOn(f, "a1", silentTarget, 0, true)
@@ -37,17 +37,17 @@
 
 	f.step(4 * time.Second)
 	stallRequest(f, read)
-	require.NotEmpty(t, f.hosts["a1"].resets, "the path is good again")
+	require.NotEmpty(t, f.hosts["a1"].resets, "the path is no longer slow")
 }
 
-// Symptom: where callers are far away, callers of silent targets are never told.
-// Sequence: each flow takes 70 ms to open, since its caller is 30 ms away; a target
-// falls silent. Cause: a path that is called slow for what is usual on it.
+// Guards against callers of unresponsive targets never being reset where callers are
+// distant: when each flow takes 70 ms to open because its caller is 30 ms away, and a
+// target becomes unresponsive, the ordinary handshake time must not make the path slow.
 func TestDistantCallersDoNotMakeThePathSlow(t *testing.T) {
 	f := newFleet(t, 1)
 	read := openOn(f, "a1", silentTarget, 0, true)
 	f.kill("a1")
-	f.start("a1") // It has seen no flow open yet.
+	f.start("a1") // It has seen no handshake yet.
 	f.step(time.Second)
 	for n := range 30 {
 		c := f.caller(900+n, readRoute)
@@ -55,7 +55,7 @@
 		f.step(70 * time.Millisecond)
 		c.establish("a1")
 	}
-	f.step(2 * time.Second) // The first ones looked slow.
+	f.step(2 * time.Second) // The first handshakes counted as slow.
 	c := f.caller(990, readRoute)
 	c.open("a1", 0)
 	f.step(70 * time.Millisecond)
@@ -64,8 +64,8 @@
 	require.NotEmpty(t, f.hosts["a1"].resets)
 }
 
-// uploadDuringStalledRequest starts a host with a link of some bytes a second, and lets an upload
-// send some packets while a read stalls at a target that does not answer its check.
+// uploadDuringStalledRequest starts a host with the given link capacity, and sends the
+// given number of upload packets while a read is stalled at a target whose probe times out.
 func uploadDuringStalledRequest(t *testing.T, linkBytesPerSecond, packets int) (*fleet, *caller) {
 	t.Helper()
 	f := newFleet(t, 1)
@@ -90,31 +90,32 @@
 	return f, read
 }
 
-// Symptom: as above, but no flow has opened meanwhile that could tell. Sequence: an
-// upload sends a window of packets into a link of 2 Mbit/s. Cause: as above.
+// Guards against the same as TestSlowPathDoesNotMakeTargetsUnreachable, without handshakes
+// that would show the delay: when an upload sends a window of packets into a link of 2
+// Mbit/s.
 func TestFullLinkDoesNotMakeTargetsUnreachable(t *testing.T) {
 	f, read := uploadDuringStalledRequest(t, 250_000, 16)
 	require.Empty(t, f.hosts["a1"].resets)
 
 	f.step(2 * time.Second)
 	stallRequest(f, read)
-	require.NotEmpty(t, f.hosts["a1"].resets, "the link is free again")
+	require.NotEmpty(t, f.hosts["a1"].resets, "the link is no longer full")
 }
 
-// Symptom: callers of a silent target wait until their deadline on hosts that carry an
-// upload now and then. Sequence: one upload fills the host's link for a tenth of a
-// second; a target falls silent meanwhile. Cause: a busy link taken for one in which
-// packets wait: one flow has at most a window of packets under way, which a link of
-// 10 Mbit/s carries in 15 ms.
+// Guards against callers of an unresponsive target waiting until their deadline on hosts
+// that carry an occasional upload: when one upload fills the host's link for a tenth of a
+// second and a target becomes unresponsive, a busy link must not count as one with a long
+// queue. One flow has at most a window of packets in flight, which a link of 10 Mbit/s
+// carries in 15 ms.
 func TestOneUploadDoesNotMakeAFastLinkSlow(t *testing.T) {
 	f, _ := uploadDuringStalledRequest(t, 1_250_000, 100)
 	require.NotEmpty(t, f.hosts["a1"].resets)
 }
 
-// Symptom: callers of a silent target wait until their deadline, since their own
-// trouble is taken for a slow path. Sequence: the opening packet of one flow gets no
-// answer from the silent target; its copy, 200 ms later, opens the flow elsewhere.
-// Cause: the time from the first opening packet counted for the path.
+// Guards against callers of an unresponsive target waiting until their deadline because
+// their own retransmissions make the path look slow: when the opening packet of a flow gets
+// no response from the unresponsive target, and its retransmission, 200 ms later, opens the
+// flow at another target, the time from the first opening packet is no handshake time.
 func TestResentOpeningsDoNotMakeThePathSlow(t *testing.T) {
 	f := newFleet(t, 1)
 	read := openOn(f, "a1", silentTarget, 0, true)
--- a/core/steerer/pause_test.go
+++ b/core/steerer/pause_test.go
@@ -8,18 +8,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: targets are full just after a host wakes, and run requests whose callers have
-// given up. Sequence: a host stands still for 5 s while packets come; it wakes and reads
-// them all. Cause: nothing tells old packets from new ones.
+// Guards against targets being full just after a host resumes, and running requests whose
+// callers have given up: when a host is paused for 5 s while packets arrive, and reads them
+// all after it resumes, it must drop the stale ones.
 func TestPausedHostDropsStalePackets(t *testing.T) {
 	f := newFleet(t, 1)
 	f.now = f.now.Add(5 * time.Second)
 	old := f.caller(1, checkRoute)
 	old.open("a1", 0)
-	require.Empty(t, old.target, "read before the host knows that it stood still")
+	require.Empty(t, old.target, "read before the host has detected the pause")
 	f.reduce("a1", &steerer.Tick{})
 	old.open("a1", 1)
-	require.Empty(t, old.target, "read right after")
+	require.Empty(t, old.target, "read right after the pause was detected")
 	upload := f.caller(3, uploadRoute)
 	upload.open("a1", 0)
 	require.NotEmpty(t, upload.target, "its caller waits for 5 s")
@@ -30,8 +30,8 @@
 	require.NotEmpty(t, fresh.target)
 }
 
-// Symptom: callers that wait for long get no answer. Sequence: a host stands still for
-// 2 s, less than callers wait. Cause: what came in a pause is dropped though it is of use.
+// Guards against callers with long timeouts getting no response: when a host is paused for
+// 2 s, less than callers wait, the packets that arrived during the pause are still useful.
 func TestPauseShorterThanTimeoutDropsNothing(t *testing.T) {
 	f := newFleet(t, 1)
 	f.now = f.now.Add(2 * time.Second)
--- a/core/steerer/target_restart_test.go
+++ b/core/steerer/target_restart_test.go
@@ -12,7 +12,7 @@
 
 const restartedTarget = "i-10000001"
 
-// requestAt opens a flow at a target and asks for something.
+// requestAt opens a flow at the given target and sends a request.
 func requestAt(f *fleet, name, target string, from int) *caller {
 	c := openOn(f, name, target, from, true)
 	c.sendRequest(name)
@@ -22,14 +22,14 @@
 func statusOf(f *fleet, name, target string) steerer.TargetStatus {
 	all := f.hosts[name].steerer.TargetStatuses()
 	at := slices.IndexFunc(all, func(one steerer.TargetStatus) bool { return one.Target == target })
-	require.GreaterOrEqual(f.t, at, 0, "%s knows %s", name, target)
+	require.GreaterOrEqual(f.t, at, 0, "%s has no target %s", name, target)
 	return all[at]
 }
 
-// Symptom: a target that has started again gets no flows for seconds, on the hosts that
-// had found it out of reach. Sequence: it crashes and is found silent; it starts again
-// under its ID; the next check of it is two seconds away. Cause: what was found of the
-// earlier process is held against the new one.
+// Guards against a restarted target getting no flows for seconds on hosts that had found it
+// unreachable: when it crashes, is found unresponsive, and restarts under its ID, its next
+// probe is two seconds away, and the state of the earlier process must not count against
+// the new one.
 func TestRestartedTargetIsUsedImmediately(t *testing.T) {
 	f := newFleet(t, 2, 1)
 	c := requestAt(f, "a1", restartedTarget, 100)
@@ -46,8 +46,8 @@
 	}
 }
 
-// Symptom: a restarted target gets few flows. Sequence: it had requests under way when
-// it crashed; nobody ends them. Cause: requests of the earlier life count as load.
+// Guards against a restarted target getting few flows: when it had requests in flight as it
+// crashed, these must not count as load of the new incarnation.
 func TestRequestsOfEarlierIncarnationAreNoLoad(t *testing.T) {
 	f := newFleet(t, 2)
 	for n := range 5 {
@@ -63,10 +63,10 @@
 	require.Zero(t, statusOf(f, "a2", restartedTarget).PeersBusy)
 }
 
-// Symptom: a caller waits until its deadline. Sequence: it has asked in an open flow, and
-// the target has acknowledged the request; the target starts again. Cause: nobody tells
-// the caller, since it has nothing to repeat. The target itself does, with a reset, once
-// it sees a packet of a flow that it does not hold; this host must not guess.
+// Guards against a caller waiting until its deadline: when its target has acknowledged a
+// request in an established flow and then restarts, the caller has nothing to retransmit.
+// The target itself resets the flow once it sees a packet of a flow that it does not have;
+// this host must not reset it, since it cannot know.
 func TestInFlightRequestIsResentToNewIncarnation(t *testing.T) {
 	f := newFleet(t, 1)
 	c := requestAt(f, "a1", restartedTarget, 100)
@@ -78,12 +78,12 @@
 	require.Equal(t, []sentPacket{{target: restartedTarget, data: "ask", flow: c.address.String()}}, f.hosts["a1"].sent[sentBefore:], "the read, not the check")
 	require.Empty(t, f.hosts["a1"].resets)
 	c.ackResponse("a1")
-	require.Equal(t, restartedTarget, f.lastTarget("a1"), "the flow goes on if it had opened at the new life")
+	require.Equal(t, restartedTarget, f.lastTarget("a1"), "the flow continues if it was opened at the new incarnation")
 }
 
-// Symptom: a target that serves is avoided after its restart. Sequence: a check of the
-// target is under way when it starts again; its outcome, from the old process, comes
-// after the news. Cause: an outcome that does not say of which life it is.
+// Guards against avoiding a working target after its restart: when a probe is in flight
+// while the target restarts, its outcome, from the old process, comes after the new
+// incarnation is known.
 func TestProbeOfEarlierIncarnationIsIgnored(t *testing.T) {
 	f := newFleet(t, 1)
 	f.restart(restartedTarget)
@@ -92,10 +92,10 @@
 	require.Empty(t, statusOf(f, "a1", restartedTarget).AvoidReason)
 }
 
-// Symptom: hosts forget a restart. Sequence: one host knows of it; another, which was cut
-// off, tells it the target's earlier state, which it saw at a later revision of the
-// platform, since a write of the earlier life was done late. Cause: states that are
-// ordered by the platform's revision alone.
+// Guards against hosts losing track of a restart: when one host knows of it and another,
+// which was partitioned, reports the target's earlier state, read at a later revision of
+// the platform because a write of the earlier incarnation was delayed, the order of the
+// platform's revisions alone is not enough.
 func TestLaterIncarnationOverridesLaterRevision(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	old := f.targets[restartedTarget]
@@ -118,9 +118,9 @@
 	require.Empty(t, statusOf(f, "a1", restartedTarget).AvoidReason)
 }
 
-// Symptom: a restarted target is avoided as one that fails its work. Sequence: a host of
-// the zone that has not heard of the restart tells of quick answers and of requests under
-// way. Cause: word of a target that does not say of which life it is.
+// Guards against a restarted target being avoided for fast failures: when a host of the
+// zone that has not learned of the restart reports fast failures and requests in flight of
+// the earlier incarnation.
 func TestReportsFromBeforeARestartAreIgnored(t *testing.T) {
 	f := newFleet(t, 2)
 	f.restart(restartedTarget)
@@ -139,9 +139,9 @@
 	require.Equal(t, 7, statusOf(f, "a1", restartedTarget).PeersBusy)
 }
 
-// Symptom: some hosts use a restarted target and some don't. Sequence: one host reads the
-// platform, the others learn by its reports, one of them seconds later, after a cut.
-// Cause: news of a restart that only a read brings.
+// Guards against some hosts using a restarted target while others do not: when one host
+// reads the platform and the others learn of the restart by its reports, one of them
+// seconds later, after a partition.
 func TestRestartReachesEveryHost(t *testing.T) {
 	f := newFleet(t, 2, 2, 1)
 	f.splitZone("c")
@@ -158,8 +158,8 @@
 	}
 }
 
-// Symptom: flows of one service reach another's target. Sequence: a target starts again
-// under its ID in another service. Cause: it stays among the choices of the first.
+// Guards against flows of one service reaching another service's target: when a target
+// restarts under its ID in another service, it must not remain a candidate of the first.
 func TestTargetRestartedInAnotherService(t *testing.T) {
 	f := newFleet(t, 1)
 	target := f.targets[restartedTarget]
@@ -181,9 +181,10 @@
 	require.NotZero(t, landed)
 }
 
-// Symptom: a service stays closed to new flows. Sequence: a feed waits at a host; its
-// target starts again under its ID in another service. Cause: the end of the wait is
-// counted for the new service, so that one seems to wait at the old one for good.
+// Guards against a service that permanently refuses new flows: when a request is queued at
+// a host and its target restarts under its ID in another service, the end of the wait must
+// not be counted for the new service, which would leave a queued request counted at the old
+// one.
 func TestTargetRestartedInAnotherServiceLeavesNoQueuedRequest(t *testing.T) {
 	f, c, _ := hostWithQueuedRead(t)
 	target := f.targets[c.target]
