--- a/core/steerer/flow_reports_internal_test.go
+++ b/core/steerer/flow_reports_internal_test.go
@@ -12,16 +12,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The limiter takes its silence from how often hosts report.
+// The limiter derives from the report interval when a host counts as silent.
 func TestLimiterIntervalsMatchReportIntervals(t *testing.T) {
 	require.Equal(t, reportInterval, limiter.ZoneReportInterval)
 	require.Equal(t, sameZoneFanout, limiter.ZoneReportFanout)
 }
 
-// Symptom: in a large zone hosts take full targets to be empty. Sequence: 100 hosts tell each
-// other of flows at 300 targets; 120 fit into a report. Cause: all receivers share the turns
-// of a report, so some targets come to some hosts only, and those without flows take places in
-// it.
+// Guards against hosts of a large zone assuming that full targets are empty: when 100 hosts
+// report flows at 300 targets to each other, of which 120 fit into a report, the counts
+// must rotate separately for each receiver, and targets without flows must not use up space
+// in the report.
 func TestEveryHostOfALargeZoneLearnsAllFlowCounts(t *testing.T) {
 	s := New(Config{Self: "a1", AvailabilityZone: "a", Start: timekeeper.Instant(time.Second)})
 	s.connections.constrained["ledger"] = &constrainedService{name: "ledger", limit: 40}
@@ -49,7 +49,8 @@
 	}
 }
 
-// Routes come and go at a service without a bound of connections.
+// Guards against unlimited memory as routes come and go at a service without a connection
+// limit.
 func TestUsageOfRemovedRoutesIsForgotten(t *testing.T) {
 	s := New(Config{Self: "a1", AvailabilityZone: "a", Start: timekeeper.Instant(time.Second)})
 	for n := range 2000 {
@@ -61,7 +62,8 @@
 	}
 }
 
-// Reports name services that nobody has published, of zones without targets.
+// Guards against keeping reports about services that are not published, or about zones
+// without targets.
 func TestFlowReportsOfUnknownServicesAreIgnored(t *testing.T) {
 	s := New(Config{Self: "a1", AvailabilityZone: "a", Start: timekeeper.Instant(time.Second)})
 	_, _ = s.targets.upsert(Target{ID: "i-1", Number: 1, Service: "ledger", AvailabilityZone: "b"})
@@ -78,9 +80,9 @@
 	require.Empty(t, s.connections.remoteZoneFlows)
 }
 
-// Symptom: memory grows, and targets count as full. Sequence: the bound of a service is taken
-// back, and set again while flows of before are open. Cause: their ends count, their openings
-// did not.
+// Guards against growing memory and targets that count as full: when the connection limit
+// of a service is removed, and set again while earlier flows are open, their ends must not
+// be counted without their openings.
 func TestRemovedConnectionLimitLeavesNoState(t *testing.T) {
 	s := New(Config{Self: "a1", AvailabilityZone: "a", Start: timekeeper.Instant(time.Second)})
 	one, _ := s.targets.upsert(Target{ID: "i-1", Number: 1, Service: "ledger", AvailabilityZone: "a"})
@@ -98,8 +100,8 @@
 	require.Zero(t, s.usageOf("ledger", &f.route).openFlows)
 }
 
-// Flows that open after they were given up, and those taken over, count as found; a packet of
-// one that is closed takes no place.
+// Flows that are established after they were given up, and those taken over from another
+// host, count as discovered; a packet of a closed flow is not counted.
 func TestConnectionCountsAreSymmetric(t *testing.T) {
 	s := New(Config{Self: "a1", AvailabilityZone: "a", Start: timekeeper.Instant(time.Second)})
 	one, _ := s.targets.upsert(Target{ID: "i-1", Number: 1, Service: "ledger", AvailabilityZone: "a"})
@@ -111,7 +113,7 @@
 	require.Zero(t, count.NetOpened())
 	s.recordEstablished(f, one, &Packet{})
 	require.Equal(t, 1, count.Local())
-	require.Zero(t, count.NetOpened(), "it was found open")
+	require.Zero(t, count.NetOpened(), "it was already established")
 	s.uncountConnection(f)
 	require.Zero(t, count.NetOpened())
 	require.Zero(t, count.Local())
@@ -124,12 +126,12 @@
 func TestSmallLimitsReserveAConnectionForProbes(t *testing.T) {
 	for bound, reserved := range map[int]int{1: 0, 2: 1, 3: 1, 4: 1} {
 		v := &constrainedService{limit: bound}
-		require.Equal(t, reserved, v.limitFor(&Route{Name: "reads"}).Reserved, "of %d", bound)
+		require.Equal(t, reserved, v.limitFor(&Route{Name: "reads"}).Reserved, "connection limit %d", bound)
 	}
 }
 
-// Load: a slow target is full. Symptom: callers wait there for their repeats. Cause: a trial of
-// whether it is quick again asks nobody whether it has room.
+// Guards against callers waiting for their retransmission timeouts at a slow target that is
+// full: a trial of whether it is fast again must check that it has connections available.
 func TestTrialsSkipFullTargets(t *testing.T) {
 	s := New(Config{Self: "a1", AvailabilityZone: "a", Start: timekeeper.Instant(time.Second)})
 	one, _ := s.targets.upsert(Target{ID: "i-1", Number: 1, Service: "ledger", AvailabilityZone: "a", Slots: 4})
@@ -141,7 +143,7 @@
 	one.slowdownEstimate.Refresh(s.now)
 	for range 300 {
 		if one.slowdownEstimate.TrialDue(s.now) {
-			break // What was seen is old enough to be tried anew.
+			break // The observations are old enough for another trial.
 		}
 		s.advanceClock(s.now.Add(100 * time.Millisecond))
 		one.slowdownEstimate.Refresh(s.now)
@@ -170,8 +172,8 @@
 	require.True(t, tried())
 }
 
-// Sequence: a flow waits at a full target; its route is changed to a region, or removed; the
-// flow is sent on. Cause: it goes by the route of the time at which it was placed.
+// Guards against redispatching by outdated settings: when a half-open flow waits at a full
+// target and its route is restricted to a region, or removed, before it is redispatched.
 func TestRedispatchUsesCurrentRoute(t *testing.T) {
 	address := netip.MustParseAddrPort("10.0.0.1:443")
 	regions := map[string]string{"a": "north", "b": "south"}
@@ -196,8 +198,8 @@
 	require.Equal(t, second, f.target)
 }
 
-// Symptom: reports to other zones are lost. Sequence: dozens of services are short of
-// connections. Cause: an entry for each of them, more than a datagram holds.
+// Guards against losing reports to other zones: when dozens of services are constrained, an
+// entry for each of them does not fit a datagram.
 func TestZoneFlowsFitIntoOneReport(t *testing.T) {
 	s := New(Config{Self: "a1", AvailabilityZone: "a"})
 	for n := range 3 * maxReportedDemands {
@@ -209,10 +211,10 @@
 		report := &messenger.Report{ZoneDemands: []messenger.ServiceDemand{{Service: "service-05"}}}
 		s.addLocalZoneFlows(report)
 		require.LessOrEqual(t, len(report.ZoneDemands), maxReportedDemands)
-		require.NotZero(t, report.ZoneDemands[0].OpenFlows, "an entry that is there already takes no more room")
+		require.NotZero(t, report.ZoneDemands[0].OpenFlows, "an existing entry takes no further space")
 		for _, d := range report.ZoneDemands {
 			told[d.Service] = true
 		}
 	}
-	require.Len(t, told, 3*maxReportedDemands, "all have their turn")
+	require.Len(t, told, 3*maxReportedDemands, "all services are reported in turn")
 }
--- a/core/steerer/forwarding_test.go
+++ b/core/steerer/forwarding_test.go
@@ -9,10 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: an established flow breaks when hosts change.
-// Sequence: a flow opens through one host; its later packets come through a host
-// that has never seen it, while its target drains and vanishes from the list.
-// Cause: only the first host knew where the flow is.
+// Guards against established flows breaking when hosts change: when a flow is opened
+// through one host and its later packets come through a host that has never seen it, while
+// its target drains and is no longer listed.
 func TestFlowStaysOnItsTargetThroughAnyHost(t *testing.T) {
 	f := newFleet(t, 2, 2)
 	c := f.caller(1, readRoute)
@@ -33,9 +32,9 @@
 	require.Empty(t, f.hosts["b2"].resets)
 }
 
-// Symptom: a request reaches another service. Sequence: a target ends and its
-// address goes to a target of another service; a late packet of an old flow
-// arrives. Cause: packets that are sent to an address, not to a target.
+// Guards against requests reaching another service: when a target exits, its address is
+// reused by a target of another service, and a late packet of an old flow arrives, packets
+// must identify the target, not only its address.
 func TestLatePacketsAreAddressedToTheMissingTarget(t *testing.T) {
 	f := newFleet(t, 1)
 	c := f.caller(1, readRoute)
@@ -50,8 +49,8 @@
 	require.Equal(t, old.ID, f.lastTarget("a1"))
 }
 
-// Symptom: a target that leaves gets new work. Sequence: it drains; callers open
-// flows through every host. Cause: hosts that did not hear of it.
+// Guards against a draining target getting new flows through hosts that have not learned
+// that it is draining.
 func TestDrainingTargetsGetNoNewFlows(t *testing.T) {
 	f := newFleet(t, 3, 3, 2)
 	f.drain("i-10000001")
@@ -64,9 +63,9 @@
 	}
 }
 
-// Symptom: an attempt ends after 1.4 s although most targets are well.
-// Sequence: the chosen target is silent; the caller sends copies of its opening
-// packet. Cause: copies that follow the first packet.
+// Guards against an attempt failing after 1.4 s although most targets work: when the chosen
+// target is unresponsive and the caller retransmits its opening packet, the retransmission
+// must not go to the same target.
 func TestResentOpeningAvoidsUnresponsiveTarget(t *testing.T) {
 	f := newFleet(t, 1)
 	c := f.caller(1, readRoute)
@@ -77,9 +76,8 @@
 	require.NotEqual(t, first, c.target)
 }
 
-// Symptom: two targets believe in one flow. Sequence: the target's answer to the
-// opening packet is lost; the caller sends a copy. Cause: copies that always go
-// to another target.
+// Guards against a flow at two targets: when the target's response to the opening packet is
+// lost and the caller retransmits, the retransmission must not always go to another target.
 func TestResentOpeningStaysWithRespondingTarget(t *testing.T) {
 	f := newFleet(t, 1)
 	c := f.caller(1, readRoute)
@@ -97,10 +95,10 @@
 	require.Equal(t, first, c.target)
 }
 
-// Symptom: an open flow is reset by a host that lags behind.
-// Sequence: a route is added; a flow of it opens through a host that knows it;
-// the next packet comes through a host that does not know it yet.
-// Cause: a host that takes its own ignorance for a removed route.
+// Guards against a host with old settings resetting an established flow: when a route is
+// added, one of its flows is opened through a host that knows the route, and the next
+// packet comes through one that does not yet, an unknown route must not be taken for a
+// removed one.
 func TestEstablishedFlowOfUnknownRouteIsForwarded(t *testing.T) {
 	f := newFleet(t, 2)
 	f.deniedHosts["a2"] = true
@@ -117,8 +115,8 @@
 	require.Empty(t, f.hosts["a2"].resets)
 }
 
-// A caller whose route is gone is told at once: its new flow before anything
-// ran, its open flow as soon as it sends.
+// Flows of a removed route are reset at once: a new flow before any request runs, an
+// established flow as soon as its caller sends.
 func TestFlowsOfRemovedRouteAreReset(t *testing.T) {
 	f := newFleet(t, 1)
 	c := f.caller(1, uploadRoute)
@@ -132,7 +130,7 @@
 	require.Len(t, f.hosts["a1"].resets, 2)
 }
 
-// Two targets whose numbers shorten to one tag can't be told apart in packets,
+// Two targets whose numbers are shortened to the same tag cannot be told apart in packets,
 // so only the first gets flows.
 func TestTargetWithTakenTagGetsNoFlows(t *testing.T) {
 	f := newFleet(t, 1)
@@ -149,9 +147,9 @@
 	require.True(t, used["i-1"] != used["i-0"], "exactly one of the two is used")
 }
 
-// Symptom: callers see repeats and late answers while hosts are replaced.
-// Sequence: a host is asked to end; the fabric hands it packets until it has
-// missed two readiness checks. Cause: a process that ends at the signal.
+// Guards against retransmissions and late responses while hosts are replaced: when a host
+// is asked to shut down, the fabric hands it packets until it has failed two readiness
+// checks, so the process must not exit at the signal.
 func TestLeavingHostForwardsUntilFabricStopsSendingPackets(t *testing.T) {
 	f := newFleet(t, 2)
 	c := f.caller(1, readRoute)
@@ -166,7 +164,7 @@
 	}
 	late := f.caller(2, readRoute)
 	late.open("a1", 0)
-	require.NotEmpty(t, late.target, "new flows are taken as well")
+	require.NotEmpty(t, late.target, "new flows are forwarded as well")
 	require.False(t, f.hosts["a1"].ended)
 	f.step(700 * time.Millisecond)
 	require.True(t, f.hosts["a1"].ended)
--- a/core/steerer/median_internal_test.go
+++ b/core/steerer/median_internal_test.go
@@ -7,9 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: a host that starts in a crowd takes work for ten times as long as it is, for
-// minutes. Sequence: its first answer has waited; all that follow come while more than half
-// of the room is asked for. Cause: small steps from a first time that says nothing.
+// Guards against a host that starts during a load peak assuming ten times the actual
+// latency for minutes: when the first response was queued, and all later ones come while
+// more than half of the capacity is in demand, the first samples must not move the median
+// by small steps only.
 func TestFirstSampleUnderLoadDoesNotDominateMedian(t *testing.T) {
 	var u medianEstimator
 	u.add(400*time.Millisecond, true)
@@ -20,7 +21,7 @@
 	require.Less(t, u.median, 100*time.Millisecond)
 }
 
-// Load: a crowd of six seconds at 50 late answers a second. What is known by then stays.
+// A load peak of six seconds, with 50 late responses a second, barely moves a known median.
 func TestLoadPeakBarelyMovesMedian(t *testing.T) {
 	var u medianEstimator
 	for range 500 {
--- a/core/steerer/sampling_internal_test.go
+++ b/core/steerer/sampling_internal_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Failure: each new flow costs as much as its zone has targets of the service.
+// Guards against the cost of each new flow growing with the number of targets of the
+// service in its zone.
 func TestSamplingVisitsFewOfManyIdleTargets(t *testing.T) {
 	s := hostWithTargets(12_000)
 	for n := range uint64(100) {
@@ -16,7 +17,8 @@
 	}
 }
 
-// Failure: a sample finds a target that leaves, or a busy one while most are idle.
+// Guards against sampling that picks a draining target, or a loaded one while most are
+// idle.
 func TestSamplingPicksIdleTargets(t *testing.T) {
 	s := hostWithTargets(1_000)
 	for n, one := range s.targets.byService["ledger"] {
@@ -34,7 +36,7 @@
 	}
 }
 
-// Failure: the least busy target is passed over because it is in no sample.
+// Guards against missing the least loaded target because it is in no sample.
 func TestAllTargetsAreScannedWhenSampledTargetsAreBusy(t *testing.T) {
 	s := hostWithTargets(1_000)
 	all := s.targets.byService["ledger"]
@@ -47,7 +49,8 @@
 	}
 }
 
-// Failure: samples favour some targets, which get a crowd of flows before anybody knows.
+// Guards against biased samples, which would place a burst of flows on some targets before
+// other hosts know of it.
 func TestSamplesSpreadFlowsEvenly(t *testing.T) {
 	s := hostWithTargets(200)
 	chosen := map[string]int{}
--- a/core/steerer/unresponsive_targets_test.go
+++ b/core/steerer/unresponsive_targets_test.go
@@ -9,21 +9,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-// callerPool are callers with open flows that ask again and again, through hosts in turn.
+// callerPool is a set of callers with established flows that send requests repeatedly,
+// through different hosts.
 type callerPool struct {
 	f       *fleet
 	callers []*caller
 	hosts   []string
-	// unresponsiveTargets are the targets that answer nothing, and asked is when a caller has sent
-	// what is not answered yet.
+	// unresponsiveTargets holds the targets that do not respond; pendingSince holds when a
+	// caller sent the request that has no response yet.
 	unresponsiveTargets map[string]bool
 	pendingSince        map[*caller]timekeeper.Instant
 }
 
-// retransmitInterval is after how long a caller sends its packet again.
+// retransmitInterval is the time after which a caller retransmits.
 const retransmitInterval = 200 * time.Millisecond
 
-// newCallerPool opens flows through each host of some names.
+// newCallerPool opens flows through each of the given hosts.
 func newCallerPool(f *fleet, perHost int, names ...string) *callerPool {
 	all := &callerPool{f: f, unresponsiveTargets: map[string]bool{}, pendingSince: map[*caller]timekeeper.Instant{}}
 	for _, name := range names {
@@ -39,8 +40,8 @@
 	return all
 }
 
-// run lets every flow ask in turn, one every ten milliseconds, answered after one more
-// unless its target is silent.
+// run sends a request on one flow after the other, one every ten milliseconds. Each gets a
+// response ten milliseconds later unless its target is unresponsive.
 func (a *callerPool) run(span time.Duration) {
 	for clock := time.Duration(0); clock < span; clock += 10 * time.Millisecond {
 		at := int(clock/(10*time.Millisecond)) % len(a.callers)
@@ -54,7 +55,8 @@
 	}
 }
 
-// sendOrRetransmit lets a caller ask, or repeat what it has asked long enough ago.
+// sendOrRetransmit sends a caller's next request, or retransmits the current one if it is
+// due.
 func (a *callerPool) sendOrRetransmit(c *caller, name string) {
 	at, waits := a.pendingSince[c]
 	switch {
@@ -66,7 +68,7 @@
 	}
 }
 
-// crashZone silences the ledger's targets of a zone.
+// crashZone makes the ledger targets of a zone unresponsive.
 func (a *callerPool) crashZone(zone string) {
 	for id, target := range a.f.targets {
 		if target.AvailabilityZone == zone && target.Service == "ledger" {
@@ -76,13 +78,14 @@
 	}
 }
 
-// Symptom: requests of a zone whose targets have crashed are late by the length of a
-// repeat and a check, and those asked anew are sent to the next dead target. Sequence: a
-// zone crashes without a word; callers open flows and ask on open ones. Cause: each
-// target is found out by itself, by a caller that had to repeat itself.
+// Guards against requests to a crashed zone being late by a retransmission timeout and a
+// probe, and retried requests going to the next dead target: when a zone crashes without
+// sending resets while callers open flows and send requests, its targets must not be
+// detected one by one, each by a caller that has to retransmit.
 //
-// Grounds of the figures: callers repeat after 200 ms, a check takes 150 ms and the host
-// notices it late here, so that a host that waits for repeats needs 450 ms a target.
+// The times follow from the retransmission timeout of 200 ms and a probe of 150 ms, which
+// the host handles late here: a host that waits for retransmissions needs 450 ms per
+// target.
 func TestCrashedZoneIsAvoidedImmediately(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	all := newCallerPool(f, 9, "a1")
@@ -91,22 +94,22 @@
 	probe := f.caller(500, checkRoute)
 	probe.open("a1", 0)
 	require.Equal(t, "a", f.targetZone(probe.target))
-	f.step(170 * time.Millisecond) // No caller has repeated itself yet.
+	f.step(170 * time.Millisecond) // No caller has retransmitted yet.
 	for n := range 10 {
 		c := f.caller(600+n, checkRoute)
 		c.open("a1", 0)
-		require.Equal(t, "b", f.targetZone(c.target), "no caller is sent to a dead neighbour")
+		require.Equal(t, "b", f.targetZone(c.target), "no caller is sent to another dead target")
 	}
 	f.step(250 * time.Millisecond)
 	for _, c := range all.callers {
 		c.sendRequest("a1")
 	}
-	require.Len(t, f.hosts["a1"].resets, len(all.callers), "each is told at once to ask anew")
+	require.Len(t, f.hosts["a1"].resets, len(all.callers), "each flow is reset at once, so that its caller retries")
 }
 
-// Symptom: flows go to other zones, where they cost more, whenever one target crashes.
-// Sequence: one of a zone's targets falls silent, the others answer. Cause: the silence of
-// one taken for that of all.
+// Guards against flows going to other zones, where they cost more, whenever one target
+// crashes: when one target of a zone is unresponsive and the others respond, the zone is
+// not suspect.
 func TestOneCrashedTargetDoesNotEmptyItsZone(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	all := newCallerPool(f, 9, "a1")
@@ -115,7 +118,7 @@
 	all.unresponsiveTargets[dead] = true
 	f.probeOutcomes[dead] = steerer.ProbeConnectTimeout
 	all.run(time.Second)
-	for n := range 3 { // As many as the two others have room for.
+	for n := range 3 { // As many as the two other targets have capacity for.
 		c := f.caller(600+n, checkRoute)
 		c.open("a1", 0)
 		require.Equal(t, "a", f.targetZone(c.target))
@@ -123,9 +126,9 @@
 	}
 }
 
-// Symptom: a host that is short of processor time resets flows whose targets work.
-// Sequence: the answers to its checks come in time, and it looks at them too late. Cause:
-// a check that ended by the host's own lateness counts as the target's silence.
+// Guards against a host that is short of CPU time resetting flows of working targets: when
+// the responses to its probes arrive in time but are handled too late, a probe that timed
+// out because of the host itself is inconclusive.
 func TestLateProbeDoesNotMakeTargetUnreachable(t *testing.T) {
 	f := newFleet(t, 1)
 	all := newCallerPool(f, 6, "a1")
@@ -136,15 +139,15 @@
 	other := all.callers[1]
 	require.NotEqual(t, c.target, other.target)
 	other.sendRequest("a1")
-	other.ackResponse("a1") // The zone works, so the check is a long one.
+	other.ackResponse("a1") // The zone responds, so the probe is a long one.
 	c.retransmit("a1")
 	f.reduce("a1", &steerer.ProbeCompleted{Target: c.target, Outcome: steerer.ProbeConnectTimeout, Took: 310 * time.Millisecond})
 	require.Empty(t, f.hosts["a1"].resets)
 }
 
-// Symptom: a target that has crashed costs a late request at each host of its zone.
-// Sequence: one host finds it silent. Cause: it tells nobody. What it tells makes nobody
-// reset anything: a host that reaches the target keeps its flows.
+// Guards against a crashed target costing a late request at each host of its zone: when one
+// host finds it unresponsive, it reports it to the others. The report makes no host reset
+// flows: a host that reaches the target keeps them.
 func TestUnresponsiveTargetsAreReportedToOtherHosts(t *testing.T) {
 	f := newFleet(t, 3)
 	all := newCallerPool(f, 6, "a1", "a2")
@@ -157,7 +160,7 @@
 	c.retransmit("a1")
 	f.step(400 * time.Millisecond)
 	require.Len(t, f.hosts["a1"].resets, 1)
-	delete(f.probeOutcomes, dead) // The others reach it.
+	delete(f.probeOutcomes, dead) // The other hosts reach it.
 	for _, name := range []string{"a2", "a3"} {
 		for n := range 10 {
 			c := f.caller(700+n, checkRoute)
@@ -169,8 +172,8 @@
 	require.Empty(t, f.hosts["a2"].resets)
 }
 
-// openFlowInIsolatedZone has zone a evacuated, then cut off from some others whose targets fall
-// silent with their hosts, and opens a flow there.
+// openFlowInIsolatedZone evacuates zone a, then partitions it from the given other zones,
+// whose targets and hosts become unresponsive, and opens a flow there.
 func openFlowInIsolatedZone(t *testing.T, others ...string) (*fleet, *caller) {
 	hosts := []int{2}
 	for range others {
@@ -191,10 +194,10 @@
 	return f, c
 }
 
-// Symptom: an evacuated zone that is cut off loses every request, though its targets are
-// well. Sequence: the order comes, then the cut; its hosts reach no target but their own,
-// and hear no host of another zone. Cause: the order is obeyed by a host that nobody can
-// tell that it still holds. As soon as others are heard it holds again.
+// Guards against a partitioned evacuated zone failing every request although its targets
+// work: when the zone is evacuated and then partitioned, its hosts reach only their own
+// targets and hear from no host of another zone, so none can confirm that the order is
+// still valid. The order applies again as soon as other hosts are heard from.
 func TestPartitionedEvacuatedZoneUsesItsOwnTargets(t *testing.T) {
 	f, c := openFlowInIsolatedZone(t, "b", "c")
 	require.Equal(t, "a", f.targetZone(c.target))
@@ -205,16 +208,17 @@
 	require.NotEqual(t, "a", f.targetZone(c.target))
 }
 
-// The same with one other zone: it may be that one that was lost, so the order holds.
+// The same with one other zone: it may be that zone that was lost, so the order remains
+// valid.
 func TestEvacuationOrderHoldsWhenOnlyOtherZoneIsLost(t *testing.T) {
 	f, c := openFlowInIsolatedZone(t, "b")
 	require.NotEqual(t, "a", f.targetZone(c.target))
 }
 
-// Symptom: requests fail at their deadline although they arrive at hosts that work.
-// Sequence: a zone loses power, hosts and targets; the fabric hands its callers' packets to
-// another zone, whose hosts have never sent anything to the lost targets. Cause: each waits
-// for one more repeat of the caller.
+// Guards against requests failing at their deadline although they reach working hosts: when
+// a zone loses power, both hosts and targets, and the fabric hands its callers' packets to
+// another zone, the hosts there have never sent anything to the lost targets and must not
+// wait for another retransmission of each caller.
 func TestFlowsOfALostZoneAreResetPromptly(t *testing.T) {
 	f := newFleet(t, 2, 2)
 	all := newCallerPool(f, 4, "a1", "a2")
