--- a/core/steerer/connection_limits_test.go
+++ b/core/steerer/connection_limits_test.go
@@ -221,7 +221,7 @@
 		s.endFlow(0, false)
 	}
 	s.step(time.Second)
-	require.True(t, s.openFlow("a1", true), "connections that are released are used again")
+	require.True(t, s.openFlow("a1", true), "places that are left are used again")
 }
 
 // Guards against callers of the check route, which has a higher priority, being refused
@@ -239,14 +239,14 @@
 			s.keepFlowsActive()
 		}
 	}
-	require.Positive(t, s.refused, "reads use all connections that they may")
+	require.Positive(t, s.refused, "reads fill what they may")
 	opened := 0
 	for range 10 {
 		if s.openFlow("a1", true) {
 			opened++
 		}
 	}
-	require.Equal(t, 10, opened, "checks are admitted")
+	require.Equal(t, 10, opened, "checks find room")
 	require.False(t, s.openFlow("a1", false))
 }
 
@@ -267,7 +267,7 @@
 		require.True(t, s.openFlow("a1", false))
 		s.step(steerer.TickInterval)
 	}
-	require.Equal(t, 1, s.retransmissions, "only that of the first caller, whose flow the target might have accepted")
+	require.Equal(t, 1, s.retransmissions, "that of the first alone, which the target might have taken")
 	require.Zero(t, s.timedOut+s.refused)
 	require.Zero(t, s.countLogged("a1", "targetUnreachable"))
 	require.Zero(t, s.countLogged("a1", "flowReset"))
@@ -299,8 +299,8 @@
 		s.updateProbeOutcomes()
 		require.True(t, s.openFlow("a1", false))
 	}
-	require.Equal(t, 1, s.retransmissions, "only that of the first caller")
-	require.Positive(t, s.countLogged("a1", "flowSentOn"), "the host redispatches it before its caller retransmits it")
+	require.Equal(t, 1, s.retransmissions, "that of the first alone")
+	require.Positive(t, s.countLogged("a1", "flowSentOn"), "the host sends it on before its caller repeats it")
 }
 
 // Guards against flows being refused at half-empty targets: when callers lose power and end
@@ -315,7 +315,7 @@
 	for range 60 {
 		s.endFlow(0, true)
 	}
-	require.False(t, s.openFlow("a1", true), "no host knows yet")
+	require.False(t, s.openFlow("a1", true), "nobody knows yet")
 	for range 17 {
 		s.keepFlowsActive()
 		s.step(time.Second)
@@ -334,7 +334,7 @@
 	}
 	s.step(time.Second)
 	free := 6*19 - len(s.openFlows)
-	require.Less(t, free, 6*20/10, "the first host uses the connections that the second has no callers for")
+	require.Less(t, free, 6*20/10, "the first host uses what the second has no callers for")
 	s.refused = 0
 	probes := s.probes
 	for range 20 {
@@ -344,7 +344,7 @@
 	}
 	require.GreaterOrEqual(t, s.refused, 20-free)
 	require.Zero(t, s.retransmissions)
-	require.Equal(t, probes, s.probes, "no full target has to be probed")
+	require.Equal(t, probes, s.probes, "nobody has to try what is full")
 }
 
 // Guards against finding full targets one after the other in another zone: when a zone's
@@ -471,12 +471,12 @@
 			s.keepFlowsActive()
 		}
 	}
-	require.Positive(t, s.refused, "more flows are requested than fit")
+	require.Positive(t, s.refused, "all is asked for")
 	require.Equal(t, brief, served)
 
 	s.publish(3, 10)
 	for n := range 150 {
-		require.False(t, s.openFlow("a1", false), "no connection is available")
+		require.False(t, s.openFlow("a1", false), "nothing is left")
 		s.step(4 * steerer.TickInterval)
 		if n%10 == 0 {
 			s.keepFlowsActive()
@@ -488,7 +488,7 @@
 		}
 	}
 	s.step(time.Second)
-	require.True(t, s.openFlow("a1", false), "one connection at each target is enough, however long they were refused")
+	require.True(t, s.openFlow("a1", false), "one place at each target is enough, however long they were refused")
 }
 
 // newFullFleet fills all targets with flows of a1 as far as it lets them become full.
@@ -536,11 +536,11 @@
 		s.step(10 * time.Millisecond)
 		s.keepFlowsActive()
 	}
-	t.Log("redispatched", s.countLogged("a1", "flowSentOn")-sentOn, "resets", len(s.hosts["a1"].resets)-resets)
+	t.Log("sent on", s.countLogged("a1", "flowSentOn")-sentOn, "resets", len(s.hosts["a1"].resets)-resets)
 	for _, r := range s.hosts["a1"].resets[resets:] {
-		require.NotEqual(t, c.address, r.Caller, "a1 reset a flow that is established at a live target")
+		require.NotEqual(t, c.address, r.Caller, "a1 reset a flow that is open at a target that lives")
 	}
-	require.Equal(t, sentOn, s.countLogged("a1", "flowSentOn"), "a1 opened the flow at a second target")
+	require.Equal(t, sentOn, s.countLogged("a1", "flowSentOn"), "a1 opened it at a second target")
 }
 
 // Guards against redispatching without a probe: when another host's report makes the target
@@ -568,9 +568,9 @@
 		s.step(10 * time.Millisecond)
 		s.keepFlowsActive()
 	}
-	t.Log("redispatched", s.countLogged("a1", "flowSentOn")-sentOn, "resets", len(s.hosts["a1"].resets)-resets, "probes", s.countLogged("a1", "targetProbed")-probes)
+	t.Log("sent on", s.countLogged("a1", "flowSentOn")-sentOn, "resets", len(s.hosts["a1"].resets)-resets, "probes", s.countLogged("a1", "targetProbed")-probes)
 	for _, r := range s.hosts["a1"].resets[resets:] {
-		require.NotEqual(t, c.address, r.Caller, "reset without a probe, while its target's response is in flight")
+		require.NotEqual(t, c.address, r.Caller, "reset without a check, while its target's answer is under way")
 	}
 	require.Equal(t, sentOn, s.countLogged("a1", "flowSentOn"))
 }
@@ -629,7 +629,7 @@
 		now := s.countLogged("a1", "flowSentOn")
 		before, most = now, max(most, now-before)
 	}
-	t.Log("redispatched", before, "maximum in a tick", most)
+	t.Log("sent on", before, "most in a tick", most)
 	require.Greater(t, before, 40)
-	require.LessOrEqual(t, most, 50, "those of the previous tick and of this one")
+	require.LessOrEqual(t, most, 50, "those of the tick before and those of this one")
 }
--- a/core/steerer/connection_reservations.go
+++ b/core/steerer/connection_reservations.go
@@ -79,7 +79,7 @@
 	}
 	f.connectionCount = nil
 	use := s.usageOf(f.target.Service, &f.route)
-	use.openFlows = max(use.openFlows-1, 0) // Flows may be older than the connection limit.
+	use.openFlows = max(use.openFlows-1, 0) // Flows may be older than the connection limit, if it has just been set.
 	if f.established && s.now.Since(f.openingSentAt) < shortLivedLimit {
 		use.shortLivedFlows++
 	}
--- a/core/steerer/fast_failure_test.go
+++ b/core/steerer/fast_failure_test.go
@@ -62,7 +62,7 @@
 	learnBaselineLatency(f, "a1")
 	require.NotZero(t, countPlacements(f, "a1", failingTarget, 1000))
 	failFast(f, "a1", failingTarget, 2000)
-	require.NotZero(t, countPlacements(f, "a1", failingTarget, 3000), "one fast response may be chance")
+	require.NotZero(t, countPlacements(f, "a1", failingTarget, 3000), "one quick answer may be chance")
 	failFast(f, "a1", failingTarget, 4000)
 	require.Zero(t, countPlacements(f, "a1", failingTarget, 6000))
 	for _, status := range f.hosts["a1"].steerer.TargetStatuses() {
@@ -71,7 +71,7 @@
 		}
 	}
 	f.step(4 * time.Second)
-	require.NotZero(t, countPlacements(f, "a1", failingTarget, 7000), "it gets flows again after a while")
+	require.NotZero(t, countPlacements(f, "a1", failingTarget, 7000), "it is given another chance")
 }
 
 // Guards against avoiding working targets after a load peak: when all responses take ten
--- a/core/steerer/fleet_load_test.go
+++ b/core/steerer/fleet_load_test.go
@@ -42,7 +42,7 @@
 	for _, name := range f.names {
 		require.Equal(t, uint64(2), f.hosts[name].steerer.Snapshot().Version, name)
 	}
-	require.Less(t, f.reads-reads, 20, "of 30 hosts; about 8 if nothing changes")
+	require.Less(t, f.reads-reads, 20, "of 30 hosts; some 8 when nothing changes")
 }
 
 // Guards against thousands of calls to the platform in an outage of five seconds, which are
@@ -56,7 +56,7 @@
 	f.step(3 * time.Second)
 	f.reads = 0
 	f.step(6 * time.Second)
-	require.Less(t, f.reads, 2*6*15, "ten attempts a second each for settings and targets")
+	require.Less(t, f.reads, 2*6*15, "ten tries a second for each of settings and targets")
 	f.down = false
 	f.settings = newSettings(2, routes()[:2])
 	f.step(2500 * time.Millisecond)
@@ -100,7 +100,7 @@
 	}
 	require.Equal(t, 2*60, f.staleReads)
 	f.step(4 * time.Second)
-	require.Less(t, f.reads-f.staleReads, 60, "reads that count towards the rate limit, of 60 hosts")
+	require.Less(t, f.reads-f.staleReads, 60, "reads that count, of 60 hosts")
 	for _, name := range f.names {
 		require.Less(t, f.hosts[name].steerer.Snapshot().TargetsAge, 3*time.Second, name)
 	}
--- a/core/steerer/flow_reports_internal_test.go
+++ b/core/steerer/flow_reports_internal_test.go
@@ -113,7 +113,7 @@
 	require.Zero(t, count.NetOpened())
 	s.recordEstablished(f, one, &Packet{})
 	require.Equal(t, 1, count.Local())
-	require.Zero(t, count.NetOpened(), "it was already established")
+	require.Zero(t, count.NetOpened(), "it was found open")
 	s.uncountConnection(f)
 	require.Zero(t, count.NetOpened())
 	require.Zero(t, count.Local())
@@ -126,7 +126,7 @@
 func TestSmallLimitsReserveAConnectionForProbes(t *testing.T) {
 	for bound, reserved := range map[int]int{1: 0, 2: 1, 3: 1, 4: 1} {
 		v := &constrainedService{limit: bound}
-		require.Equal(t, reserved, v.limitFor(&Route{Name: "reads"}).Reserved, "connection limit %d", bound)
+		require.Equal(t, reserved, v.limitFor(&Route{Name: "reads"}).Reserved, "of %d", bound)
 	}
 }
 
@@ -211,10 +211,10 @@
 		report := &messenger.Report{ZoneDemands: []messenger.ServiceDemand{{Service: "service-05"}}}
 		s.addLocalZoneFlows(report)
 		require.LessOrEqual(t, len(report.ZoneDemands), maxReportedDemands)
-		require.NotZero(t, report.ZoneDemands[0].OpenFlows, "an existing entry takes no further space")
+		require.NotZero(t, report.ZoneDemands[0].OpenFlows, "an entry that is there already takes no more room")
 		for _, d := range report.ZoneDemands {
 			told[d.Service] = true
 		}
 	}
-	require.Len(t, told, 3*maxReportedDemands, "all services are reported in turn")
+	require.Len(t, told, 3*maxReportedDemands, "all have their turn")
 }
--- a/core/steerer/forwarding_test.go
+++ b/core/steerer/forwarding_test.go
@@ -164,7 +164,7 @@
 	}
 	late := f.caller(2, readRoute)
 	late.open("a1", 0)
-	require.NotEmpty(t, late.target, "new flows are forwarded as well")
+	require.NotEmpty(t, late.target, "new flows are taken as well")
 	require.False(t, f.hosts["a1"].ended)
 	f.step(700 * time.Millisecond)
 	require.True(t, f.hosts["a1"].ended)
--- a/core/steerer/health_test.go
+++ b/core/steerer/health_test.go
@@ -22,7 +22,7 @@
 			return c
 		}
 	}
-	f.t.Fatalf("no flow was placed on %s", target)
+	f.t.Fatalf("no flow landed on %s", target)
 	return nil
 }
 
@@ -53,7 +53,7 @@
 	}
 	idle := read
 	idle.sendRequest("a1")
-	require.Len(t, f.hosts["a1"].resets, 2, "an idle flow's next request is reset at once")
+	require.Len(t, f.hosts["a1"].resets, 2, "an idle flow's next request is told at once")
 }
 
 // Guards against resetting established flows of a working target: when the target is at its
@@ -158,7 +158,7 @@
 		}
 		f.step(2 * time.Millisecond)
 	}
-	require.LessOrEqual(t, swallowed, 1+open/3, "no more than its share of six targets")
+	require.LessOrEqual(t, swallowed, 1+open/3, "no more than its share among six")
 }
 
 // An unreachable target gets flows again once it responds to a probe, and is probed rarely
--- a/core/steerer/held_packets_test.go
+++ b/core/steerer/held_packets_test.go
@@ -18,7 +18,7 @@
 	f.hosts[name].sent = nil
 	f.start(name)
 	beforeFirstRead()
-	require.Empty(f.t, f.hosts[name].sent, "the host is not ready yet")
+	require.Empty(f.t, f.hosts[name].sent, "nothing is known yet")
 }
 
 // Guards against callers being served a second or more after the hosts are back from a loss
@@ -56,7 +56,7 @@
 	f.step(steerer.TickInterval)
 	open.sendRequest("a1")
 	require.Len(t, f.hosts["a1"].sent, 2)
-	require.Equal(t, early.target, f.hosts["a1"].sent[0].target, "it was received before the targets were known")
+	require.Equal(t, early.target, f.hosts["a1"].sent[0].target, "it came before the targets were known")
 	require.Equal(t, open.target, f.hosts["a1"].sent[1].target)
 	fresh := f.caller(3, checkRoute)
 	fresh.open("a1", 0)
--- a/core/steerer/path_test.go
+++ b/core/steerer/path_test.go
@@ -37,7 +37,7 @@
 
 	f.step(4 * time.Second)
 	stallRequest(f, read)
-	require.NotEmpty(t, f.hosts["a1"].resets, "the path is no longer slow")
+	require.NotEmpty(t, f.hosts["a1"].resets, "the path is good again")
 }
 
 // Guards against callers of unresponsive targets never being reset where callers are
@@ -99,7 +99,7 @@
 
 	f.step(2 * time.Second)
 	stallRequest(f, read)
-	require.NotEmpty(t, f.hosts["a1"].resets, "the link is no longer full")
+	require.NotEmpty(t, f.hosts["a1"].resets, "the link is free again")
 }
 
 // Guards against callers of an unresponsive target waiting until their deadline on hosts
--- a/core/steerer/target_restart_test.go
+++ b/core/steerer/target_restart_test.go
@@ -22,7 +22,7 @@
 func statusOf(f *fleet, name, target string) steerer.TargetStatus {
 	all := f.hosts[name].steerer.TargetStatuses()
 	at := slices.IndexFunc(all, func(one steerer.TargetStatus) bool { return one.Target == target })
-	require.GreaterOrEqual(f.t, at, 0, "%s has no target %s", name, target)
+	require.GreaterOrEqual(f.t, at, 0, "%s knows %s", name, target)
 	return all[at]
 }
 
@@ -78,7 +78,7 @@
 	require.Equal(t, []sentPacket{{target: restartedTarget, data: "ask", flow: c.address.String()}}, f.hosts["a1"].sent[sentBefore:], "the read, not the check")
 	require.Empty(t, f.hosts["a1"].resets)
 	c.ackResponse("a1")
-	require.Equal(t, restartedTarget, f.lastTarget("a1"), "the flow continues if it was opened at the new incarnation")
+	require.Equal(t, restartedTarget, f.lastTarget("a1"), "the flow goes on if it had opened at the new life")
 }
 
 // Guards against avoiding a working target after its restart: when a probe is in flight
--- a/core/steerer/target_selection.go
+++ b/core/steerer/target_selection.go
@@ -114,7 +114,7 @@
 	}
 	for _, t := range s.targets.candidates(c.service) {
 		if best != nil && bestLoad < crossZonePenalty && t.AvailabilityZone != s.config.AvailabilityZone {
-			break // The remaining targets are in other zones, and each has at least this load.
+			break // The remaining targets are in other zones, each with at least crossZonePenalty.
 		}
 		if s.exclusionOf(t, views) != notExcluded || !s.warmUpAllows(t) {
 			continue
--- a/core/steerer/unresponsive_targets_test.go
+++ b/core/steerer/unresponsive_targets_test.go
@@ -98,13 +98,13 @@
 	for n := range 10 {
 		c := f.caller(600+n, checkRoute)
 		c.open("a1", 0)
-		require.Equal(t, "b", f.targetZone(c.target), "no caller is sent to another dead target")
+		require.Equal(t, "b", f.targetZone(c.target), "no caller is sent to a dead neighbour")
 	}
 	f.step(250 * time.Millisecond)
 	for _, c := range all.callers {
 		c.sendRequest("a1")
 	}
-	require.Len(t, f.hosts["a1"].resets, len(all.callers), "each flow is reset at once, so that its caller retries")
+	require.Len(t, f.hosts["a1"].resets, len(all.callers), "each is told at once to ask anew")
 }
 
 // Guards against flows going to other zones, where they cost more, whenever one target
