--- a/core/steerer/fleet_load_test.go
+++ b/core/steerer/fleet_load_test.go
@@ -45,7 +45,7 @@
 	require.Less(t, f.reads-reads, 20, "of 30 hosts; some 8 when nothing changes")
 }
 
-// Guards against thousands of calls to the platform in an outage of five seconds, which are
+// Guards against about a thousand calls to the platform in an outage of five seconds, which are
 // most of its price for a day of a large fleet and hinder its recovery: when the platform
 // goes down and every host retries about once a second, for settings and targets, the retry
 // interval must grow with the number of hosts.
--- a/core/steerer/pause.go
+++ b/core/steerer/pause.go
@@ -18,7 +18,7 @@
 	// them are then of no use to any caller.
 	stalePauseFactor = 1.5
 	// staleWindow is how long after such a pause packets count as stale: the time in which
-	// a host reads the packets queued in its socket, a few thousand. A caller whose packet
+	// a host reads the packets queued in its socket, about a thousand. A caller whose packet
 	// was not stale retransmits it after 200 ms, so a longer window costs more than it
 	// saves.
 	staleWindow = 20 * time.Millisecond
