--- a/core/steerer/changes.go
+++ b/core/steerer/changes.go
@@ -8,28 +8,29 @@
 )
 
 const (
-	// maxChangesPerReport bounds the changes in a report, so that it fits a datagram.
+	// maxChangesPerReport limits the changes in a report so that the report fits into a
+	// datagram.
 	maxChangesPerReport = 10
 	// changeRetention is how long a change is repeated in reports.
 	changeRetention = 3 * time.Second
 )
 
-// pendingChange is a target whose state other hosts should hear of.
+// pendingChange is a target whose state is to be reported to other hosts.
 type pendingChange struct {
 	target   *target
 	deadline timekeeper.Instant
-	// timesSent counts the reports that have told of it.
+	// timesSent counts the reports that have carried the change.
 	timesSent int
 }
 
-// pendingChanges are what reports tell of, those that were told the least first.
+// pendingChanges lists the changes that reports carry, those sent least often first.
 //
-// What goes wrong if all are told by turns: targets are replaced, and what is new waits
-// behind what everybody has heard. One notices by hosts that ask others, or the platform,
-// for what reports could have told them.
+// If changes took turns, new ones would wait behind those that every host already knows while
+// targets are replaced. The symptom is hosts that request from other hosts, or from the
+// platform, what reports could have told them.
 type pendingChanges []pendingChange
 
-// queueChange marks a target's state as news.
+// queueChange schedules a target's state for reports.
 func (s *Steerer) queueChange(t *target) {
 	s.peers.reportNow = true
 	s.peers.changes.add(t, s.now.Add(changeRetention))
@@ -44,13 +45,13 @@
 	c.insert(pendingChange{target: t, deadline: deadline})
 }
 
-// insert lists a change behind those that were told as often.
+// insert places a change behind those that have been sent as often.
 func (c *pendingChanges) insert(entry pendingChange) {
 	index, _ := slices.BinarySearchFunc(*c, entry.timesSent+1, func(other pendingChange, told int) int { return other.timesSent - told })
 	*c = slices.Insert(*c, index, entry)
 }
 
-// next returns the changes that the next report tells, and counts them as told.
+// next returns the changes for the next report and counts them as sent.
 func (c *pendingChanges) next() []*target {
 	batch := slices.Clone((*c)[:min(len(*c), maxChangesPerReport)])
 	*c = slices.Delete(*c, 0, len(batch))
@@ -63,7 +64,7 @@
 	return targets
 }
 
-// expire drops the changes that have been told for long enough.
+// expire drops the changes whose time is over.
 func (c *pendingChanges) expire(now timekeeper.Instant) {
 	*c = slices.DeleteFunc(*c, func(entry pendingChange) bool {
 		expired := entry.deadline.Passed(now)
--- a/core/steerer/peers.go
+++ b/core/steerer/peers.go
@@ -12,119 +12,124 @@
 )
 
 const (
-	// reportInterval is the time between two rounds of reports, and between two
-	// reports to a host of the own zone in a small fleet.
+	// reportInterval is the interval between two rounds of reports, and between two reports
+	// to a host of the same zone in a small fleet.
 	reportInterval = 250 * time.Millisecond
-	// crossZoneReportInterval is the time between two reports to a host of another zone in
-	// a small fleet; traffic between zones is priced. It stays below readRankDelay:
-	// a host that waits for another's read must hear of it in time.
+	// crossZoneReportInterval is the interval between two reports to a host of another zone
+	// in a small fleet; cross-zone traffic costs money. It stays below readRankDelay: a host
+	// that waits for another's read must learn of it in time.
 	crossZoneReportInterval = 300 * time.Millisecond
-	// maxRoundAdvance is how far rounds of reports may run ahead of one each reportInterval while there
-	// is news: a piece of it goes out at once, a stream of it as often as anything else.
+	// maxRoundAdvance is how far rounds of reports may run ahead of one per reportInterval
+	// while there are pending changes. A single change is reported at once, and a steady
+	// stream of changes does not raise the rate of reports.
 	maxRoundAdvance = 2 * reportInterval
-	// smallFleetSize is how many other hosts a host tells one by one. In a larger fleet
-	// it tells reportFanout of them a round, sameZoneFanout of them in its own zone, so that
-	// its control traffic does not grow with the fleet: 16 reports a second of
-	// some 400 bytes. News then takes about as many rounds as the fleet has digits
-	// to the base of reportFanout + 1.
+	// smallFleetSize is the number of other hosts up to which a host reports to each of them.
+	// In a larger fleet it reports to reportFanout of them per round, sameZoneFanout of these
+	// in its own zone, so that its control traffic does not grow with the fleet: 16 reports a
+	// second of about 400 bytes. An update then takes about as many rounds as the logarithm
+	// of the fleet size to the base reportFanout + 1.
 	//
-	// One host of any zone a round is enough to take news to each zone within a round or
-	// two, since all hosts of a zone tell it; the others are where traffic has no price.
+	// One host of any zone per round is enough to carry updates to each zone within a round
+	// or two, because all hosts of a zone send them. The other reports go where traffic costs
+	// nothing.
 	smallFleetSize = 12
 	reportFanout   = 4
 	sameZoneFanout = 3
-	// peerTimeout is after how long a silent host is not asked any more. Two
+	// peerTimeout is after how long without a report a host gets no more sync requests. Two
 	// reports in a row may be lost.
 	peerTimeout = time.Second
-	// peerLoadRetention is how long a host's load counts. Requests take some 50 ms, so
-	// older figures tell of others.
+	// peerLoadRetention is how long a host's reported load counts. Requests take about 50 ms,
+	// so older figures describe requests that have ended.
 	peerLoadRetention = 600 * time.Millisecond
-	// peerRetention is after how long a host that nobody mentions is forgotten.
+	// peerRetention is after how long a host that no report names is dropped.
 	peerRetention = 60 * time.Second
-	// peerSweepInterval is how often hosts to forget are looked for.
+	// peerSweepInterval is the interval between sweeps for hosts to drop.
 	peerSweepInterval = time.Second
-	// aliveTimeoutSmallFleet is after how long a host that nobody mentions does not count
-	// for rank, in a small fleet. In a larger one word of a host goes from zone to zone by
-	// one report of a round, which takes up to aliveTimeoutLargeFleet, and each host is
-	// mentioned more rarely, by maxGossipedHosts in each of some 16 reports a second.
+	// aliveTimeoutSmallFleet is after how long a host that no report names does not count for
+	// the rank, in a small fleet. In a larger fleet a report of a host being alive crosses
+	// zones with one report per round, which takes up to aliveTimeoutLargeFleet, and each
+	// host is named less often: maxGossipedHosts hosts in each of about 16 reports a second.
 	aliveTimeoutSmallFleet = time.Second
 	aliveTimeoutLargeFleet = 5 * time.Second
 	mentionsPerSecond      = 4 * reportFanout * maxGossipedHosts
-	// missedMentions is how many mentions must fail to come: one in e^8 hosts that
-	// live is missed.
+	// missedMentions is the number of expected mentions that must fail to arrive. One in e^8
+	// live hosts is wrongly presumed dead.
 	missedMentions = 8
-	// seedInterval is the time between two reports to an address from which nothing
-	// is heard.
+	// seedInterval is the interval between two reports to an address from which nothing is
+	// received.
 	seedInterval = time.Second
-	// startSeedInterval is the same while this host does not know where packets go. Seeds
-	// that start at the same time may be up some tenths of a second later.
+	// startSeedInterval applies instead while this host cannot route yet. Seeds that start at
+	// the same time may be up a few tenths of a second later.
 	startSeedInterval = 200 * time.Millisecond
-	// notifiedReaders is how many hosts, next in rank, hear of a read of the platform at once:
-	// as many as would read within the time that the news takes to all.
+	// notifiedReaders is how many hosts, next in rank, are informed of a read of the platform
+	// at once: as many as would read before the update reaches all hosts.
 	notifiedReaders = 3
-	// maxGossipedHosts bounds the hosts that a report names.
+	// maxGossipedHosts limits the hosts that a report names.
 	maxGossipedHosts = 8
-	// gossipAgeUnit is the unit in which reports say how long ago a host was heard.
+	// gossipAgeUnit is the unit in which reports give the time since a host last reported.
 	gossipAgeUnit = 100 * time.Millisecond
 )
 
-// peer is what a host knows of another.
+// peer is a host's record of another host.
 type peer struct {
 	name    string
 	address netip.AddrPort
 	zone    string
-	// linkBytesPerSecond is what the host's link carries, in bytes a second; 0 if unknown.
+	// linkBytesPerSecond is the capacity of the host's link; 0 if unknown.
 	linkBytesPerSecond int
 	incarnation        uint64
 	shuttingDown       bool
-	// lastReport is when its last report came; 0 if it is known by name only.
+	// lastReport is when its last report arrived; 0 if only its name is known.
 	lastReport timekeeper.Instant
-	// lastAlive is when it last reported, or a host mentioned that it had.
+	// lastAlive is when it last reported to this host or, according to a report, to any
+	// other.
 	lastAlive  timekeeper.Instant
 	nextReport timekeeper.Instant
-	// flowsCursor is where its next report begins among the targets of whose flows it is told.
+	// flowsCursor is where its next report continues in the list of targets whose flows are
+	// reported to it.
 	flowsCursor int
-	// hash, of the name, orders hosts whose links are equal.
+	// hash is the hash of the name, which orders hosts whose links are equal.
 	hash uint64
-	// busy counts the host's requests under way, by the target's tag.
+	// busy counts the host's requests in flight by the target's tag.
 	busy map[uint32]uint16
-	// inRecent and loaded say that the host is in peers.recent and peers.loaded.
+	// inRecent and inLoaded are set while the host is in peers.recent and peers.loaded.
 	inRecent bool
 	inLoaded bool
-	// version and position are what the host had in force at its last report.
+	// version and position are those of the host's settings and targets at its last report.
 	version  uint64
 	position sequencer.Position
 }
 
-// peers is the list of other hosts, with what is to be told them.
+// peers holds the other hosts and the state of the reports to them.
 type peers struct {
 	byName map[string]*peer
 	sorted []*peer
 	zones  peerZones
-	// alive is how many hosts live as far as anybody says.
+	// alive counts the hosts that are presumed alive.
 	alive aliveCounts
-	// visits counts the entries of the lists handed out; see table.visits.
+	// visits counts the entries of the lists handed out; see targetTable.entriesVisited.
 	visits uint64
-	// recent are the hosts that reported within peerTimeout, a few of a large fleet, in the
-	// order of their names.
+	// recent are the hosts that reported within peerTimeout, a few of a large fleet, ordered
+	// by name.
 	recent []*peer
-	// loaded are the hosts whose requests under way count in the load of targets.
+	// loaded are the hosts whose requests in flight count in the load of targets.
 	loaded []*peer
-	// sweepDeadline is when hosts that fell silent are next looked for.
+	// sweepDeadline is when to look next for hosts that have timed out.
 	sweepDeadline timekeeper.Instant
-	// zoneEpoch is zones.epoch as of when the warmer was last told of hosts.
+	// zoneEpoch is the generation of zones when the warmer was last given the hosts.
 	zoneEpoch uint64
-	// reportNow asks for a report at once.
+	// reportNow requests a report at once.
 	reportNow bool
 	changes   pendingChanges
 	seeds     map[netip.AddrPort]timekeeper.Instant
-	// expectedInZone is how many hosts of the own zone, this one among them, hosts of other
-	// zones have heard of; 0 before they say so.
+	// expectedInZone is the number of hosts of the local zone, including this one, that hosts
+	// of other zones report; 0 before any report.
 	expectedInZone int
-	// zoneEstablished says that some host of the own zone has run for a while.
+	// zoneEstablished is set once a host of the local zone has reported a long uptime.
 	zoneEstablished bool
-	// roundDeadline is when the next round of a larger fleet begins. sameZoneQueue and order
-	// are the hosts of the own zone, and all, that have not had their turn yet.
+	// roundDeadline is when the next round of reports of a larger fleet is due. sameZoneQueue
+	// and queue hold the hosts of the local zone, and of all zones, that are still to be
+	// reported to in turn.
 	roundDeadline timekeeper.Instant
 	sameZoneQueue []*peer
 	queue         []*peer
@@ -140,7 +145,7 @@
 	return p.sorted
 }
 
-// reportedRecently reports whether a host can be counted on at present.
+// reportedRecently reports whether a host has reported recently and is not shutting down.
 func (p *peer) reportedRecently(now timekeeper.Instant) bool {
 	return p.lastReport != 0 && !p.shuttingDown && now.Since(p.lastReport) < peerTimeout
 }
@@ -148,9 +153,9 @@
 // hasState reports whether a host had settings and targets at its last report.
 func (p *peer) hasState() bool { return p.version != 0 && p.position.Known() }
 
-// rank is the place of this host among those that live as far as it knows: those with
-// the larger links first, which a read of everything holds up for the shortest time,
-// and hosts with equal or unknown ones by their names.
+// rank is this host's position among those presumed alive: hosts with larger links first,
+// because a full read occupies them for the shortest time, and hosts with equal or unknown
+// links in the order of the hashes of their names.
 func (s *Steerer) rank() int { return s.countAlive().readers }
 
 // readsBefore reports whether another host has a lower rank than this one.
@@ -163,11 +168,11 @@
 
 // reportToNextReaders reports a read of the platform to the hosts that would read next.
 //
-// What goes wrong if they learn of it with all others: in a large fleet the news takes
-// some rounds of reports, and the second, third and fourth in rank have read by then.
+// If they learned of it together with all others, which takes a few rounds of reports in a
+// large fleet, the second, third and fourth in rank would already have read by then.
 func (s *Steerer) reportToNextReaders() {
 	if len(s.peers.byName) <= smallFleetSize {
-		return // Everybody is told in time.
+		return // The regular reports reach all hosts in time.
 	}
 	var next []*peer
 	silence := s.aliveTimeout()
@@ -187,7 +192,7 @@
 	}
 }
 
-// aliveTimeout is after how long a host that nobody mentions does not count.
+// aliveTimeout is after how long a host that no report names does not count as alive.
 func (s *Steerer) aliveTimeout() time.Duration {
 	all := len(s.peers.byName)
 	if all <= smallFleetSize {
@@ -196,24 +201,24 @@
 	return aliveTimeoutLargeFleet + time.Second*missedMentions*time.Duration(all)/mentionsPerSecond
 }
 
-// presumedAlive reports whether a host lives as far as anybody says.
+// presumedAlive reports whether a host has reported recently to this host or, according to
+// reports, to any other.
 func (p *peer) presumedAlive(now timekeeper.Instant, silence time.Duration) bool {
 	return p.lastAlive != 0 && !p.shuttingDown && now.Since(p.lastAlive) < silence
 }
 
-// aliveCounts counts the hosts that live as far as anybody says, as of some moment before
-// deadline.
+// aliveCounts holds the numbers of hosts presumed alive. They are valid until deadline.
 type aliveCounts struct {
 	deadline timekeeper.Instant
-	// all are the other hosts of all zones, near those of the own zone, and readers those that
-	// read the platform before this one.
+	// all is the number of other hosts in all zones, sameZone of those in the local zone, and
+	// readers of those that read the platform before this one.
 	all      int
 	sameZone int
 	readers  int
 }
 
-// countAlive returns how many other hosts live. In a larger fleet the count may be as old
-// as the time between two rounds of reports, which is when it changes.
+// countAlive counts the other hosts that are presumed alive. In a larger fleet the counts may
+// be as old as one interval between two rounds of reports, which is when they change.
 func (s *Steerer) countAlive() *aliveCounts {
 	l := &s.peers.alive
 	if !l.deadline.Passed(s.now) {
@@ -239,13 +244,13 @@
 	return l
 }
 
-// lostZones are the other zones of a larger fleet of whose hosts nobody has heard any for
-// zoneReportTTL.
+// lostZones returns the other zones of a larger fleet of which no host has been reported
+// alive for zoneReportTTL.
 //
-// What goes wrong if each of their hosts counts until it has not been mentioned for long
-// enough, which takes longer the more hosts there are: a zone is lost, and hosts of other zones
-// wait for those of its hosts that would read the platform before them. One notices by changes
-// that come late in the first minute after the loss of a zone.
+// Without this, each host of a lost zone would count until its own timeout, which grows with
+// the fleet. Hosts of other zones would wait for the lost hosts that rank before them to read
+// the platform, which shows as changes that arrive late in the first minute after the loss of
+// a zone.
 func (s *Steerer) lostZones() map[string]bool {
 	lost := map[string]bool{}
 	if len(s.peers.byName) <= smallFleetSize {
@@ -261,15 +266,15 @@
 	return lost
 }
 
-// alivePeers counts the other hosts that live as far as this one knows.
+// alivePeers returns the number of other hosts that are presumed alive.
 func (s *Steerer) alivePeers() int { return s.countAlive().all }
 
-// aliveInZone counts the hosts of the own zone that live as far as anybody says, this one
-// among them.
+// aliveInZone returns the number of hosts of the local zone that are presumed alive,
+// including this one.
 func (s *Steerer) aliveInZone() int { return 1 + s.countAlive().sameZone }
 
-// upsertPeer returns the record of a host, which it makes if there is none. The host
-// reported to somebody so long ago.
+// upsertPeer returns the record of a host and creates it if there is none. The host was alive
+// that long ago.
 func (s *Steerer) upsertPeer(name string, address netip.AddrPort, age time.Duration) *peer {
 	p, ok := s.peers.byName[name]
 	if !ok {
@@ -301,12 +306,13 @@
 	s.reportToSeeds()
 }
 
-// roundDue reports whether a larger fleet's next round of reports begins. News begins one
-// early, as long as the rounds are not maxRoundAdvance before their time.
+// roundDue reports whether the next round of reports of a larger fleet is due. Pending
+// changes start a round early, as long as the rounds are not ahead of schedule by more than
+// maxRoundAdvance.
 //
-// What goes wrong without that bound: targets are replaced, each tick of each host brings
-// news, and a host sends and takes in five times as many reports as on a quiet day. One
-// notices by small hosts that have no processor time left during a release.
+// Without that limit, while targets are replaced each tick of each host brings changes, and a
+// host would send and process five times as many reports as normally, which shows as small
+// hosts that run out of processor time during a release.
 func (p *peers) roundDue(now timekeeper.Instant) bool {
 	if p.reportNow {
 		now = now.Add(maxRoundAdvance)
@@ -314,7 +320,7 @@
 	return p.roundDeadline.Passed(now)
 }
 
-// recordReport takes in that a host has just reported.
+// recordReport records that a report of a host has just arrived.
 func (p *peers) recordReport(from *peer, now timekeeper.Instant) {
 	from.lastReport = now
 	p.zones.lastReport[from.zone] = now
@@ -324,7 +330,7 @@
 	}
 }
 
-// expirePeers drops what is known of hosts that fell silent.
+// expirePeers drops hosts that have timed out.
 func (s *Steerer) expirePeers() {
 	s.peers.recent = slices.DeleteFunc(s.peers.recent, func(p *peer) bool {
 		p.inRecent = s.now.Since(p.lastReport) < peerTimeout
--- a/core/steerer/peersync.go
+++ b/core/steerer/peersync.go
@@ -9,65 +9,67 @@
 )
 
 const (
-	// syncInterval is the least time between the beginnings of two questions to other
-	// hosts, syncRetryDelay the mean pause after one that failed. A host that turns another
-	// away does so at once, and the next has room.
+	// syncInterval is the minimum interval between the starts of two sync requests,
+	// syncRetryDelay the mean delay after a failed one. A host that is at its limit rejects a
+	// request at once, and the next host that is tried has capacity.
 	syncInterval   = 300 * time.Millisecond
 	syncRetryDelay = 100 * time.Millisecond
-	// firstReadGrace is how long a host that has just started waits for its own
-	// first reads before it asks others: the platform answers in some milliseconds.
+	// firstReadGrace is how long a host that has just started waits for its own first reads
+	// before it requests state from other hosts. The platform usually responds within
+	// milliseconds.
 	firstReadGrace = 100 * time.Millisecond
-	// syncTimeout is how long a host may take to begin its answer. That takes three
-	// round trips, and a few tens of milliseconds of a small processor to compress what is
-	// told. While packets wait in this host's own link, by a few hundred milliseconds each
-	// way, it is syncTimeoutSlowLink.
+	// syncTimeout is how long a host may take to start its response. That takes three round
+	// trips, and a few tens of milliseconds on a small processor to compress the response.
+	// While packets queue on this host's own link, adding a few hundred milliseconds in each
+	// direction, syncTimeoutSlowLink applies.
 	syncTimeout         = 500 * time.Millisecond
 	syncTimeoutSlowLink = 2 * time.Second
-	// settingsSyncShare and settingsSyncSpread say how long a host that has heard of newer settings
-	// asks others before it reads the platform: at most from 0.3 to 0.5 of the time in
-	// which settings must be known, each host at its own part. Half is left for the read.
+	// settingsSyncShare and settingsSyncSpread determine how long a host that knows of newer
+	// settings requests them from other hosts before it reads the platform: at most 0.3 to
+	// 0.5 of the time limit within which settings must be known, a fixed fraction for each
+	// host. Half is left for the read.
 	settingsSyncShare  = 0.3
 	settingsSyncSpread = 0.2
-	// targetsLagTolerance is how long this host waits for reports to tell it all up to a position
-	// that another has reached before it asks. Mostly they do: each change is repeated for
-	// longer.
+	// targetsLagTolerance is how long this host waits for reports to bring it up to a
+	// position that another host has reached before it sends a sync request. Reports usually
+	// do so, because each change is repeated for longer than this.
 	targetsLagTolerance = 500 * time.Millisecond
 )
 
-// peerSync is the state of this host's questions to others.
+// peerSync is the state of this host's sync requests to other hosts.
 type peerSync struct {
-	// inFlight says that a question is under way; each is answered or fails.
+	// inFlight is set while a request is in flight. Every request ends with a response or a
+	// failure.
 	inFlight bool
-	// nextRequest is when the next question may be sent.
+	// nextRequest is when the next request may be sent.
 	nextRequest timekeeper.Instant
 	// settingsBehindSince is since when another host is known to have newer settings; 0 if
 	// none is.
 	settingsBehindSince timekeeper.Instant
-	// awaitedPosition is a position up to which some host knows all targets, and this one does not
-	// since awaitedSince; 0 if there is none.
+	// awaitedPosition is a position up to which another host knows all targets and this host
+	// does not, since awaitedSince. awaitedSince is 0 if there is none.
 	awaitedPosition sequencer.Position
 	awaitedSince    timekeeper.Instant
-	// missingTargetsKnown says that another host has told which targets are gone.
+	// missingTargetsKnown is set once another host has listed the missing targets.
 	missingTargetsKnown bool
 }
 
-// recordNewerSettings remembers that another host has newer settings.
+// recordNewerSettings records that another host has newer settings.
 func (s *Steerer) recordNewerSettings() {
 	if s.asking.settingsBehindSince == 0 {
 		s.asking.settingsBehindSince = s.now
 	}
 }
 
-// syncTick asks another host for what this one lacks, and the platform only if
-// nobody answers.
+// syncTick requests missing or outdated state from another host. The platform is read only if
+// no host responds.
 //
-// What goes wrong otherwise: a host that starts while the platform is down, or
-// turns it away, knows no settings and no targets. It takes no flows, and if the
-// fabric hands it packets nevertheless, drops them. And after each change every
-// host of the fleet calls the platform at once.
+// Without this, a host that starts while the platform is down or denies its reads has no
+// settings and no targets: it accepts no flows, and drops any packets that the fabric sends
+// it. In addition, every host of the fleet would read the platform at once after each change.
 //
-// One question is under way at a time: a document of some hundred KB takes a small link
-// for longer than syncInterval, and several that come at once all come late.
+// Only one request is in flight at a time. A document of a few hundred KB occupies a small
+// link for longer than syncInterval, and several that arrive at once would all be late.
 func (s *Steerer) syncTick() {
 	s.readIfPeersDoNotSync()
 	if s.awaitingFirstReads() || s.asking.inFlight || !s.asking.nextRequest.Passed(s.now) {
@@ -91,12 +93,12 @@
 	s.emit(&SendSyncRequest{Host: p.name, Address: p.address, Request: request, Timeout: s.syncResponseTimeout()})
 }
 
-// syncResponseTimeout is how long the next question may go without the beginning of an answer.
+// syncResponseTimeout is how long the next request may go without the start of a response.
 //
-// What goes wrong with a fixed one: a host whose link is full of uploads asks one host
-// after the other, gives each up while its answer is on the way, and fills its link with
-// beginnings. One notices by a host that gets no answer from anybody for seconds, while
-// its reports arrive.
+// With a fixed timeout, a host whose link is saturated by uploads tries one host after
+// another, abandons each while its response is on the way, and fills its link with partial
+// responses. The symptom is a host that gets no response from any other for seconds while
+// reports still arrive.
 func (s *Steerer) syncResponseTimeout() time.Duration {
 	if s.path.slow(s.now) {
 		return syncTimeoutSlowLink
@@ -104,19 +106,18 @@
 	return syncTimeout
 }
 
-// awaitingFirstReads reports whether the first reads after this host's start may still come in
-// time to spare others a question.
+// awaitingFirstReads reports whether the first reads after this host's start may still
+// complete in time to avoid a sync request.
 func (s *Steerer) awaitingFirstReads() bool {
 	reading := s.reading.settings.reading || s.reading.targets.reading
 	return reading && !s.config.Start.Add(firstReadGrace).Passed(s.now)
 }
 
-// readIfPeersDoNotSync has this host read the platform if nobody has told it the newer
-// settings that it has heard of.
+// readIfPeersDoNotSync makes this host read the platform if no host has sent it the newer
+// settings that it knows to exist.
 //
-// What goes wrong if it does so sooner: after each change the whole fleet reads the
-// document, of some hundred KB, from the platform at once, though others have it
-// compressed and nearer by.
+// If it did so earlier, the whole fleet would read the document, of a few hundred KB, from
+// the platform after each change, although other hosts have it compressed and closer.
 func (s *Steerer) readIfPeersDoNotSync() {
 	a := &s.asking
 	if a.settingsBehindSince == 0 {
@@ -128,9 +129,9 @@
 	}
 }
 
-// settingsSyncTimeout is how long this host asks others for newer settings before it reads
-// them itself. By the time that it hears of them the first reader has asked for them,
-// and has taken them in; the rest has to do for its own read.
+// settingsSyncTimeout is how long this host requests newer settings from other hosts before
+// it reads them itself. When it learns of them, the first reader has already requested and
+// applied them; the remaining time must suffice for this host's own read.
 func (s *Steerer) settingsSyncTimeout() time.Duration {
 	within, transfer := s.settingsPropagationLimit(), s.transferTime()
 	share := settingsSyncShare + settingsSyncSpread*s.hostFraction()
@@ -138,11 +139,11 @@
 	return boundedAge(within, share, remaining)
 }
 
-// syncPeer picks a host that knows what this one lacks, in the own zone if there
-// is one; nil if nothing is lacking or nobody knows it.
+// syncPeer picks a host that has state which this one lacks, preferably in the same zone. It
+// returns nil if nothing is lacking or no host has it.
 //
-// What goes wrong if all pick the same: after a loss of all hosts everybody asks the
-// first one that knows, its link is full, and nobody is answered in time.
+// If all hosts picked the same one, then after a loss of all hosts its link would be
+// saturated and no host would get its response in time.
 func (s *Steerer) syncPeer() *peer {
 	newestVersion, position := uint64(0), sequencer.Position{}
 	for _, p := range s.peers.recent {
@@ -161,8 +162,8 @@
 	return s.pickSyncPeer(newestVersion)
 }
 
-// pickSyncPeer picks one of the hosts with the newest settings, and newer targets
-// if those are lacking, at random.
+// pickSyncPeer picks at random one of the hosts with the newest settings, and with newer
+// targets if those are lacking.
 func (s *Steerer) pickSyncPeer(newest uint64) *peer {
 	var sameZone, otherZones []*peer
 	for _, p := range s.peers.recent {
@@ -184,9 +185,9 @@
 	return sameZone[s.random.IntN(len(sameZone))]
 }
 
-// hasNewerState reports whether a host knows what this one lacks, if newest is the newest version
-// of the settings that any has. A host that goes by targets of an era that has ended needs
-// those of the newest era more than settings.
+// hasNewerState reports whether a host has state that this one lacks, given the newest
+// version of the settings that any host has. A host whose targets belong to an ended era
+// needs targets of the newest era more than settings.
 func (s *Steerer) hasNewerState(p *peer, newest uint64) bool {
 	switch {
 	case !p.reportedRecently(s.now) || !p.position.Known():
@@ -199,9 +200,9 @@
 	return newest > s.version() || s.targetsPosition.Before(p.position)
 }
 
-// trackAwaitedPosition remembers since when another host has known all targets up to a position that this
-// host has not reached. Later positions begin the time anew: while targets change without
-// a pause there is always a later one.
+// trackAwaitedPosition tracks since when another host has known all targets up to a position
+// that this host has not reached. A later position restarts the time only once the earlier
+// one is reached, because there is always a later one while targets change continuously.
 func (s *Steerer) trackAwaitedPosition(newest sequencer.Position) {
 	a := &s.asking
 	reached := a.awaitedSince != 0 && !s.targetsPosition.Before(a.awaitedPosition)
@@ -214,13 +215,13 @@
 	}
 }
 
-// needsTargets reports whether others should be asked for their targets.
+// needsTargets reports whether to request targets from other hosts.
 func (s *Steerer) needsTargets() bool {
 	behind := s.asking.awaitedSince != 0 && s.asking.awaitedSince.Add(targetsLagTolerance).Passed(s.now)
 	return !s.targetsPosition.Known() || s.inEndedEra() || behind
 }
 
-// version is that of the settings in force; 0 without any.
+// version is the version of the settings in force; 0 without any.
 func (s *Steerer) version() uint64 {
 	if s.settings == nil {
 		return 0
@@ -228,8 +229,8 @@
 	return s.settings.Version
 }
 
-// handleSyncResponse takes in what another host knows. What this host learned itself
-// meanwhile stays if it is newer.
+// handleSyncResponse applies the state that another host has sent. State that this host
+// learned itself in the meantime is kept if it is newer.
 func (s *Steerer) handleSyncResponse(e *SyncResponseReceived) {
 	s.asking.inFlight = false
 	if e.Err != nil {
@@ -253,9 +254,9 @@
 	}
 }
 
-// applyPeerTargets takes in the targets that another host knows. An answer from a later era
-// than this host's targets is a whole list: changes lead from no era to another. One from
-// an era that has ended is better than nothing only.
+// applyPeerTargets applies the targets that another host knows. A response from a later era
+// than this host's targets is a full list, because changes never span eras. A response from
+// an ended era is used only if this host has no targets.
 func (s *Steerer) applyPeerTargets(k *messenger.SyncResponse, from string) {
 	position := sequencer.At(k.TargetsEra, k.TargetsRevision)
 	if position.Era < s.reading.era && s.targetsPosition.Known() {
@@ -276,12 +277,13 @@
 	case k.Scope == messenger.ScopeDelta:
 		s.targetsPosition = position
 	default:
-		return // Something may be missing; a later read tells.
+		return // The response may be incomplete; a later read fills the gap.
 	}
 	s.applyConfirmation(&s.reading.targets, reportedRead{k.TargetsReadNumber, k.TargetsEra, k.TargetsAge}, from)
 }
 
-// SyncResponse answers another host's question. The document is not compressed yet.
+// SyncResponse builds the response to another host's sync request. The document is not
+// compressed yet.
 func (s *Steerer) SyncResponse(request *messenger.SyncRequest) *messenger.SyncResponse {
 	k := &messenger.SyncResponse{
 		SettingsRevision:   s.version(),
@@ -311,7 +313,7 @@
 	return k
 }
 
-// targetsSince lists the targets of which a host is told that knows all up to a position.
+// targetsSince lists the targets to send to a host that knows all up to a position.
 func (s *Steerer) targetsSince(position sequencer.Position) ([]*target, messenger.Scope) {
 	if s.targetsPosition.ContinuesFrom(position) && s.targets.history.covers(position) {
 		return s.targets.changedSince(position), messenger.ScopeDelta
--- a/core/steerer/peersync_test.go
+++ b/core/steerer/peersync_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Failure: while targets change without a pause no two hosts agree, and each asks another
-// several times a second.
+// Guards against several sync requests a second from each host while targets change
+// continuously and no two hosts agree.
 func TestSyncRequestRateIsBoundedWhileTargetsChange(t *testing.T) {
 	h := newLargeHost(largeFleets[0])
 	h.syncRequests = nil
@@ -23,8 +23,8 @@
 	require.LessOrEqual(t, len(h.syncRequests), 20, "two a second")
 }
 
-// answerSyncRequest answers a question that the host has asked since the last tick, as a host that
-// knows all but the newest change.
+// answerSyncRequest answers a sync request that the host has sent since the last tick, like a
+// host that knows all but the latest change.
 func (h *largeHost) answerSyncRequest() {
 	if !h.syncRequestPending {
 		return
--- a/core/steerer/peerzones.go
+++ b/core/steerer/peerzones.go
@@ -8,13 +8,14 @@
 	"cranberryspan.dev/core/timekeeper"
 )
 
-// peerZones lists the other hosts by availability zone, those whose zone is known, in the
-// order of their names.
+// peerZones lists the other hosts whose availability zone is known, by zone and ordered by
+// name.
 type peerZones struct {
 	byZone map[string][]*peer
-	// lastReport is when a host of a zone last reported.
+	// lastReport is when a host of each zone last reported.
 	lastReport map[string]timekeeper.Instant
-	// generation counts the changes: hosts that come, go, change their zone, or are about to end.
+	// generation counts the changes: hosts that are added, dropped, change their zone or
+	// start to shut down.
 	generation uint64
 }
 
@@ -25,8 +26,7 @@
 // hosts lists the hosts of a zone.
 func (z *peerZones) hosts(zone string) []*peer { return z.byZone[zone] }
 
-// countAlive counts the hosts of a zone that live as far as anybody says: those that have not been
-// silent for longer than a time.
+// countAlive counts the hosts of a zone that are presumed alive, given a timeout.
 func (z *peerZones) countAlive(zone string, now timekeeper.Instant, silence time.Duration) int {
 	count := 0
 	for _, p := range z.hosts(zone) {
@@ -37,7 +37,7 @@
 	return count
 }
 
-// setZone puts a host into a zone; into none if that is empty.
+// setZone moves a host to a zone; an empty zone removes it from its zone.
 func (z *peerZones) setZone(p *peer, zone string) {
 	if p.zone == zone {
 		return
@@ -53,13 +53,13 @@
 	z.byZone[zone] = insertByName(z.byZone[zone], p)
 }
 
-// insertByName adds a host to some that are in the order of their names.
+// insertByName inserts a host into a list ordered by name.
 func insertByName(hosts []*peer, p *peer) []*peer {
 	index, _ := slices.BinarySearchFunc(hosts, p.name, func(other *peer, name string) int { return strings.Compare(other.name, name) })
 	return slices.Insert(hosts, index, p)
 }
 
-// setShuttingDown notes whether a host says that it is about to end.
+// setShuttingDown records whether a host reports that it is shutting down.
 func (z *peerZones) setShuttingDown(p *peer, leaving bool) {
 	if p.shuttingDown != leaving {
 		z.generation++
--- a/core/steerer/peerzones_internal_test.go
+++ b/core/steerer/peerzones_internal_test.go
@@ -10,9 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: a host counts hosts that are in another zone, or misses one. Sequence: hosts are
-// heard of, tell their zones, and are forgotten, in any order. Cause: lists that differ
-// from what is known of each.
+// Guards against lists by zone that differ from the hosts' own records, so that a host counts
+// hosts of another zone or misses one, when hosts are added, report their zones and are
+// dropped in any order.
 func TestPeerZonesMatchPeers(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	zones, all := newPeerZones(), []*peer{}
@@ -30,9 +30,8 @@
 	}
 }
 
-// Symptom: holders of tickets for cold targets are those of a zone's hosts of long ago.
-// Sequence: a host says that it leaves; nobody comes or goes. Cause: a change that is
-// not counted.
+// Guards against a shutdown that does not change the generation, so that tickets for cold
+// targets stay assigned to hosts that have left.
 func TestShutdownOfPeerChangesGeneration(t *testing.T) {
 	zones, one := newPeerZones(), &peer{name: "h1"}
 	zones.setZone(one, "a")
@@ -43,9 +42,9 @@
 	require.Greater(t, zones.generation, before)
 }
 
-// Symptom: flows go to another zone though the own one has idle targets. Sequence: targets
-// come, go, and change their zones. Cause: choices in which those of the own zone do not
-// come first.
+// Guards against target lists in which targets of the same zone do not come first, so that
+// flows go to another zone although the local zone has idle targets, when targets are added,
+// removed and change their zones.
 func TestSameZoneTargetsComeFirst(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 6))
 	choices := newTargetTable("b")
@@ -63,7 +62,7 @@
 	}
 }
 
-// otherZone is 1 for a target of another zone than b.
+// otherZone returns 1 for a target of another zone than b.
 func otherZone(t *target) int {
 	if t.AvailabilityZone == "b" {
 		return 0
--- a/core/steerer/reports.go
+++ b/core/steerer/reports.go
@@ -16,8 +16,9 @@
 	}
 	r := e.Report
 	p := s.upsertPeer(e.From, r.Address, 0)
-	// An older incarnation's report may be late. But clocks step back: a host that
-	// starts anew after that has a lower incarnation, and would be ignored for good.
+	// A report of an older incarnation may be late. But clocks may step back: a host that
+	// restarts after that has a lower incarnation, and would be ignored for good if it were
+	// not accepted after a timeout.
 	if r.Incarnation < p.incarnation && p.reportedRecently(s.now) {
 		return
 	}
@@ -45,8 +46,8 @@
 	s.applyOrders(evacuator.Orders{Position: sequencer.At(r.OrdersEra, r.OrdersRevision), Zones: r.EvacuatedZones}, p.name)
 	s.compareSettings(r, p.name)
 	s.compareTargets(r, p.name)
-	// It may know nothing yet. In a large fleet one that knows all need not hear from
-	// each host that it reports to for the first time.
+	// It may have no state yet. In a large fleet a host that has state needs no immediate
+	// reply from each host that it reports to for the first time.
 	knowsNothing := r.SettingsRevision == 0 || r.TargetsRevision == 0
 	if firstReport && (knowsNothing || len(s.peers.byName) <= smallFleetSize || s.needsFlowReport(p)) {
 		p.nextReport = 0
@@ -55,8 +56,8 @@
 	s.syncTick()
 }
 
-// applyPeerLoad replaces what a host reported of its requests under way. Only what was
-// counted may be taken back later: a target may not be known yet.
+// applyPeerLoad replaces a host's reported requests in flight. Only load that was added may
+// be subtracted later, because a target may not have been known when its load was reported.
 func (s *Steerer) applyPeerLoad(p *peer, busy map[uint32]uint16) {
 	for tag, n := range p.busy {
 		if t, ok := s.targets.byTag[Tag(tag)]; ok {
@@ -79,8 +80,9 @@
 	}
 }
 
-// reportedTarget returns the target that a host's report speaks of, by its tag. What a host says
-// that has not learned yet that the target has started again is about its earlier life.
+// reportedTarget returns the target that a host's report refers to, by its tag. If the host
+// has not learned yet that the target has restarted, its report refers to the earlier
+// incarnation and is ignored.
 func (s *Steerer) reportedTarget(p *peer, tag uint32) (*target, bool) {
 	t, ok := s.targets.byTag[Tag(tag)]
 	if !ok || p.position.Before(t.incarnationPosition) {
@@ -89,7 +91,7 @@
 	return t, true
 }
 
-// compareSettings learns from a report how new the own settings are.
+// compareSettings determines from a report how current the local settings are.
 func (s *Steerer) compareSettings(r *messenger.Report, from string) {
 	switch {
 	case r.SettingsRevision > s.version():
@@ -99,11 +101,11 @@
 	}
 }
 
-// compareTargets takes the changes in a report, and learns from it how new the
-// own list of targets is.
+// compareTargets applies the changes in a report, and determines from it how current the
+// local list of targets is.
 func (s *Steerer) compareTargets(r *messenger.Report, from string) {
 	if !s.targetsPosition.Known() {
-		return // The own first read is under way and brings all at once.
+		return // The first read is in flight and brings the full list.
 	}
 	for _, state := range r.TargetChanges {
 		s.applyTargetState(state, r.TargetsEra, from)
@@ -115,8 +117,8 @@
 	}
 }
 
-// hasAllUpTo reports whether this host knows all that the platform listed at a position, of
-// which another host tells the digest.
+// hasAllUpTo reports whether this host knows all that the platform listed at a position,
+// given another host's digest of it.
 func (s *Steerer) hasAllUpTo(position sequencer.Position, digest uint64) bool {
 	if position.Era == s.targetsPosition.Era && !s.targetsPosition.Before(position) {
 		return true
@@ -125,7 +127,7 @@
 	return (known && ownDigest == digest) || s.targets.digest() == digest
 }
 
-// advanceTo takes in that another host lists the same targets as of a position.
+// advanceTo records that another host has the same list of targets as of a position.
 func (s *Steerer) advanceTo(position sequencer.Position, from string) {
 	if !s.targetsPosition.Before(position) {
 		return
@@ -135,19 +137,19 @@
 	s.recordCompleteList(earlier, 0, from)
 }
 
-// reportedRead is another host's word of a read of the platform: its number, the era of the
-// platform's history, and how long ago it was.
+// reportedRead is a read of the platform that another host has reported: its number, the era
+// of the platform's store, and how long ago it was.
 type reportedRead struct {
 	read uint64
 	era  uint64
 	age  time.Duration
 }
 
-// applyConfirmation takes over another host's confirmation if it is newer.
+// applyConfirmation applies another host's confirmation if it is newer.
 //
-// What goes wrong if one of an earlier era counts: the platform was restored, some hosts
-// have not heard of it, and their word makes what the restore has undone look fresh.
-// Nobody reads the new history until they have.
+// Confirmations of an earlier era do not count. After a restore, hosts that have not learned
+// of it would make the state that the restore has undone look current, and no host would read
+// the new history until they have.
 func (s *Steerer) applyConfirmation(src *source, r reportedRead, from string) {
 	if r.age >= unknownAge || r.era < s.reading.era {
 		return
@@ -158,8 +160,8 @@
 	}
 }
 
-// applyTargetState takes in what another host says of a target, in some era. What it saw before a
-// restore of the platform never wins over a list from after it.
+// applyTargetState applies the state of a target that another host has sent, as of an era.
+// State from before a restore never overrides a list from after it.
 func (s *Steerer) applyTargetState(state messenger.TargetState, era uint64, from string) {
 	seen := sequencer.At(era, state.Revision)
 	if seen.Era < s.targetsPosition.Era {
@@ -181,7 +183,7 @@
 	s.applyTarget(targetFromState(state, number), seen, from)
 }
 
-// targetFromState reads a target from a report.
+// targetFromState converts a target from a message.
 func targetFromState(state messenger.TargetState, number TargetNumber) Target {
 	return Target{
 		ID: state.ID, Number: number, Service: state.Service, Address: state.Address,
@@ -189,19 +191,19 @@
 	}
 }
 
-// sendReportRound tells some hosts of a larger fleet: most of them in the own zone, where
-// loads matter, the others anywhere.
+// sendReportRound reports to some hosts of a larger fleet: most of them in the local zone,
+// where load matters, the others in any zone.
 //
-// What goes wrong if all hosts are told as often as each other: in a fleet of five zones
-// four of five reports go to another zone, where traffic is priced, and news of the own
-// zone's loads is seconds old.
+// If all hosts were reported to equally often, then in a fleet of five zones four of five
+// reports would go to another zone, where traffic costs money, and reports of the local
+// zone's load would be seconds old.
 func (s *Steerer) sendReportRound() {
 	sent := s.reportToNext(&s.peers.sameZoneQueue, sameZoneFanout, func(p *peer) bool { return p.zone == s.config.AvailabilityZone })
 	s.reportToNext(&s.peers.queue, reportFanout-sent, func(*peer) bool { return true })
 }
 
-// reportToNext reports to the next hosts of an order, which it makes anew of some hosts when
-// all have had their turn. It returns how many were told.
+// reportToNext reports to the next hosts of a queue, which it refills in random order with
+// the matching hosts when it is empty. It returns how many reports were sent.
 func (s *Steerer) reportToNext(order *[]*peer, count int, include func(*peer) bool) int {
 	sent := 0
 	for range s.peers.sorted {
@@ -227,7 +229,7 @@
 	return sent
 }
 
-// reportIfDue sends a host a report if it is time or if there is news.
+// reportIfDue sends a host a report if it is due or if there is an update.
 func (s *Steerer) reportIfDue(p *peer) {
 	if p.shuttingDown || (!p.nextReport.Passed(s.now) && !s.peers.reportNow) {
 		return
@@ -248,11 +250,11 @@
 	s.emit(&SendReport{Host: p.name, Address: p.address, Report: s.buildReport(p)})
 }
 
-// reportToSeeds reports to seed addresses at which no known host is.
+// reportToSeeds reports to seed addresses that belong to no known host.
 //
-// What goes wrong if a host that knows nothing does so seldom: all hosts start at once, its
-// first report comes before the seeds are up, and it hears a second later who could tell
-// it settings and targets.
+// A host without state does so more often. If all hosts start at once, its first report
+// arrives before the seeds are up, and it would learn a second later which hosts can send it
+// settings and targets.
 func (s *Steerer) reportToSeeds() {
 	interval := seedInterval
 	if !s.canRoute() {
@@ -270,7 +272,7 @@
 	}
 }
 
-// buildReport writes this host's report to another.
+// buildReport builds this host's report to another.
 func (s *Steerer) buildReport(to *peer) *messenger.Report {
 	r := &messenger.Report{
 		Address:            s.config.Address,
@@ -309,8 +311,8 @@
 	return r
 }
 
-// targetsDigest is the digest of this host's targets as of their position, which is what those
-// can compare that have heard of other changes since.
+// targetsDigest is the digest of this host's targets as of their position, which hosts can
+// compare even if they have learned of different changes since.
 func (s *Steerer) targetsDigest() uint64 {
 	digest, known := s.targets.digestAt(s.targetsPosition)
 	if !known {
@@ -319,9 +321,10 @@
 	return digest
 }
 
-// addGossip names some hosts that live as far as this one knows, others each time, with
-// how long ago each was heard by anybody. What is told of a host that died grows old
-// wherever it goes. A host that knows nothing is told of those that know, if there are.
+// addGossip names some hosts that are presumed alive, different ones each time, with the time
+// since each of them last reported to any host. The entry of a host that died keeps aging
+// wherever it is passed on. A host without state is sent the names of hosts that have state,
+// if there are any.
 func (s *Steerer) addGossip(r *messenger.Report, to *peer) {
 	all := s.peers.sorted
 	if len(all) == 0 {
@@ -351,12 +354,12 @@
 	}
 }
 
-// toTenths writes a time in tenths of a second, rounded up.
+// toTenths converts a duration to tenths of a second, rounded up.
 func toTenths(d time.Duration) uint8 {
 	return uint8(min((d+gossipAgeUnit-1)/gossipAgeUnit, math.MaxUint8))
 }
 
-// applyGossip learns of other hosts.
+// applyGossip records the hosts that a report names.
 func (s *Steerer) applyGossip(r *messenger.Report) {
 	for i, hint := range r.Hosts {
 		if hint.Name == s.config.Self {
@@ -376,19 +379,19 @@
 	}
 }
 
-// targetObservations is what a host tells the others of its zone of the targets.
+// targetObservations is what a host reports of the targets to the others of its zone.
 type targetObservations struct {
-	// busy counts requests under way by the target's tag; quick and silent are the tags of
-	// targets that answered too quickly, or were silent, of late.
+	// busy counts requests in flight by the target's tag. fastFailing and silent are the tags
+	// of targets that recently failed implausibly fast, or were unresponsive.
 	busy        map[uint32]uint16
 	fastFailing []uint32
 	silent      []uint32
-	// valid says that it was worked out at this event.
+	// valid is set once the values were computed for the current event.
 	valid bool
 }
 
-// observeTargets looks at the targets in use once for all reports of an event: requests under way, quick
-// answers of late, and targets that were found silent of late.
+// observeTargets collects, once for all reports of an event, the requests in flight, the
+// recent fast failures and the recently unresponsive ones of the targets in use.
 func (s *Steerer) observeTargets() *targetObservations {
 	if s.ownReport.valid {
 		return &s.ownReport
@@ -408,11 +411,11 @@
 	return &s.ownReport
 }
 
-// targetState writes a target for a message, as of the era of this host's list.
+// targetState converts a target for a message, as of the era of this host's list.
 //
-// A host may have heard of a change in a new era before it has the list of that era. It tells
-// the change as of its own position: all that it tells is of one era, and gives way to any
-// list of the new one.
+// A host may learn of a change in a new era before it has the list of that era. It sends the
+// change as of its own position, so that all that it sends belongs to one era and is
+// overridden by any list of the new one.
 func (s *Steerer) targetState(t *target) messenger.TargetState {
 	seen := t.seenPosition
 	if seen.Era > s.targetsPosition.Era {
--- a/core/steerer/reports_internal_test.go
+++ b/core/steerer/reports_internal_test.go
@@ -11,10 +11,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: new flows pile up on a target that is busy. Sequence: one host reports
-// load at a target that this one does not know yet; this one learns of it; a second
-// host reports load there; the first reports again. Cause: load is taken back that
-// was never counted.
+// A host reports load at a target that this host does not know yet; this host learns of the
+// target; a second host reports load there; the first one reports again. Guards against
+// subtracting load that was never added, which makes a busy target look idle and attracts new
+// flows.
 func TestLoadOfUnknownTargetIsNotSubtracted(t *testing.T) {
 	at := timekeeper.Instant(time.Second)
 	s := New(Config{Self: "a1", AvailabilityZone: "a", Start: at, MaxFlows: 10})
--- a/core/steerer/zonestart.go
+++ b/core/steerer/zonestart.go
@@ -6,23 +6,23 @@
 	"cranberryspan.dev/core/messenger"
 )
 
-// zoneStartGrace is how long after its start a host waits for the others of its zone: hosts
-// that come back together do so within some hundred milliseconds of each other, and need
-// some more to hear of each other.
+// zoneStartGrace is how long after its start a host waits for the others of its zone. Hosts
+// that start together do so within a few hundred milliseconds, and take a little longer to
+// receive each other's reports.
 const zoneStartGrace = 1500 * time.Millisecond
 
-// establishedUptime tells hosts that were there before a zone came back from those that came
-// back with it.
+// establishedUptime distinguishes hosts that were running before a zone came back from those
+// that came back with it.
 const establishedUptime = 2 * zoneStartGrace
 
-// waitsForZone reports whether this host had better not take packets yet, since most hosts of
-// its zone are still missing while other zones carry its callers.
+// waitsForZone reports whether this host should not accept packets yet, because most hosts of
+// its zone are still missing while other zones serve its callers.
 //
-// What goes wrong otherwise: a whole zone comes back. Other zones have carried its callers
-// meanwhile. As soon as its first host is ready the fabric spreads its packets over all
-// hosts of the zone, started or not, since fewer than half being ready looks like a fault
-// of the checks. One notices by requests that fail for as long as the last host takes to
-// start. After a loss of all zones nobody else carries them, and nobody waits.
+// Without this, when a zone comes back while other zones serve its callers, its first ready
+// host makes the fabric spread the zone's packets over all of its hosts, started or not:
+// fewer than half of them being ready looks like a fault of the checks. It shows as requests
+// that fail until the last host has started. After a loss of all zones no other zone serves
+// the callers, and no host waits.
 func (s *Steerer) waitsForZone() bool {
 	if s.peers.expectedInZone == 0 || s.peers.zoneEstablished || s.config.Start.Add(zoneStartGrace).Passed(s.now) {
 		return false
@@ -31,8 +31,8 @@
 	return 2*living < s.peers.expectedInZone
 }
 
-// recordZoneHosts takes in from a host that has run for a while that this zone runs, or how
-// many of its hosts the other has heard of.
+// recordZoneHosts records from a host with a long uptime that this zone is running, or how
+// many hosts of this zone the other host knows.
 func (s *Steerer) recordZoneHosts(r *messenger.Report) {
 	switch {
 	case r.Uptime < establishedUptime:
--- a/core/steerer/zonestart_test.go
+++ b/core/steerer/zonestart_test.go
@@ -20,10 +20,9 @@
 	return count
 }
 
-// Symptom: requests of a zone that comes back fail for as long as its last host takes to
-// start. Sequence: a zone loses power; other zones carry its callers; its hosts start one
-// after the other. Cause: the first that is ready draws the packets of all to hosts that
-// have not started yet.
+// A zone loses power, other zones serve its callers, and its hosts start one after another.
+// Guards against a first host that becomes ready alone and makes the fabric send packets to
+// hosts that have not started yet, so that requests fail until the last host has started.
 func TestRecoveringZoneWaitsForMajorityOfHosts(t *testing.T) {
 	f := newFleet(t, 6, 3)
 	for _, name := range f.names[:6] {
@@ -45,9 +44,8 @@
 	require.Equal(t, 5, f.readyHosts("a"))
 }
 
-// Symptom: nobody is served for a second after a loss of all hosts. Sequence: all zones
-// lose power and start again. Cause: hosts wait for each other though nobody else carries
-// their callers.
+// All zones lose power and start again. Guards against hosts that wait for each other
+// although no other zone serves their callers, so that no caller is served for a second.
 func TestHostsDoNotWaitAfterLossOfAllZones(t *testing.T) {
 	f := newFleet(t, 6, 3)
 	for _, name := range f.names {
@@ -64,8 +62,8 @@
 	require.Zero(t, f.readyHosts("a"), "one that has run on carries the callers")
 }
 
-// A host whose neighbours never come back is ready all the same, and one that restarts
-// alone at once.
+// A host whose zone never comes back becomes ready after a timeout, and one that restarts
+// alone becomes ready at once.
 func TestHostWaitForZoneIsBounded(t *testing.T) {
 	f := newFleet(t, 6, 3)
 	f.kill("a1")
