--- a/core/steerer/compare.go
+++ b/core/steerer/compare.go
@@ -6,15 +6,15 @@
 	"strings"
 )
 
-// Difference is what one route's change does.
+// Difference is the effect of a change to one route.
 type Difference struct {
 	Route  string `json:"route"`
 	Change string `json:"change"`
-	// Effect tells an operator what happens to flows.
+	// Effect describes the consequences for flows.
 	Effect string `json:"effect"`
 }
 
-// Compare lists what differs between two versions, route by route.
+// Compare lists the differences between two versions by route.
 func Compare(before, after *Settings) []Difference {
 	var differences []Difference
 	for _, route := range before.Routes {
@@ -25,7 +25,7 @@
 	for _, route := range after.Routes {
 		old, ok := before.routeByName(route.Name)
 		if !ok {
-			differences = append(differences, Difference{route.Name, "added at " + route.Address.String(), "new flows are taken"})
+			differences = append(differences, Difference{route.Name, "added at " + route.Address.String(), "new flows are accepted"})
 			continue
 		}
 		differences = append(differences, old.differences(route)...)
@@ -43,7 +43,7 @@
 	return Route{}, false
 }
 
-// differences lists what changes from one version of a route to the next.
+// differences lists what changes from this version of a route to the next.
 func (r Route) differences(next Route) []Difference {
 	var list []Difference
 	add := func(what string, before, after any, effect string) {
@@ -53,10 +53,10 @@
 	}
 	add("address", r.Address, next.Address, "flows at the old address end as if the route were removed")
 	add("services", r.TrafficSplit, next.TrafficSplit, "new flows move; open flows stay where they are")
-	add("kind", r.Kind, next.Kind, "decides which open flows are reset when their target falls silent")
+	add("kind", r.Kind, next.Kind, "decides which open flows are reset when their target becomes unresponsive")
 	add("timeout", r.Timeout, next.Timeout, "no effect on flows")
-	add("latency objective", r.LatencyObjective, next.LatencyObjective, "decides how long requests may wait, and so how many get in, while a service is short of room")
+	add("latency objective", r.LatencyObjective, next.LatencyObjective, "decides how long requests may wait, and so how many are admitted, while a service is overloaded")
 	add("regions", r.Regions, next.Regions, "new flows go to targets in these regions only; open flows stay where they are")
-	add("priority", r.Priority, next.Priority, "decides which new flows are refused first while a service is short of room; open flows stay")
+	add("priority", r.Priority, next.Priority, "decides which new flows are refused first while a service is overloaded; open flows stay")
 	return list
 }
--- a/core/steerer/explain.go
+++ b/core/steerer/explain.go
@@ -8,16 +8,16 @@
 	"strings"
 )
 
-// Finding is something in published settings that an operator should look at.
+// Finding is a problem in published settings that an operator should look at.
 type Finding struct {
 	// Path names a route or a service.
 	Path    string `json:"path"`
 	Problem string `json:"problem"`
-	// Effect tells what hosts do about it.
+	// Effect describes how hosts handle the problem.
 	Effect string `json:"effect"`
 }
 
-// Check lists what is wrong with a version, sorted by path.
+// Check lists the problems of a version, sorted by path.
 func (s *Settings) Check() []Finding {
 	var findings []Finding
 	for _, fault := range s.RouteProblems {
@@ -47,10 +47,10 @@
 	for _, share := range route.TrafficSplit {
 		total += max(share.Weight, 0)
 		if share.Weight < 0 {
-			findings = append(findings, Finding{route.Name, fmt.Sprintf("weight %d of %s is below zero", share.Weight, share.Service), "flows are spread in other parts than written"})
+			findings = append(findings, Finding{route.Name, fmt.Sprintf("weight %d of %s is below zero", share.Weight, share.Service), "flows are not split as written"})
 		}
 		if len(s.Services) > 0 && !s.hasService(share.Service) {
-			findings = append(findings, Finding{route.Name, "service " + share.Service + " is not listed", "its targets are checked at " + defaultHealthPath})
+			findings = append(findings, Finding{route.Name, "service " + share.Service + " is not listed", "its targets are probed at " + defaultHealthPath})
 		}
 	}
 	if total == 0 {
@@ -66,15 +66,15 @@
 type EffectiveValue struct {
 	Key   string `json:"key"`
 	Value string `json:"value"`
-	// From says where the value stands, or that it is built in.
+	// From is where the value is set, or that it is the default.
 	From string `json:"from"`
 }
 
-// builtIn is where a value comes from that settings do not name.
+// builtIn is the origin of a value that the settings do not set.
 const builtIn = "built in"
 
-// Explain lists the values in force for a route, by name or address, or for a
-// service. It reports whether there is one.
+// Explain lists the values in force for a route, given by name or address, or for a service.
+// It reports whether there is one.
 func (s *Settings) Explain(path string) ([]EffectiveValue, bool) {
 	for _, route := range s.Routes {
 		if route.Name == path || route.Address.String() == path {
@@ -95,7 +95,7 @@
 	return append(values, s.explainService(path)...), true
 }
 
-// hasService reports whether anything is published of a service.
+// hasService reports whether the settings contain an entry for a service.
 func (s *Settings) hasService(service string) bool {
 	return slices.ContainsFunc(s.Services, func(listed Service) bool { return listed.Name == service })
 }
@@ -115,7 +115,7 @@
 		connections = fmt.Sprintf("%d flows at a target", service.MaxConnections)
 	}
 	return []EffectiveValue{
-		{"liveness check of " + name, service.HealthPath, from},
+		{"health check of " + name, service.HealthPath, from},
 		{"connections of " + name, connections, from},
 		{"cold targets of " + name, fmt.Sprintf("for %v, %s", service.WarmUp, warmUp), from},
 	}
@@ -139,7 +139,7 @@
 		regions = strings.Join(route.Regions, ", ")
 	}
 	values = append(values, EffectiveValue{"regions", regions, from})
-	idle := EffectiveValue{"idle flows are forgotten after", cmp.Or(s.IdleTimeout, defaultIdleTimeout).String(), "limits"}
+	idle := EffectiveValue{"idle flows expire after", cmp.Or(s.IdleTimeout, defaultIdleTimeout).String(), "limits"}
 	if s.IdleTimeout == 0 {
 		idle.From = builtIn
 	}
--- a/core/steerer/shutdown.go
+++ b/core/steerer/shutdown.go
@@ -7,34 +7,33 @@
 )
 
 const (
-	// minShutdownDelay covers two missed readiness checks of the fabric, half a
-	// second apart, and one more for a check that was under way.
+	// minShutdownDelay covers two missed readiness checks of the fabric, half a second apart,
+	// and one more for a check that was in flight.
 	minShutdownDelay = 1500 * time.Millisecond
-	// maxShutdownDelay stays clear of the time at which the platform kills a process
-	// that does not end by itself, 6 s after the first signal.
+	// maxShutdownDelay leaves a margin before the platform kills a process that does not exit
+	// by itself, 6 s after the first signal.
 	maxShutdownDelay = 4 * time.Second
-	// shutdownQuietPeriod is how long no packet may have come before the host ends. The
-	// ends of a flow repeat a lost packet within 200 ms.
+	// shutdownQuietPeriod is how long no packet may have arrived before the process exits.
+	// Both ends of a flow retransmit a lost packet within 200 ms.
 	shutdownQuietPeriod = 300 * time.Millisecond
 )
 
-// shutdown is the state of a host that was asked to end.
+// shutdown is the state of a host's graceful shutdown.
 type shutdown struct {
 	started bool
-	// earliest and latest bound when the process ends.
+	// The process exits between earliest and latest.
 	earliest timekeeper.Instant
 	latest   timekeeper.Instant
-	// lastPacket is when the fabric last handed over a packet.
+	// lastPacket is when the fabric last delivered a packet.
 	lastPacket timekeeper.Instant
 	ended      bool
 }
 
-// beginShutdown makes the host unready at once and lets it pass packets on until
-// the fabric has noticed.
+// beginShutdown makes the host unready at once and keeps forwarding packets until the fabric
+// has noticed.
 //
-// What goes wrong otherwise: a process that ends at the signal drops every
-// packet that the fabric still hands it, for about a second. Callers see
-// repeats and late answers.
+// Without this, a process that exits at the signal drops every packet that the fabric still
+// sends it, for about a second, which shows as retransmissions and late responses at callers.
 func (s *Steerer) beginShutdown() {
 	if s.leaving.started {
 		return
--- a/core/steerer/status.go
+++ b/core/steerer/status.go
@@ -5,43 +5,43 @@
 	"time"
 )
 
-// SyncStatus is what a host knows of settings and targets, and from whom, for
-// operators.
+// SyncStatus is the operators' view of a host's settings and targets: which version it has,
+// how old, and from which host or the platform.
 type SyncStatus struct {
 	Host             string `json:"host"`
 	AvailabilityZone string `json:"availabilityZone"`
-	// Version is of the settings in force, 0 without any. SettingsFrom is where they
-	// came from: "platform", or a host's name.
+	// Version is the version of the settings in force, 0 without any. SettingsFrom is where
+	// they came from: "platform", or a host's name.
 	Version      uint64 `json:"version"`
 	SettingsFrom string `json:"settingsFrom,omitempty"`
-	// SettingsAge is how long ago the platform is known to have had no newer ones,
-	// SettingsConfirmedBy who said so.
+	// SettingsAge is the time since the platform is known to have had no newer settings.
+	// SettingsConfirmedBy is "platform", or the host that reported it.
 	SettingsAge         time.Duration `json:"settingsAge"`
 	SettingsConfirmedBy string        `json:"settingsConfirmedBy,omitempty"`
-	// Era is the newest era of the platform's history that the host has heard of, 0 if the
-	// platform tells none.
+	// Era is the newest era of the platform's store that the host knows of, 0 if the platform
+	// does not report eras.
 	Era uint64 `json:"era,omitempty"`
-	// OrdersRevision is the platform's revision up to which orders to evacuate zones are
-	// known, 0 if they are not, and Evacuated the zones that get nothing more.
+	// OrdersRevision is the platform's revision up to which evacuation orders are known, 0 if
+	// they are not. Evacuated lists the zones that get no new flows.
 	OrdersRevision uint64   `json:"ordersRevision"`
 	Evacuated      []string `json:"evacuated,omitempty"`
-	// Revision is the platform's that the list of targets reflects.
+	// Revision is the platform's revision that the list of targets reflects.
 	Revision uint64 `json:"revision"`
 	// TargetsEra is the era that Revision belongs to. It is below Era while the host still
-	// goes by what it knew before a restore.
+	// uses the list from before a restore.
 	TargetsEra         uint64        `json:"targetsEra,omitempty"`
 	TargetsAge         time.Duration `json:"targetsAge"`
 	TargetsConfirmedBy string        `json:"targetsConfirmedBy,omitempty"`
-	// Rank is the host's place among those that read the platform, 0 the first, and Live
-	// how many others live as far as it knows.
+	// Rank is the host's position in the order in which hosts read the platform, starting at
+	// 0. AlivePeers is the number of other hosts that are presumed alive.
 	Rank       int `json:"rank"`
 	AlivePeers int `json:"live"`
-	// PlatformLost says that the platform answers neither this host nor one that it
-	// hears of.
+	// PlatformLost is set while the platform responds neither to this host nor to a host that
+	// reports to it.
 	PlatformLost bool `json:"platformLost"`
 }
 
-// SyncStatus returns what this host knows at present.
+// SyncStatus returns this host's current status.
 func (s *Steerer) SyncStatus() SyncStatus {
 	settings, targets := &s.reading.settings, &s.reading.targets
 	return SyncStatus{
@@ -55,28 +55,27 @@
 	}
 }
 
-// TargetStatus is what a host believes of a target, for operators.
+// TargetStatus is the operators' view of a target as this host sees it.
 type TargetStatus struct {
 	Target           string `json:"target"`
 	Service          string `json:"service"`
 	AvailabilityZone string `json:"availabilityZone"`
 	Address          string `json:"address"`
 	Slots            int    `json:"slots"`
-	// Flows counts the flows through this host, Busy those of them that wait for an
-	// answer or have not opened yet, PeersBusy those of the zone's other hosts.
+	// Flows counts the flows through this host. Busy counts those of them that wait for a
+	// response or are half-open, PeersBusy those of the zone's other hosts.
 	Flows     int `json:"flows"`
 	Busy      int `json:"busy"`
 	PeersBusy int `json:"peersBusy"`
-	// Paced counts the requests that wait at this host for the target.
+	// Paced counts the requests that are queued at this host for the target.
 	Paced int `json:"paced"`
-	// Slowness is the target's time for a request as a multiple of the usual; 1 is usual.
+	// Slowness is the target's time per request as a multiple of the baseline; 1 is normal.
 	Slowness float64 `json:"slowness"`
-	// Connections is how many flows the target holds as far as known, ConnectionsBound how
-	// many it may; both are 0 unless its service is short of connections.
+	// Connections is the estimated number of flows at the target, ConnectionsBound its
+	// connection limit. Both are 0 unless connections of its service are constrained.
 	Connections      int `json:"connections,omitempty"`
 	ConnectionsBound int `json:"connectionsBound,omitempty"`
-	// AvoidReason says why new flows go elsewhere; empty if nothing speaks against the
-	// target but its load.
+	// AvoidReason is why new flows avoid the target; empty if only its load counts.
 	AvoidReason string `json:"avoided,omitempty"`
 }
 
@@ -94,8 +93,8 @@
 	return list
 }
 
-// avoidReason says why new flows go elsewhere, the strongest reason first; see
-// excluded and load.
+// avoidReason returns why new flows avoid a target, the strongest reason first; see
+// exclusionOf and penalty.
 func (s *Steerer) avoidReason(t *target) string {
 	switch {
 	case s.targets.byTag[t.tag] != t:
@@ -109,23 +108,23 @@
 	case s.evacuator.Evacuates(t.AvailabilityZone):
 		return "its zone is evacuated"
 	case t.health.unreachable():
-		return "no answer for " + formatAge(s.now, t.health.unreachableSince) + " ms, last check " + t.health.lastOutcome.String()
+		return "no answer for " + formatAge(s.now, t.health.unreachableSince) + " ms, last probe " + t.health.lastOutcome.String()
 	case t.health.suspect:
-		return "suspected, last sign of life " + formatAge(s.now, t.health.lastProgress) + " ms ago"
+		return "suspect, last progress " + formatAge(s.now, t.health.lastProgress) + " ms ago"
 	case t.believedFull && s.connections.constrained[t.Service] != nil:
-		return "holds all the flows that it may"
+		return "at its connection limit"
 	case s.failsFast(t):
 		return "answers more quickly than it can work"
 	case t.slowdownEstimate.Slow():
 		return fmt.Sprintf("takes %.1f times as long as usual", s.slowdown(t))
 	case !s.warmUpAllows(t):
-		return "cold, and other hosts share out what it bears"
+		return "cold, and other hosts hold the permits for its new flows"
 	case !t.warmUpDeadline.Passed(s.now):
-		return "slow for " + formatMillis(t.warmUpDeadline.Until(s.now)) + " ms more after its start"
+		return "cold for " + formatMillis(t.warmUpDeadline.Until(s.now)) + " ms more"
 	case s.isCold(t):
-		return "cold after its zone was taken back"
+		return "cold after the evacuation of its zone ended"
 	case s.diagnoser.ZoneSuspect(t.AvailabilityZone, s.now):
-		return "its zone seems to have fallen silent"
+		return "its zone seems to be unresponsive"
 	}
 	return ""
 }
--- a/core/steerer/status_test.go
+++ b/core/steerer/status_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Operators ask why a target gets no work; each reason has its words.
+// Operators look up why a target gets no new flows; each reason has its own text.
 func TestTargetStatusGivesAvoidReason(t *testing.T) {
 	f := newFleet(t, 1)
 	f.drain("i-10000001")
@@ -33,12 +33,13 @@
 	require.Len(t, avoided, 9)
 	require.Equal(t, "draining", avoided["i-10000001"])
 	require.Contains(t, avoided["i-10000002"], "no longer listed")
-	require.Contains(t, avoided["i-10000003"], "slow for")
+	require.Contains(t, avoided["i-10000003"], "cold for")
 	require.Contains(t, avoided[silent.target], "no answer for")
 	require.Empty(t, avoided["i-20000001"])
 }
 
-// Operators ask why a host is behind: what it knows, how old that is, and from whom.
+// Operators look up why a host is outdated: what it has, how old that is, and where it came
+// from.
 func TestSyncStatusNamesSources(t *testing.T) {
 	f := newFleet(t, 2)
 	f.deniedHosts["a2"] = true
