--- a/core/steerer/digest.go
+++ b/core/steerer/digest.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// recordState takes in that the state of a target has changed, as first read at a position.
+// recordState records that the state of a target has changed, as first read at a position.
 func (t *targetTable) recordState(tgt *target, seen sequencer.Position) {
 	next := tgt.stateDigest()
 	t.history.add(historyEntry{target: tgt, observed: seen, digestChange: next - tgt.digest})
@@ -17,17 +17,17 @@
 	t.markForRecount(tgt)
 }
 
-// digest is equal for tables that list the same targets in the same states, in whatever
-// order they came: the sum of the targets' own digests.
+// digest is equal for tables that list the same targets in the same states, regardless of the
+// order in which they were added. It is the sum of the targets' own digests.
 func (t *targetTable) digest() uint64 { return t.digestSum }
 
-// digestAt is the digest of the table without what was first read after a position. It
-// reports whether the history goes back that far.
+// digestAt is the digest of the table without states that were first read after a position.
+// It also reports whether the history goes back that far.
 //
-// What goes wrong if hosts compare what they know at present: while targets change without
-// a pause each host has heard of some changes that others have not, no two agree, and none
-// learns that it knows all up to the last read of the platform. One notices by hosts that
-// all read the platform themselves during a release.
+// If hosts compared their current digests, then while targets change continuously each host
+// would know some changes that others do not. No two would agree, and none would learn that
+// it knows everything up to the last read of the platform. The symptom is hosts that all read
+// the platform themselves during a release.
 func (t *targetTable) digestAt(position sequencer.Position) (uint64, bool) {
 	switch {
 	case !t.history.covers(position):
@@ -45,8 +45,8 @@
 	return sum, true
 }
 
-// stateDigest is the digest of what hosts tell each other of a target; 0 for one that is
-// missing.
+// stateDigest is the digest of the state of a target that hosts exchange; 0 for a missing
+// target.
 func (t *target) stateDigest() uint64 {
 	if t.missing {
 		return 0
--- a/core/steerer/digest_internal_test.go
+++ b/core/steerer/digest_internal_test.go
@@ -11,8 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Failure: hosts that know the same take each other for out of date, or the other way round,
-// because a digest that is kept up to date has missed a change.
+// Guards against an incremental digest that misses a change, which makes hosts with the same
+// state consider each other outdated, or hosts with different states consider each other
+// equal.
 func TestDigestMatchesFullRecomputation(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	s := New(Config{Self: "a1", AvailabilityZone: "a"})
@@ -28,7 +29,7 @@
 	}
 }
 
-// applyRandomChange adds one of 40 targets, changes it, or lets it go, as seen at a position.
+// applyRandomChange adds, changes or removes one of 40 targets, as read at a position.
 func applyRandomChange(s *Steerer, random *rand.Rand, seen sequencer.Position) {
 	id := fmt.Sprintf("i-%08x", 0x10000000+random.IntN(40))
 	number, _ := ParseTargetNumber(id)
@@ -49,7 +50,7 @@
 	}
 }
 
-// recomputeDigest works the digest of a table out from all of its targets.
+// recomputeDigest computes the digest of a table from all of its targets.
 func recomputeDigest(t *targetTable) uint64 {
 	sum := uint64(0)
 	for _, one := range t.byID {
@@ -58,8 +59,8 @@
 	return sum
 }
 
-// Failure: two hosts that know the same up to a position don't agree on it, because one has
-// heard of later changes.
+// Guards against hosts that know the same up to a position but disagree on its digest,
+// because one of them has learned of later changes.
 func TestDigestAtExcludesLaterChanges(t *testing.T) {
 	random := rand.New(rand.NewPCG(4, 4))
 	s := New(Config{Self: "a1", AvailabilityZone: "a"})
--- a/core/steerer/evacuation.go
+++ b/core/steerer/evacuation.go
@@ -7,29 +7,30 @@
 	"cranberryspan.dev/core/sequencer"
 )
 
-// Operators may order that an availability zone be evacuated: its targets get no new
-// flows until the order is taken back. Copies of opening packets obey like first ones. Open
-// flows stay until they end by themselves: to reset them would break what still works.
+// Operators may order the evacuation of an availability zone: its targets get no new flows
+// until the order is withdrawn. Retransmitted opening packets follow orders like first ones.
+// Open flows stay until they end by themselves, because a reset would break what still works.
 //
-// Liveness checks go on only for open flows that get no answer. What goes wrong without
-// them: a zone is evacuated since it is about to fail, it fails, and each caller with an
-// open flow there waits until its deadline. One notices by feeds that fail in a zone that
-// crashes after an order, where others are asked anew at once.
+// Health checks continue only for open flows that get no response. Without them, if a zone is
+// evacuated because it is about to fail and then fails, each caller with an open flow there
+// waits until its deadline, which shows as feeds that fail in a zone that crashes after an
+// order, where other callers are reset and reconnect at once.
 //
-// Orders come with the settings, in one read of the platform, and with each report of
-// another host, since they are small. So they reach whoever hears anybody.
+// Orders arrive with the settings, in one read of the platform, and in each report of another
+// host, because they are small. They therefore reach every host that receives any report.
 
-// applyOrders puts orders in force unless newer ones are.
+// applyOrders puts evacuation orders in force unless newer ones are.
 func (s *Steerer) applyOrders(orders evacuator.Orders, from string) {
 	s.recordOrderChanges(s.evacuator.Apply(orders, s.now), orders.Position, from)
 }
 
-// expireOrders ends the orders that nobody has given again after a restore.
+// expireOrders ends the orders that were not reissued after a restore.
 func (s *Steerer) expireOrders() {
 	s.recordOrderChanges(s.evacuator.Expire(s.now), s.evacuator.Orders().Position, "notGivenAgain")
 }
 
-// recordOrderChanges logs orders that came into force or ended, and tells others.
+// recordOrderChanges logs orders that came into force or ended, and triggers reports to other
+// hosts.
 func (s *Steerer) recordOrderChanges(changes []evacuator.Change, position sequencer.Position, from string) {
 	for _, change := range changes {
 		event := "zoneReturned"
@@ -41,8 +42,9 @@
 	}
 }
 
-// settingsPropagationLimit is the time within which this host has to know what operators publish:
-// orders come with the settings.
+// settingsPropagationLimit is the time limit within which this host has to learn what
+// operators publish. The tighter limit applies to both, because orders arrive with the
+// settings.
 func (s *Steerer) settingsPropagationLimit() time.Duration {
 	if s.config.EvacuationPropagationLimit > 0 {
 		return min(s.config.SettingsPropagationLimit, s.config.EvacuationPropagationLimit)
@@ -50,24 +52,25 @@
 	return s.config.SettingsPropagationLimit
 }
 
-// evacuatedZonePenalty puts a target of an evacuated zone behind all that may answer, and before
-// those that do not. It counts for a host that is out of touch only.
+// evacuatedZonePenalty ranks a target of an evacuated zone behind all that may respond, and
+// before those that do not. It applies only while the host's orders are stale.
 const evacuatedZonePenalty = 5 * suspectPenalty
 
-// ordersStale reports whether this host's orders may be out of date, since nobody has
-// confirmed them for longer than they may take to arrive. An order still holds then, but
-// not against a flow that nobody else could take.
+// ordersStale reports whether this host's orders may be outdated because no confirmation has
+// arrived for longer than orders may take to propagate. An order still holds then, but not
+// for a flow that no other target could serve.
 func (s *Steerer) ordersStale() bool {
 	return age(s.now, s.reading.settings.confirmed) > s.settingsPropagationLimit()
 }
 
-// allZonesEvacuated reports whether the orders leave no zone that has targets. Then those that
-// came back with a restore of the platform, beside one that it has undone, are a last resort
-// only; see evacuator.Doubtful.
+// allZonesEvacuated reports whether the orders leave no zone that has targets. In that case
+// orders that came back with a restore of the platform, next to one that the restore has
+// undone, apply only as a last resort; see evacuator.PossiblyStale.
 //
-// What goes wrong otherwise: operators move an order from one zone to another, and the copy is
-// from before that. The one counts as the copy has it, the other until it would have been
-// given again, and every caller is refused. One notices by "zoneEvacuated" for all zones.
+// Without this, if operators move an order from one zone to another and the platform is
+// restored from a backup from before that, one zone is evacuated by the backup's order and
+// the other by the undone order until its time to be reissued is over. Every caller is
+// refused, which shows as "zoneEvacuated" for all zones.
 func (s *Steerer) allZonesEvacuated() bool {
 	for _, zone := range s.targets.zones {
 		if !s.evacuator.Evacuates(zone) {
@@ -77,17 +80,16 @@
 	return true
 }
 
-// partitioned reports whether this host's zone seems to be cut off from all others. It then
-// serves what it reaches, also in an evacuated zone.
+// partitioned reports whether this host's zone seems to be partitioned from all others. The
+// host then uses every target that it can reach, even in an evacuated zone.
 //
-// What goes wrong otherwise: a zone is evacuated, and then cut off. Its callers still
-// reach its hosts, these reach no target but the zone's own, which are well, and all
-// flows are lost until the cut heals. One notices by openings with copies at all targets
-// of the other zones.
+// Without this, all flows are lost while an evacuated zone is partitioned: its callers still
+// reach its hosts, and these reach only the zone's own targets, which work. It shows as
+// opening packets that are retransmitted to all targets of the other zones.
 //
-// A zone at a time is lost. So where all of two or more other zones fall silent at once,
-// their hosts like their targets, it is this one that is cut off. With one other zone
-// nobody can tell, and the order holds.
+// Zones are assumed to fail one at a time. If all of two or more other zones become
+// unresponsive at once, hosts and targets alike, this zone is the one that is partitioned.
+// With one other zone the two cases cannot be distinguished, and the order holds.
 func (s *Steerer) partitioned() bool {
 	otherZones := 0
 	for _, zone := range s.targets.zones {
@@ -102,7 +104,7 @@
 	return otherZones >= 2 && !s.otherZonesReporting()
 }
 
-// otherZonesReporting reports whether any host of another zone has reported of late.
+// otherZonesReporting reports whether a host of another zone has reported recently.
 func (s *Steerer) otherZonesReporting() bool {
 	for _, p := range s.peers.recent {
 		if p.zone != s.config.AvailabilityZone && p.reportedRecently(s.now) {
--- a/core/steerer/evacuation_test.go
+++ b/core/steerer/evacuation_test.go
@@ -9,10 +9,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// targetZone returns the zone of the target that the last packet through a host reached.
+// targetZone returns the zone of a target.
 func (f *fleet) targetZone(id string) string { return f.targets[id].AvailabilityZone }
 
-// openOnAllHosts opens a flow through each host and returns the zones that got one.
+// openOnAllHosts opens a flow through each ready host and counts the flows by zone.
 func (f *fleet) openOnAllHosts(first int) map[string]int {
 	zones := map[string]int{}
 	for i, name := range f.names {
@@ -28,9 +28,8 @@
 	return zones
 }
 
-// Symptom: a zone that operators have ordered to be evacuated goes on getting flows, and
-// they are cut when it fails. Sequence: an order is written; hosts of all zones place
-// flows; the order is taken back. Cause: nobody reads orders.
+// Guards against ignoring evacuation orders: an order is issued, hosts of all zones place
+// flows, and the order is withdrawn. Flows that a zone still gets would be cut when it fails.
 func TestEvacuatedZoneGetsNoNewFlows(t *testing.T) {
 	f := newFleet(t, 2, 2, 2)
 	require.Contains(t, f.openOnAllHosts(0), "a")
@@ -42,9 +41,9 @@
 	require.Contains(t, f.openOnAllHosts(200), "a")
 }
 
-// Symptom: dashboards and uploads are cut by an order that was to save them. Sequence: a
-// flow is open at a zone that is evacuated. Cause: open flows are moved or reset, though
-// only their target has them.
+// Guards against moving or resetting the open flows of an evacuated zone, which only their
+// target can serve. Dashboards and uploads would be cut by the order that is meant to protect
+// them.
 func TestOpenFlowsStayInAnEvacuatedZone(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	c := f.caller(1, readRoute)
@@ -58,10 +57,9 @@
 	require.Empty(t, f.hosts["a1"].resets)
 }
 
-// Symptom: a request reaches a zone seconds after it was evacuated, by a copy of an
-// opening packet. Sequence: a flow opens, the order comes, the caller repeats its opening
-// packet; the target has shown life to others. Cause: copies follow the first packet
-// whatever has become of its target.
+// A flow opens, the order arrives, and the caller retransmits its opening packet while other
+// flows show that the target is alive. Guards against sending the retransmission to the first
+// target although its zone is evacuated by then.
 func TestRetransmittedSYNAvoidsEvacuatedZone(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	var others []*caller
@@ -85,9 +83,8 @@
 	require.Equal(t, "b", f.targetZone(c.target))
 }
 
-// Symptom: a zone under evacuation goes on getting liveness checks. Sequence: a target does
-// not answer, its zone is evacuated, and it is checked again and again though no flow
-// waits for it. Cause: checks know nothing of orders.
+// A target does not respond and its zone is evacuated. Guards against health checks that
+// ignore orders and go on although no flow waits for the target.
 func TestEvacuatedTargetsAreNotChecked(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	c := f.caller(1, readRoute)
@@ -109,9 +106,8 @@
 	require.NotZero(t, f.probes, "the target may be back, so it is checked again")
 }
 
-// Symptom: feeds fail at their deadline though other zones work. Sequence: a zone is
-// evacuated, then its targets crash. Cause: open flows stay there, and nobody checks
-// whether their targets live.
+// A zone is evacuated, then its targets crash. Guards against leaving the open flows there
+// without health checks, so that feeds fail at their deadline although other zones work.
 func TestCrashOfEvacuatedZoneResetsOpenFlows(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	c := f.caller(1, readRoute)
@@ -128,8 +124,8 @@
 	require.Len(t, f.hosts["a1"].resets, 1)
 }
 
-// Symptom: callers wait for an answer that never comes. Sequence: all zones are
-// evacuated. Cause: a flow without a target is dropped; it has to be refused at once.
+// All zones are evacuated. Guards against dropping a flow without a target, whose caller
+// would wait for a response that never comes; the flow has to be refused at once.
 func TestFlowsAreRefusedIfAllZonesAreEvacuated(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	f.evacuate("a")
@@ -144,10 +140,10 @@
 	require.Contains(t, last.Fields, steerer.Field{Key: "reason", Value: "zoneEvacuated"})
 }
 
-// Symptom: a zone that is cut off serves nobody, though its targets are well. Sequence:
-// it is evacuated, then cut off from all other zones and from the platform. Cause: an
-// order that may have been taken back long ago is obeyed for ever. While the order is
-// known to hold it is obeyed.
+// A zone is evacuated, then partitioned from all other zones and from the platform. Guards
+// against following an order forever that may have been withdrawn long ago, so that the zone
+// serves no callers although its targets work. While the order is known to hold, it is
+// followed.
 func TestPartitionedHostServesItsEvacuatedZone(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	f.evacuate("a")
@@ -178,9 +174,8 @@
 	require.Equal(t, "a", open())
 }
 
-// Symptom: an evacuated zone gets flows again while the platform is away, though other zones
-// have room. Sequence: an order is known, the platform falls silent for longer than news may
-// take. Cause: an order that nobody confirms counts as taken back.
+// An order is known, and the platform is down for longer than orders may take to propagate.
+// Guards against treating an unconfirmed order as withdrawn while other zones have capacity.
 func TestOrdersOutlastPlatformOutage(t *testing.T) {
 	f := newFleet(t, 2, 2)
 	f.evacuate("a")
@@ -192,9 +187,8 @@
 	require.NotEmpty(t, zones)
 }
 
-// Symptom: hosts that start while the store is away send to an evacuated zone. Sequence:
-// an order is written, the store goes silent, a host starts. Cause: orders are learned
-// from the store alone.
+// An order is issued, the store becomes unavailable, and a host starts. Guards against
+// learning orders only from the store, so that the host sends flows to an evacuated zone.
 func TestHostStartedDuringPlatformOutageLearnsOrders(t *testing.T) {
 	f := newFleet(t, 2, 2)
 	f.evacuate("a")
@@ -210,9 +204,8 @@
 	require.Equal(t, "b", f.targetZone(c.target))
 }
 
-// Symptom: an order is forgotten with a loss of all hosts. Sequence: it is written, all
-// hosts lose power in the same moment and start again. Cause: orders are told as changes
-// only, and the first read does not bring them.
+// An order is issued, and all hosts lose power at the same time and start again. Guards
+// against a first read without orders, because orders are reported only as changes.
 func TestOrdersOutlastLossOfAllHosts(t *testing.T) {
 	f := newFleet(t, 2, 2)
 	f.evacuate("a")
@@ -229,7 +222,7 @@
 	require.NotEmpty(t, zones)
 }
 
-// A host that the platform turns away learns orders from the others in time.
+// A host that the platform denies learns orders from other hosts in time.
 func TestDeniedHostLearnsOrdersFromPeers(t *testing.T) {
 	f := newFleet(t, 2, 2, 2)
 	f.deniedHosts["b1"] = true
@@ -238,7 +231,7 @@
 	require.Equal(t, []string{"b"}, f.hosts["b1"].steerer.SyncStatus().Evacuated)
 }
 
-// Orders may have to be known sooner than settings.
+// Orders may have a shorter propagation limit than settings.
 func TestOrdersAreReadWithinPropagationLimit(t *testing.T) {
 	f := newFleet(t, 1)
 	f.evacuatedWithin = time.Second
@@ -250,9 +243,9 @@
 	require.NotEmpty(t, f.hosts["a1"].steerer.SyncStatus().Evacuated)
 }
 
-// Whatever happens to hosts, links and the platform, a host that has been in touch for
-// longer than the bound sends nothing new to a zone that has been evacuated for longer
-// than it. The oracle is the sequence of the operators' orders with their times.
+// Under faults of hosts, links and the platform, a host that has been connected for longer
+// than the propagation limit sends no new flow to a zone that has been evacuated for longer
+// than the limit. The oracle is the sequence of the operators' orders with their times.
 func TestOrdersHoldUnderFaults(t *testing.T) {
 	const within = 3 * time.Second
 	zones := []string{"a", "b", "c"}
@@ -260,7 +253,7 @@
 		random := rand.New(rand.NewPCG(seed, 0))
 		f := newFleet(t, 3, 3, 3)
 		evacuatedAt := map[string]time.Duration{}
-		calmSince := map[string]time.Duration{} // Since when a host has run and reached all.
+		calmSince := map[string]time.Duration{} // Since when a host has run with all links up.
 		clock := time.Duration(0)
 		for step := range 120 {
 			zone, name := zones[random.IntN(3)], f.names[random.IntN(len(f.names))]
--- a/core/steerer/history_internal_test.go
+++ b/core/steerer/history_internal_test.go
@@ -10,7 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Failure: a host that asks what has changed is not told of a change, and never learns of it.
+// Guards against a response that omits a change, which the requester would then never learn
+// of.
 func TestHistoryListsEachChangeAfterPosition(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 3))
 	s := New(Config{Self: "a1", AvailabilityZone: "a"})
@@ -18,11 +19,11 @@
 	last, compared := uint64(2), 0
 	for range 3 * maxHistoryEntries {
 		last += random.Uint64N(3)
-		// News overtakes other news on its way from host to host.
+		// Reports may deliver changes out of order.
 		applyRandomChange(s, random, sequencer.At(0, last-min(random.Uint64N(20), last-1)))
 		since := sequencer.At(0, last-min(random.Uint64N(50), last-1))
 		if !s.targets.history.covers(since) {
-			continue // A target that went has been forgotten, so nobody is told of it.
+			continue // A missing target has been dropped, so no host is sent changes since then.
 		}
 		compared++
 		require.ElementsMatch(t, s.changedSinceByScan(since), slices.Compact(sortedByID(s.targets.changedSince(since))))
@@ -30,7 +31,7 @@
 	require.Greater(t, compared, maxHistoryEntries/2)
 }
 
-// Failure: a host is told what has changed since a position from which on not all is listed.
+// Guards against listing changes since a position after which the history is incomplete.
 func TestHistoryCoversOnlyWhatIsComplete(t *testing.T) {
 	s := New(Config{Self: "a1", AvailabilityZone: "a"})
 	s.targetsPosition = sequencer.At(0, 1)
@@ -44,7 +45,7 @@
 	require.ElementsMatch(t, s.changedSinceByScan(begin), slices.Compact(s.targets.changedSince(begin)))
 }
 
-// changedSinceByScan looks at all targets for those that were seen after a position.
+// changedSinceByScan scans all targets for those whose states were read after a position.
 func (s *Steerer) changedSinceByScan(position sequencer.Position) []*target {
 	var list []*target
 	for _, one := range s.targets.ordered() {
@@ -60,7 +61,7 @@
 	return list
 }
 
-// Failure: each question of another host costs as much as there are targets.
+// Guards against a cost per sync request that grows with the number of targets.
 func TestSyncResponseCostFollowsChanges(t *testing.T) {
 	s := hostWithTargets(12_000)
 	s.markMissing(s.targets.byID["i-10000005"], sequencer.At(0, 2), "test")
--- a/core/steerer/malformed.go
+++ b/core/steerer/malformed.go
@@ -2,20 +2,20 @@
 
 import "cranberryspan.dev/core/sequencer"
 
-// maxLoggedMalformed bounds the entries of which is kept that they were logged: other programs may
-// write any number.
+// maxLoggedMalformed limits how many logged entries are remembered, because other programs
+// may write any number of them.
 const maxLoggedMalformed = 1000
 
-// recordMalformed takes in listed entries that name no target.
+// recordMalformed handles listed entries that cannot be parsed as a target.
 //
-// Such an entry is another program's, or was written over a target's own. A target
-// whose entry is lost so gets no new flows at once: nothing says any more that it is
-// to have them, and to which service it belongs. Its open flows stay. Their packets
-// name it by tag and number, which nothing else has, so they reach it or nobody, and a
-// reset would break flows whose target most likely lives: it writes its entry again
-// with its next heartbeat.
+// Such an entry belongs to another program, or was written over a target's own entry. A
+// target that loses its entry this way gets no new flows from then on, because nothing says
+// any more that it should get them and which service it belongs to. Its open flows stay.
+// Their packets name it by tag and number, which no other target has, so they reach either
+// this target or none. A reset would break flows whose target is most likely alive: it writes
+// its entry again with its next heartbeat.
 //
-// An entry is logged once, until it changes: it may lie there for days.
+// An entry is logged once, until it changes, because it may stay in the list for days.
 func (s *Steerer) recordMalformed(entries []MalformedTarget, seen sequencer.Position) {
 	for _, entry := range entries {
 		t, known := s.targets.byID[entry.ID]
@@ -34,7 +34,7 @@
 	}
 }
 
-// retainMalformed returns those of the entries that were logged that a whole list still has.
+// retainMalformed returns the logged entries that are still in a full list.
 func (s *Steerer) retainMalformed(entries []MalformedTarget) map[uint64]bool {
 	still := map[uint64]bool{}
 	for _, entry := range entries {
--- a/core/steerer/malformed_test.go
+++ b/core/steerer/malformed_test.go
@@ -18,11 +18,9 @@
 	return n
 }
 
-// Symptom: new flows go to a target that the platform does not name any more, or open
-// flows are reset though their target works. Sequence: another program writes over a
-// target's entry; the target serves on. Cause: the entry is passed over as if it were
-// not there, which leaves the target in use for a while, or the target is taken for
-// dead.
+// Another program overwrites a target's entry while the target keeps working. Guards against
+// sending new flows to the target because the entry is skipped as if it were absent, and
+// against resetting its open flows because the target is considered dead.
 func TestTargetWithMalformedEntryKeepsOpenFlowsAndGetsNoNewOnes(t *testing.T) {
 	f := newFleet(t, 2)
 	c := requestAt(f, "a1", restartedTarget, 100)
@@ -43,8 +41,8 @@
 	}
 }
 
-// Symptom: a target is lost for good. Sequence: its entry is written over, and its next
-// heartbeat writes it again. Cause: a state that nothing takes back.
+// Guards against losing a target for good after its entry was overwritten and its next
+// heartbeat has written it again.
 func TestTargetIsUsedAgainOnceItsEntryIsRewritten(t *testing.T) {
 	f := newFleet(t, 1)
 	target := f.targets[restartedTarget]
@@ -58,8 +56,8 @@
 	require.Empty(t, statusOf(f, "a1", restartedTarget).AvoidReason)
 }
 
-// Symptom: the log says nothing but that an entry can't be read. Sequence: it lies there
-// for minutes, and the list is read every second. Cause: a line for each read.
+// A malformed entry stays in the list for minutes while the list is read every second. Guards
+// against a log line per read.
 func TestMalformedEntryIsLoggedOncePerChange(t *testing.T) {
 	f := newFleet(t, 1)
 	f.malformed = []steerer.MalformedTarget{{ID: "readme", Digest: 1, Err: errMalformedEntry}, {Digest: 2, Err: errMalformedEntry}}
@@ -79,8 +77,8 @@
 	require.Equal(t, 1, countLogged(f, "a1", "targetMissing"))
 }
 
-// Failure: the log says nothing but that an entry can't be read, because the store tells no
-// changes and the whole list is read each time.
+// Guards against a log line per read if the store cannot list changes and the full list is
+// read each time.
 func TestMalformedEntryIsLoggedOnceAcrossFullLists(t *testing.T) {
 	f := newFleet(t, 1)
 	f.malformed = []steerer.MalformedTarget{{ID: "readme", Digest: 1, Err: errMalformedEntry}, {Digest: 2, Err: errMalformedEntry}}
@@ -92,9 +90,9 @@
 	require.Equal(t, 2, countLogged(f, "a1", "targetMalformed"))
 }
 
-// Symptom: packets of one flow reach two targets. Sequence: another writer's entry has an
-// ID with the number of a target's, so that both have one tag. Cause: both are taken.
-// The one that was there first keeps the tag; once it is gone, the other may have it.
+// Another program's entry has an ID with the number of a target, so both map to the same tag.
+// Guards against accepting both, which sends packets of one flow to two targets. The first
+// one keeps the tag; once it is gone, the other may have it.
 func TestTargetWithDuplicateTagGetsNoFlows(t *testing.T) {
 	f := newFleet(t, 1)
 	duplicate := f.targets[restartedTarget]
--- a/core/steerer/missing.go
+++ b/core/steerer/missing.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	// missingTargetsSyncWindow is how long after its start a host asks for targets that are gone. By
-	// then it has heard those that ran before it.
+	// missingTargetsSyncWindow is how long after its start a host requests missing targets.
+	// By then it has received reports from the hosts that were running before it.
 	missingTargetsSyncWindow = 10 * time.Second
-	// maxMissingTargetsSent bounds the targets in an answer, to some 50 KB. Those that vanished
-	// last are the likeliest to be named by open flows.
+	// maxMissingTargetsSent limits the targets in a response, to about 50 KB. The targets
+	// that went missing last are the most likely to have open flows.
 	maxMissingTargetsSent = 500
 )
 
-// needsMissingTargets reports whether this host still has to learn of targets that are gone.
+// needsMissingTargets reports whether this host still has to learn which targets are missing.
 //
-// What goes wrong otherwise: a target crashes and vanishes from the list; a host
-// starts after that and gets the packets of flows at that target. It has never heard
-// of it, so it neither checks it nor tells the callers that wait for it. One notices by
-// flows that get no answer to any request, with a line for each dropped packet on
-// one host only.
+// Without this, a host that starts after a target has crashed and vanished from the list does
+// not know the target when it gets packets of the target's flows. It neither probes the
+// target nor resets the flows of callers that wait for it. The symptom is flows that get no
+// response to any request, with a log line for each dropped packet on one host only.
 func (s *Steerer) needsMissingTargets() bool {
 	return !s.asking.missingTargetsKnown && s.canRoute() && !s.config.Start.Add(missingTargetsSyncWindow).Passed(s.now)
 }
 
-// pickMissingTargetsPeer picks one of the hosts that ran before this one; nil if there is none.
+// pickMissingTargetsPeer picks one of the hosts that were running before this one; nil if
+// there is none.
 func (s *Steerer) pickMissingTargetsPeer() *peer {
 	if !s.needsMissingTargets() {
 		return nil
@@ -46,7 +46,7 @@
 	return older[s.random.IntN(len(older))]
 }
 
-// missingTargetStates lists the targets that are gone, those that vanished last first.
+// missingTargetStates lists the missing targets, those that went missing last first.
 func (s *Steerer) missingTargetStates() []messenger.TargetState {
 	var gone []*target
 	for _, t := range s.targets.gone {
@@ -62,8 +62,8 @@
 	return states
 }
 
-// applyMissingTargets takes in the targets that were gone before this host started. What another era
-// says of them gives way to any word of this one.
+// applyMissingTargets records targets that were missing before this host started. Information
+// from another era is overridden by any from the current one.
 func (s *Steerer) applyMissingTargets(k *messenger.SyncResponse, from string) {
 	s.asking.missingTargetsKnown = true
 	for _, state := range k.MissingTargets {
--- a/core/steerer/missing_internal_test.go
+++ b/core/steerer/missing_internal_test.go
@@ -8,11 +8,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Failure: a host keeps a target that has gone for good, because it asked one that started
-// after that what has changed, and that one has never heard of the target.
+// A host requests changes from a host that started after a target went missing and never knew
+// that target. Guards against a response of changes only, after which the requester keeps the
+// target for good.
 func TestSyncResponseIsFullIfHistoryStartsAfterRequest(t *testing.T) {
 	requester := hostWithTargets(10)
-	responder := hostWithTargets(9) // The tenth has gone at position 2.
+	responder := hostWithTargets(9) // The tenth went missing at position 2.
 	responder.targetsPosition = sequencer.At(0, 2)
 	responder.targets.history.resetTo(responder.targetsPosition)
 
@@ -25,7 +26,7 @@
 	require.False(t, requester.targets.byID["i-10000008"].missing)
 }
 
-// Failure: as above, after the target was forgotten by a host that knew it.
+// As above, for a host that has known the target and has since dropped it.
 func TestSyncResponseIsFullAfterMissingTargetExpired(t *testing.T) {
 	s := hostWithTargets(10)
 	missing := s.targets.byID["i-10000009"]
@@ -37,8 +38,7 @@
 	require.Equal(t, messenger.ScopeFull, s.SyncResponse(request).Scope)
 }
 
-// Failure: as above, because the host that was asked is of an earlier release and does not say
-// what it leaves out.
+// As above, for a response of an earlier release, which does not say what it leaves out.
 func TestSyncResponseWithoutScopeIsNotTreatedAsComplete(t *testing.T) {
 	s := hostWithTargets(10)
 	changed := s.targetState(s.targets.byID["i-10000003"])
--- a/core/steerer/missing_test.go
+++ b/core/steerer/missing_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// crashAndDelist lets a target fall silent and vanish from the list while a read is open
-// at it, and returns the read.
+// crashAndDelist makes a target silent and removes it from the list while a read is open at
+// it, and returns the read.
 func crashAndDelist(f *fleet) *caller {
 	read := openOn(f, "a1", silentTarget, 0, true)
 	f.probeOutcomes[silentTarget] = steerer.ProbeConnectTimeout
@@ -19,10 +19,10 @@
 	return read
 }
 
-// Symptom: a feed gets no answer any more, to no request, until its caller gives the
-// flow up. Sequence: a target crashes and vanishes from the list; a host starts
-// after that; the fabric hands it the packets of a flow at that target. Cause: the
-// host has never heard of the target, so it neither checks it nor tells the caller.
+// A target crashes and vanishes from the list, a host starts after that, and the fabric sends
+// it packets of a flow at that target. Guards against a host that does not know the target
+// and so neither probes it nor resets the flow, so that the caller gets no response to any
+// request until it gives up.
 func TestStartingHostLearnsMissingTargets(t *testing.T) {
 	f := newFleet(t, 2)
 	read := crashAndDelist(f)
@@ -41,9 +41,8 @@
 	require.NotEqual(t, silentTarget, fresh.target, "it gets no new flows")
 }
 
-// Symptom: hosts ask each other for ever. Sequence: all hosts start at once, so nobody
-// knows of targets that are gone. Cause: a question that ends with an answer only if
-// that names a target.
+// All hosts start at once, so none knows of missing targets. Guards against a request that
+// counts as answered only if the response names a target, which would be repeated forever.
 func TestMissingTargetsAreRequestedOnce(t *testing.T) {
 	f := newFleet(t, 2)
 	asks := f.syncRequests
--- a/core/steerer/rank_test.go
+++ b/core/steerer/rank_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Failure: a zone is lost, and for as long as its hosts count as living, which takes longer
-// the larger the fleet is, nobody reads the platform in time in their place.
+// A zone is lost. Guards against waiting for its hosts to read the platform for as long as
+// they are presumed alive, which takes longer the larger the fleet is.
 func TestHostsOfLostZoneDoNotCountForRank(t *testing.T) {
 	f := newFleet(t, 12, 12, 12)
 	f.step(3 * time.Second)
@@ -24,7 +24,7 @@
 	require.Zero(t, f.hosts[first].steerer.SyncStatus().Rank)
 }
 
-// firstReader is the host of the lowest rank among some.
+// firstReader is the host with the lowest rank among those that match.
 func (f *fleet) firstReader(among func(name string) bool) string {
 	first := ""
 	for _, name := range f.names {
--- a/core/steerer/reportrate_test.go
+++ b/core/steerer/reportrate_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Failure: while targets are replaced each tick of each host brings news, and hosts have no
-// processor time left but for reports.
+// Guards against a report for every change: while targets are replaced, each tick of each
+// host brings changes, and reports would take up the hosts' processor time.
 func TestSteadyChangesDoNotRaiseReportRate(t *testing.T) {
 	h, f := newLargeHost(largeFleets[0]), &fleet{}
 	h.runSecond(f, 0, 3)
@@ -18,7 +18,7 @@
 	require.LessOrEqual(t, len(h.sent), 5*16+3*4, "four rounds a second, and those that news may begin early")
 }
 
-// Failure: the crash of a target is told only with the next round of reports.
+// Guards against reporting the crash of a target only with the next regular round.
 func TestSingleChangeIsReportedImmediately(t *testing.T) {
 	h := newLargeHost(largeFleets[0])
 	h.runIdleSecond()
--- a/core/steerer/scaling_test.go
+++ b/core/steerer/scaling_test.go
@@ -9,8 +9,8 @@
 // measuredSeconds is for how long the hosts of different fleets are compared.
 const measuredSeconds = 10
 
-// countVisits is how many entries of its lists of targets and of hosts a host goes through that
-// carries some flows while targets change.
+// countVisits returns how many entries of its lists of targets and of hosts a host visits
+// while it handles some flows and targets change.
 func countVisits(l largeFleet) (targets, hosts uint64) {
 	h, f := newLargeHost(l), &fleet{}
 	h.runSecond(f, 20, 3)
@@ -22,15 +22,15 @@
 	return targets - targetsBefore, hosts - hostsBefore
 }
 
-// Failure: a host of a large fleet has no processor time left for packets, because each
-// packet, report or tick goes through all targets or all hosts.
+// Guards against a loop over all targets or all hosts for each packet, report or tick, which
+// leaves a host of a large fleet no processor time for packets.
 func TestCostPerSecondDoesNotGrowWithFleet(t *testing.T) {
 	small, large := largeFleets[1], largeFleets[3]
 	smallTargets, smallHosts := countVisits(small)
 	largeTargets, largeHosts := countVisits(large)
 	t.Logf("targets %d, %d; hosts %d, %d", smallTargets, largeTargets, smallHosts, largeHosts)
 	require.LessOrEqual(t, float64(largeTargets), 1.1*float64(smallTargets))
-	// All hosts are counted some times a second, whatever comes.
+	// All hosts are counted a few times a second, regardless of events.
 	const looks = 12
 	require.LessOrEqual(t, largeHosts-smallHosts, uint64(measuredSeconds*looks*(large.hosts-small.hosts)))
 }
--- a/core/steerer/targetlist.go
+++ b/core/steerer/targetlist.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// recentProgressWindow is how recent the sign of life must be of a target that vanished from
-	// the list without draining, and still gets flows for sequencer.RewriteTime.
+	// recentProgressWindow is how recently a target must have shown progress to keep getting
+	// flows for sequencer.RewriteGracePeriod after it went missing without draining.
 	recentProgressWindow = time.Second
-	// missingTargetRetention is how long a target is remembered after it vanished: open
-	// flows still name it, for as long as a flow may last.
+	// missingTargetRetention is how long a missing target is kept: its open flows still name
+	// it, for as long as a flow may last.
 	missingTargetRetention = 70 * time.Second
-	// targetSweepInterval is how often targets are looked for that are to be checked again or
-	// forgotten, which are due after seconds.
+	// targetSweepInterval is the interval between sweeps for targets to probe again or to
+	// drop. Both become due only after seconds.
 	targetSweepInterval = 250 * time.Millisecond
 )
 
-// applyTargetList takes in what the platform lists.
+// applyTargetList applies a list of targets that the platform has sent.
 func (s *Steerer) applyTargetList(list TargetList) {
 	if list.Since.Known() {
 		s.applyTargetChanges(list)
@@ -29,11 +29,11 @@
 	s.applyFullTargetList(list)
 }
 
-// applyTargetChanges takes in what has changed since a position that this host has reached. The
-// work follows what has changed, not how many targets there are.
+// applyTargetChanges applies the changes since a position that this host has reached. The
+// cost depends on the number of changes, not of targets.
 func (s *Steerer) applyTargetChanges(list TargetList) {
 	if !s.targetsPosition.ContinuesFrom(list.Since) || s.targetsPosition.Before(list.Since) {
-		return // This host has turned to another era since it asked.
+		return // This host has moved to another era since the request.
 	}
 	s.recordMalformed(list.Malformed, list.Position)
 	for _, record := range list.Targets {
@@ -47,8 +47,8 @@
 	s.targetsPosition = s.targetsPosition.Later(list.Position)
 }
 
-// applyFullTargetList takes in a complete list of targets. One without a revision says nothing to a
-// host that has one.
+// applyFullTargetList applies a full list of targets. A list without a revision is ignored by
+// a host that has one with a revision.
 func (s *Steerer) applyFullTargetList(list TargetList) {
 	if list.Position.Before(s.targetsPosition) || (s.targetsPosition.Known() && !list.Position.Known()) {
 		return
@@ -63,7 +63,8 @@
 	s.completeTargetList(listed, list.Position, fromPlatform)
 }
 
-// completeTargetList takes in that a list is complete as of a position: what it lacks is missing.
+// completeTargetList records that a list is complete as of a position: targets that it lacks
+// are missing.
 func (s *Steerer) completeTargetList(listed map[string]bool, position sequencer.Position, from string) {
 	missing := 0
 	for _, t := range s.targets.ordered() {
@@ -79,10 +80,9 @@
 
 // logInitialTargets logs the first list of targets in one line.
 //
-// What goes wrong with a line for each target: after its start a host of a large
-// fleet writes nothing else. The bound on lines leaves out how its first flows were
-// placed, and a small host spends its share of the processor on lines before it
-// takes packets.
+// With a line per target, a host of a large fleet would log nothing else after its start. The
+// log's rate limit would then drop the lines about its first flows, and a small host would
+// spend its processor time on log lines instead of packets.
 func (s *Steerer) logInitialTargets(from string) {
 	draining := 0
 	for _, t := range s.targets.byID {
@@ -94,9 +94,9 @@
 		field("revision", s.targetsPosition.String()), field("from", from))
 }
 
-// applyTarget takes in the state of a target as seen at a position. The first list is no
-// news to others: told like changes, it would fill the reports of each host that starts
-// for changeRetention, and all of them after a loss of all hosts.
+// applyTarget applies the state of a target as read at a position. The first list is not
+// queued for reports: it would fill the reports of each host that starts for changeRetention,
+// and after a loss of all hosts those of every host.
 func (s *Steerer) applyTarget(record Target, seen sequencer.Position, from string) {
 	known, ok := s.targets.byID[record.ID]
 	if ok && !known.missing && known.equalIgnoringWarmUp(record) {
@@ -111,7 +111,7 @@
 	t, tagTaken := s.targets.upsert(record)
 	t.restored = restored
 	if s.targetsPosition.Known() {
-		s.diagnoser.ObserveActivity(t.AvailabilityZone, s.now) // It has started, or changed, just now.
+		s.diagnoser.ObserveActivity(t.AvailabilityZone, s.now) // It has just started or changed.
 	}
 	t.missing = false
 	t.malformed = false
@@ -130,17 +130,17 @@
 	}
 }
 
-// applyWarmUp takes in for how much longer a known target is cold.
+// applyWarmUp sets how much longer a known target is cold.
 //
-// What goes wrong if other hosts are not told: a target turns cold without a restart,
-// and only the host that reads the platform spares it. What goes wrong if any word of
-// another host holds: one that has not learned of it yet ends the warm-up.
+// A warm-up without a restart must be reported, or only the host that reads the platform
+// would limit new flows to the target. Another host's report must not shorten the warm-up,
+// because a host that does not know of it yet would end it.
 func (s *Steerer) applyWarmUp(t *target, warmUp time.Duration, from string) {
 	deadline := s.now.Add(warmUp)
 	if from != fromPlatform {
 		deadline = max(deadline, t.warmUpDeadline)
 	}
-	// Less than a round of reports is what is left of a warm-up that all know.
+	// A remainder below one report interval belongs to a warm-up that all hosts already know.
 	if turnedCold := warmUp > reportInterval && t.warmUpDeadline.Passed(s.now); turnedCold {
 		s.queueChange(t)
 		s.log("targetCold", field("target", t.ID), field("millis", formatMillis(warmUp)), field("from", from))
@@ -148,7 +148,7 @@
 	t.warmUpDeadline = deadline
 }
 
-// markMissing takes in that a target is no longer listed, as seen at a position.
+// markMissing records that a target is no longer listed, as read at a position.
 func (s *Steerer) markMissing(t *target, seen sequencer.Position, from string) {
 	if s.inLaterEra(seen) && !t.Draining && !s.wasDrainingBeforeRestore(t) {
 		t.restored = restoreConflict{absentFromBackup: true, deadline: s.now.Add(sequencer.RewriteGracePeriod)}
@@ -162,11 +162,11 @@
 	s.logTarget("targetMissing", t, field("draining", formatBool(t.Draining)), field("revision", seen.String()), field("from", from))
 }
 
-// excludedAsMissing reports whether a target may get no new flows because it is not listed.
+// excludedAsMissing reports whether a target gets no new flows because it is not listed.
 //
-// What goes wrong if a missing target is dropped at once: while the platform is
-// in trouble entries of live targets vanish, at worst all of them, and callers
-// are refused although every target works.
+// A missing target is not excluded at once: entries of live targets, at worst all of them,
+// vanish while the platform is in trouble. Callers would be refused although every target
+// works.
 func (s *Steerer) excludedAsMissing(t *target) bool {
 	if !t.missing || t.malformed {
 		return t.malformed
@@ -180,12 +180,12 @@
 	return !inGracePeriod || !alive
 }
 
-// hasRecentProgress reports whether flows show that a target lives.
+// hasRecentProgress reports whether flows show that a target is alive.
 func (s *Steerer) hasRecentProgress(t *target) bool {
 	return t.health.lastProgress != 0 && s.now.Since(t.health.lastProgress) < recentProgressWindow
 }
 
-// targetsTick does what is due for targets, whether or not flows use them.
+// targetsTick runs the periodic work on targets, whether or not flows use them.
 func (s *Steerer) targetsTick() {
 	if !s.targetSweepDeadline.Passed(s.now) {
 		return
@@ -214,10 +214,10 @@
 	return keys
 }
 
-// targetsAge tells how old the knowledge of targets is, for logs.
+// targetsAge formats the age of the list of targets, for logs.
 func (s *Steerer) targetsAge() string { return formatAge(s.now, s.reading.targets.confirmed) }
 
-// formatAge writes how long ago a moment was, in milliseconds, for logs.
+// formatAge formats the time since a moment in milliseconds, for logs.
 func formatAge(now, moment timekeeper.Instant) string {
 	if moment == 0 {
 		return "never"
@@ -225,7 +225,7 @@
 	return formatMillis(now.Since(moment))
 }
 
-// age is how old a confirmation is; unknownAge if there is none.
+// age is the time since a confirmation; unknownAge if there is none.
 func age(now, confirmed timekeeper.Instant) time.Duration {
 	if confirmed == 0 {
 		return unknownAge
@@ -233,5 +233,5 @@
 	return now.Since(confirmed)
 }
 
-// unknownAge stands for knowledge that was never confirmed.
+// unknownAge is the age of state that was never confirmed.
 const unknownAge = time.Hour
--- a/core/steerer/targetlist_internal_test.go
+++ b/core/steerer/targetlist_internal_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Failure: the host that reads the platform for all goes through all targets for each change.
+// Guards against a cost per incremental list that grows with the number of targets on the
+// host that reads the platform for the fleet.
 func TestCostOfIncrementalListFollowsChanges(t *testing.T) {
 	s := hostWithTargets(12_000)
 	drained := s.targets.byID["i-10000005"].Target
@@ -20,8 +21,8 @@
 	require.Equal(t, sequencer.At(0, 3), s.targetsPosition)
 }
 
-// Failure: changes of a history that a restore has ended are put upon the list of the new one,
-// or changes upon a list that lacks those before them.
+// Guards against applying an incremental list to a list that it does not follow: one of
+// another era after a restore, or one that lacks earlier changes.
 func TestIncrementalListIsAppliedOnlyToItsBase(t *testing.T) {
 	for _, since := range []sequencer.Position{sequencer.At(0, 2), sequencer.At(1, 1)} {
 		s := hostWithTargets(10)
@@ -31,8 +32,8 @@
 	}
 }
 
-// Failure: a target that waits for a tag which another held gets no flows for good once that
-// one has gone, since its own entry never changes.
+// A target waits for a tag that another target holds. Guards against a wait that never ends
+// once the holder has gone missing, because the waiting target's own entry does not change.
 func TestTagOfMissingTargetIsReassigned(t *testing.T) {
 	s := hostWithTargets(10)
 	first := s.targets.byID["i-10000007"]
