--- a/core/steerer/platformread.go
+++ b/core/steerer/platformread.go
@@ -11,92 +11,92 @@
 )
 
 const (
-	// firstReadShare is the part of the time within which changes must be known that
-	// the fleet's knowledge may grow old before its first reader asks the platform
-	// again. The rest is for the read, the way from host to host, and one of both
-	// that gets lost.
+	// firstReadShare is the fraction of the time limit within which changes must be known
+	// that the fleet's state may age before its first reader reads the platform again. The
+	// rest is for the read, for the propagation from host to host, and for the loss of one of
+	// the two.
 	firstReadShare = 0.3
-	// readRankDelay is how much longer each further host waits. It exceeds the
-	// time between two reports, so that a host sees the result of the one before
-	// it and does not read itself.
+	// readRankDelay is how much longer each host waits than the one before it in rank. It
+	// exceeds the interval between two reports, so that a host sees the result of the one
+	// before it and does not read itself.
 	readRankDelay = 350 * time.Millisecond
-	// propagationShare is the part of the time that is left for news to reach all from the first
-	// reader, for one question to another host, and for hosts that are late.
+	// propagationShare is the fraction of the time limit that is left for updates to
+	// propagate from the first reader to all hosts, for one sync request, and for slow hosts.
 	propagationShare = 0.3
-	// minReadShare is the least part of the time after which a host asks again, and after
-	// which one that has heard of newer settings reads them itself.
+	// minReadShare is the minimum fraction of the time limit after which a host reads again,
+	// and after which a host that knows of newer settings reads them itself.
 	minReadShare = 0.08
-	// maxReadShare and maxReadSpread say when a host reads for itself however many
-	// come before it: from 0.6 to 0.8 of the time, each host at its own part, so
-	// that a fleet whose readers died does not read all at once.
+	// maxReadShare and maxReadSpread determine when a host reads regardless of how many hosts
+	// rank before it: at 0.6 to 0.8 of the time limit, at a fixed fraction for each host, so
+	// that the hosts of a fleet whose readers died do not all read at once.
 	maxReadShare  = 0.6
 	maxReadSpread = 0.2
-	// fleetStartGrace is how long a host waits for others to tell it all when the
-	// whole fleet starts for the first time. Nobody needs it yet, and a large fleet
-	// would call the platform twice for each host.
+	// fleetStartGrace is how long a host waits for state from other hosts when the whole
+	// fleet starts for the first time. No caller needs it yet, and in a large fleet each host
+	// would otherwise read the platform twice.
 	fleetStartGrace = 2 * time.Second
 	// targetsReadHeadStart is how long a first read of the settings waits for the targets at
-	// most: for some hundred KB on a small link.
+	// most. That is enough for a few hundred KB on a small link.
 	targetsReadHeadStart = 300 * time.Millisecond
-	// minReadBackoff and maxReadBackoff bound the pause after a failed read.
+	// minReadBackoff and maxReadBackoff limit the delay after a failed read.
 	minReadBackoff = 150 * time.Millisecond
 	maxReadBackoff = 1200 * time.Millisecond
-	// fleetRetryInterval is the mean time between two failed reads of the same thing by
-	// the whole fleet: what came back is noticed within a tenth of a second, a small
-	// part of the time that the news then takes from host to host.
+	// fleetRetryInterval is the mean time between two failed reads of the same source by the
+	// whole fleet. A recovery is noticed within a tenth of a second, a small fraction of the
+	// time that the update then takes from host to host.
 	fleetRetryInterval = 100 * time.Millisecond
 )
 
-// fromPlatform stands in logs and status for what was read from the platform.
+// fromPlatform is the origin, in logs and status, of what was read from the platform.
 const fromPlatform = "platform"
 
-// source is one of the two things that are read from the platform: what operators have
-// published, which is the settings and their orders, and the targets.
+// source is one of the two things that are read from the platform: what operators publish,
+// which is the settings and the evacuation orders, and the targets.
 type source struct {
-	// confirmed is the moment for which this host's knowledge is known to be
-	// complete; 0 before any.
+	// confirmed is the moment as of which this host's state is known to be complete; 0 before
+	// any.
 	confirmed timekeeper.Instant
-	// era is the era of the platform's history that the confirmation belongs to.
+	// era is the era of the platform's store that the confirmation belongs to.
 	era uint64
-	// confirmedBy is "platform", or the host that said so, and confirmedRead the number
-	// of the read that has shown it.
+	// confirmedBy is "platform", or the host that reported the confirmation, and
+	// confirmedRead the number of the read that it is based on.
 	confirmedBy   string
 	confirmedRead uint64
-	// recentReads are the reads that this host has heard of last, at turn the one that the next
-	// takes the place of.
+	// recentReads holds the reads that this host has learned of last; nextRecentRead is the
+	// index of the entry to overwrite next.
 	recentReads    [maxRecentReads]recentRead
 	nextRecentRead int
-	// staleAt is when a first answer came that may have been seconds old.
+	// staleAt is when a first response arrived that may have been seconds old.
 	staleAt timekeeper.Instant
 	reading bool
 	backoff time.Duration
-	// retryDeadline is when the next read may begin after a failed one.
+	// retryDeadline is when the next read may start after a failed one.
 	retryDeadline timekeeper.Instant
-	// urgent asks for a read whatever the age.
+	// urgent requests a read regardless of the age.
 	urgent bool
 }
 
-// recentRead is a read of the platform by any host, and the earliest moment at which it
-// may have begun, as far as this host was told.
+// recentRead is a read of the platform by any host, with the earliest moment at which it may
+// have started, as far as this host knows.
 type recentRead struct {
 	number uint64
 	moment timekeeper.Instant
 }
 
-// maxRecentReads is how many reads a host tells apart: more than there are readers between
-// two reads of the first.
+// maxRecentReads is how many reads a host can tell apart: more than there are readers between
+// two reads of the first reader.
 const maxRecentReads = 16
 
-// confirm takes in that a read, by this host or another, has shown that what is known
-// was complete at a moment.
+// confirm records that a read, by this host or another, has shown that the state was complete
+// as of a moment.
 //
-// What goes wrong if any later moment is taken: a host's own confirmation comes back from
-// another, later by the time that reports are on their way, and is told again. Where
-// hosts are busy, knowledge looks fresh for as long as anybody reports, and nobody reads.
-// So a read keeps the earliest moment that anybody has told of it.
+// A read keeps the earliest moment that any host has reported for it. If a later moment were
+// accepted, a host's own confirmation would come back from another host, later by the time
+// that reports take, and would be reported again. On busy hosts the state would look current
+// for as long as any host reports, and no host would read.
 //
-// A confirmation of a newer era takes the place of any: what the older ones show is
-// undone. Whoever calls this leaves out those of an era that is known to have ended.
+// A confirmation of a newer era replaces any other, because what the older ones confirm has
+// been undone. Callers leave out confirmations of an era that is known to have ended.
 func (src *source) confirm(c confirmation, by string) {
 	moment := src.earliestStart(c.read, c.moment)
 	if c.era > src.era || (c.era == src.era && moment > src.confirmed) {
@@ -104,17 +104,19 @@
 	}
 }
 
-// confirmation says that a read of the platform has shown what was complete at a moment.
+// confirmation states that a read of the platform has shown the state that was complete as of
+// a moment.
 type confirmation struct {
-	// read is the number of the read; 0 if the host that tells of it numbers none.
+	// read is the number of the read; 0 if the host that reported it does not number its
+	// reads.
 	read uint64
-	// era is that of the platform's history that the read has shown.
+	// era is the era of the platform's store that the read has shown.
 	era    uint64
 	moment timekeeper.Instant
 }
 
-// earliestStart returns the earliest moment told of a read. Hosts that do not number their
-// reads tell 0.
+// earliestStart returns the earliest moment reported for a read. Hosts that do not number
+// their reads report 0.
 func (src *source) earliestStart(read uint64, moment timekeeper.Instant) timekeeper.Instant {
 	if read == 0 {
 		return moment
@@ -130,28 +132,28 @@
 	return moment
 }
 
-// platformReads decides when this host reads the platform.
+// platformReads determines when this host reads the platform.
 type platformReads struct {
 	settings source
 	targets  source
-	// era is the newest era of the platform's history that this host has heard of.
+	// era is the newest era of the platform's store that this host knows of.
 	era uint64
-	// failedSince is since when the platform has answered neither this host nor one
-	// that it learns from; 0 while it does.
+	// failedSince is since when the platform has responded neither to this host nor to one
+	// that reports to it; 0 while it does.
 	failedSince timekeeper.Instant
-	// recoveredAt is when it answered again.
+	// recoveredAt is when it responded again.
 	recoveredAt timekeeper.Instant
 }
 
-// delayUntil puts the first reads off.
+// delayUntil delays the first reads.
 func (r *platformReads) delayUntil(until timekeeper.Instant) {
 	r.settings.retryDeadline = until
 	r.targets.retryDeadline = until
 }
 
-// due reports whether a source is to be read now. What may be stale is taken to be as
-// old as the first reader lets knowledge grow, so that this one reads again at once and
-// the others hear of it.
+// due reports whether to read a source now. State that may be stale is assumed to have the
+// age at which the first reader reads again, so that this host reads again at once and the
+// others learn of it.
 func (src *source) due(now timekeeper.Instant, patience, firstPatience time.Duration) bool {
 	if src.reading || !src.retryDeadline.Passed(now) {
 		return false
@@ -175,15 +177,15 @@
 	src.urgent = false
 }
 
-// fail takes in that a read has failed. Jitter, from 0 to 1, keeps hosts that lost the
-// platform together from coming back together.
+// fail records that a read has failed. The jitter, from 0 to 1, keeps hosts that lost the
+// platform together from returning together.
 func (src *source) fail(now timekeeper.Instant, fleetPause time.Duration, jitter float64) {
 	src.reading = false
 	src.backoff = min(max(2*src.backoff, minReadBackoff), maxReadBackoff)
 	src.retryDeadline = now.Add(time.Duration(float64(max(src.backoff, fleetPause)) * (0.5 + jitter)))
 }
 
-// succeed takes in that a read has succeeded.
+// succeed records that a read has succeeded.
 func (src *source) succeed(now timekeeper.Instant, mayBeStale bool, c confirmation) {
 	src.reading = false
 	src.backoff = 0
@@ -197,16 +199,16 @@
 
 // readTick starts the reads that are due.
 //
-// What goes wrong if every host reads for itself: calls grow with the fleet and
-// exceed the platform's rate. What goes wrong with long watches: a platform that
-// drops its history leaves a watch without news for seconds, unnoticed. So the
-// host with the lowest rank among those that hear each other reads often, and
-// all learn from its reports. A host that hears nothing new, because readers
-// died, were cut off or are turned away, reads for itself.
+// If every host read for itself, the calls would grow with the fleet and exceed the
+// platform's rate limit. With long-lived watches, a platform that drops its history would
+// leave a watch without updates for seconds, unnoticed. So the host with the lowest rank
+// among those that receive each other's reports reads often, and all others learn from its
+// reports. A host that receives no update, because readers died, were partitioned or are
+// denied by the platform, reads for itself.
 func (s *Steerer) readTick() {
 	settings, targets := &s.reading.settings, &s.reading.targets
 	if !s.due(targets, 0, s.config.DrainingPropagationLimit, 0) && !s.due(settings, 0, s.settingsPropagationLimit(), s.transferTime()) {
-		return // Not even the first in rank would read now, and a rank takes a look at all hosts.
+		return // Not even the first in rank would read now, and computing a rank visits all hosts.
 	}
 	rank := s.rank()
 	if s.due(targets, rank, s.config.DrainingPropagationLimit, 0) {
@@ -222,21 +224,21 @@
 	}
 }
 
-// settingsWaitForTargets reports whether the first read of the settings has to wait for that of the
-// targets. Open flows, most of what callers do, need the targets only, and share the
-// link, and the platform's, with a document that may be far larger.
+// settingsWaitForTargets reports whether the first read of the settings has to wait for that
+// of the targets. Open flows, most of the traffic, need the targets only, and share the link,
+// and the platform's, with a document that may be far larger.
 func (s *Steerer) settingsWaitForTargets() bool {
 	return s.reading.settings.neverRead() && s.reading.targets.reading && !s.config.Start.Add(targetsReadHeadStart).Passed(s.now)
 }
 
-// due reports whether a source is to be read now, if its changes must be known within
-// a time and take some time to arrive.
+// due reports whether to read a source now, given the time limit for its changes and the time
+// that they take to arrive.
 func (s *Steerer) due(src *source, rank int, within, transfer time.Duration) bool {
 	return src.due(s.now, s.maxAge(rank, within, transfer), s.maxAge(0, within, transfer))
 }
 
-// transferTime is how long the settings take on this host's link if nothing else does:
-// the platform sends them in base64. It is 0 while the link or the settings are unknown.
+// transferTime is how long the settings take on this host's link if nothing else uses it; the
+// platform sends them in base64. It is 0 while the link or the settings are unknown.
 func (s *Steerer) transferTime() time.Duration {
 	if s.config.LinkBytesPerSecond <= 0 {
 		return 0
@@ -245,55 +247,55 @@
 	return time.Duration(float64(bytes) / float64(s.config.LinkBytesPerSecond) * float64(time.Second))
 }
 
-// fleetRetryDelay is the pause of each host between two reads that fail, so that the fleet
-// together makes some ten a second.
+// fleetRetryDelay is the delay of each host between two failed reads, so that the fleet makes
+// about ten a second in total.
 //
-// What goes wrong without it: the platform is down for some seconds, and three hundred
-// hosts ask it five hundred times a second whether it is back. All these calls are in
-// its way when it comes back. The first host that reads it tells the others, so each
-// need not ask often. A host that hears nobody asks as if it were alone.
+// Without this, while the platform is down for some seconds, three hundred hosts would read
+// it five hundred times a second, and all of these calls would slow down its recovery. The
+// first host that reads it informs the others, so that no host needs to read often. A host
+// that receives no reports reads as if it were alone.
 func (s *Steerer) fleetRetryDelay() time.Duration {
 	return time.Duration(s.alivePeers()) * fleetRetryInterval
 }
 
-// maxAge is how old this host's knowledge may grow before it reads, if changes
-// must be known within a time and take some time to arrive.
+// maxAge is how old this host's state may become before it reads, given the time limit for
+// changes and the time that they take to arrive.
 func (s *Steerer) maxAge(rank int, within, transfer time.Duration) time.Duration {
 	latest := scale(within, maxReadShare+maxReadSpread*s.hostFraction())
 	return min(firstReaderMaxAge(within, transfer)+time.Duration(rank)*readRankDelay, latest)
 }
 
-// firstReaderMaxAge is how old the knowledge of the fleet may grow before its first reader
-// asks the platform again. What it reads may have to pass two links, one after the other:
-// its own, and that of a host to which nobody can tell it.
+// firstReaderMaxAge is how old the fleet's state may become before its first reader reads the
+// platform again. The data may have to pass two links in sequence: the reader's, and that of
+// a host to which no other host can send it.
 //
-// What goes wrong if it is a part of the time, however long that takes: a document of
-// 400 KB needs two seconds on a link of 2 Mbit/s. Hosts of which those around them are
-// busy, too, have the newest settings too late. One notices by the hosts that read the
-// platform last after each change.
+// The age is not simply a fraction of the time limit regardless of the transfer time: a
+// document of 400 KB takes two seconds on a link of 2 Mbit/s, and a host whose neighbors are
+// busy, too, would get the newest settings too late, which shows at the hosts that are the
+// last to read the platform after each change.
 func firstReaderMaxAge(within, transfer time.Duration) time.Duration {
 	remaining := within - 2*transfer - scale(within, propagationShare)
 	return boundedAge(within, firstReadShare, remaining)
 }
 
-// boundedAge is a share of the time within which changes must be known, or what is left
-// of that time if it is less, but never too short for others to help.
+// boundedAge is a fraction of the time limit for changes, or the remaining time if that is
+// less, but never so short that other hosts cannot help.
 func boundedAge(within time.Duration, share float64, remaining time.Duration) time.Duration {
 	return min(scale(within, share), max(remaining, scale(within, minReadShare)))
 }
 
-// scale is a part of a time.
+// scale returns a fraction of a duration.
 func scale(duration time.Duration, share float64) time.Duration {
 	return time.Duration(float64(duration) * share)
 }
 
-// hostFraction is this host's own number from 0 to 1, which is as likely to be any as any
-// other.
+// hostFraction is a number from 0 to 1 that is fixed for this host and uniformly distributed
+// over hosts.
 func (s *Steerer) hostFraction() float64 {
 	return float64(xxhash.Sum64String(s.config.Self)>>32) / (1 << 32)
 }
 
-// recordReadFailure counts a read that failed, and logs when the platform is lost.
+// recordReadFailure counts a failed read and logs the start of an outage of the platform.
 func (s *Steerer) recordReadFailure(sourceName string, err error) {
 	if err == nil {
 		return
@@ -305,8 +307,8 @@
 	}
 }
 
-// platformRecovered ends an outage of the platform: it has answered this host, or another
-// that this one learns from.
+// platformRecovered ends an outage of the platform: it has responded to this host, or to one
+// that reports to it.
 func (s *Steerer) platformRecovered(by string) {
 	r := &s.reading
 	s.log("platformRegained", field("by", by), field("lostMillis", formatMillis(s.now.Since(r.failedSince))))
@@ -314,8 +316,8 @@
 	r.recoveredAt = s.now
 }
 
-// finishRead takes in the end of a read that shows a position; what names the source in logs. It
-// reports whether what was read is to be taken in: an answer that comes after the news of a
+// finishRead completes a read that shows a position; sourceName is the source's name in logs.
+// It reports whether to apply the result: a response that arrives after the report of a
 // restore may be from before it.
 func (s *Steerer) finishRead(src *source, sourceName string, started timekeeper.Instant, mayBeStale bool, position sequencer.Position, err error) bool {
 	s.recordReadFailure(sourceName, err)
@@ -337,8 +339,8 @@
 	return true
 }
 
-// handleSettingsRead takes in the end of a read of what operators have published. A read that
-// failed may have brought their orders nevertheless.
+// handleSettingsRead completes a read of what operators publish. A read that failed may still
+// have returned their evacuation orders.
 func (s *Steerer) handleSettingsRead(e *SettingsRead) {
 	accepted := s.finishRead(&s.reading.settings, "settings", e.Started, e.MayBeStale, e.Published.Orders.Position, e.Err)
 	if accepted || e.Err != nil {
@@ -358,13 +360,13 @@
 	s.announceRead(e.MayBeStale)
 }
 
-// guaranteedPosition is the position that the contents of an answer are sure to have reached.
+// guaranteedPosition is the position that the contents of a response have certainly reached.
 //
-// What goes wrong if an answer that may be seconds old is taken for one of the era that it
-// names: the store was restored within these seconds, and what the restore has undone stands
-// under the new era at a revision that the new history has not reached. All hosts that hear
-// of it ignore the platform's lists until it has, and report nothing. So such an answer
-// counts for the era before, and gives way to any other of its own.
+// A response that may be seconds old does not count for the era that it names. If the store
+// was restored within these seconds, state that the restore has undone would appear under the
+// new era, at a revision that the new history has not reached. All hosts that learn of it
+// would ignore the platform's lists until it has, without any log line. So such a response
+// counts for the previous era, and is overridden by any other response of its own era.
 func guaranteedPosition(position sequencer.Position, mayBeStale bool) sequencer.Position {
 	if mayBeStale && position.Era > 0 {
 		position.Era--
@@ -372,14 +374,14 @@
 	return position
 }
 
-// announceRead tells the next readers of a read, once for reads that began together.
+// announceRead reports a read to the next readers, once for reads that started together.
 func (s *Steerer) announceRead(mayBeStale bool) {
 	if !mayBeStale && !s.reading.settings.reading && !s.reading.targets.reading {
 		s.reportToNextReaders()
 	}
 }
 
-// applySettings puts a version in force unless a newer one is.
+// applySettings puts a version of the settings in force unless a newer one is.
 func (s *Steerer) applySettings(settings *Settings, document []byte, from string) {
 	if s.settings != nil && settings.Version <= s.settings.Version {
 		return
@@ -411,11 +413,11 @@
 	s.peers.reportNow = true
 }
 
-// handleTargetsRead takes in the end of a read of the targets.
+// handleTargetsRead completes a read of the targets.
 func (s *Steerer) handleTargetsRead(e *TargetsRead) {
 	accepted := s.finishRead(&s.reading.targets, "targets", e.Started, e.MayBeStale, e.List.Position, e.Err)
 	if s.reading.settings.neverRead() {
-		s.readTick() // They have waited for the targets.
+		s.readTick() // The settings have waited for the targets.
 	}
 	if !accepted {
 		return
--- a/core/steerer/platformread_test.go
+++ b/core/steerer/platformread_test.go
@@ -11,9 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: hosts go back to old settings. Sequence: a host has learned a version
-// from another; its own read, answered by a replica that lags, brings an older
-// one. Cause: the latest read wins over the highest version.
+// Guards against hosts that return to older settings: when a host has learned a version from
+// another, and its own read, served by a replica that lags, returns an older one.
 func TestSettingsNeverGoBack(t *testing.T) {
 	f := newFleet(t, 1)
 	f.settings = newSettings(5, routes()[:2])
@@ -25,9 +24,8 @@
 	require.Empty(t, c.target, "version 5 has no such route")
 }
 
-// Symptom: settings come into force late while the platform is in trouble.
-// Sequence: a version is published; one host is turned away by the platform.
-// Cause: each host depends on its own reads.
+// Guards against hosts that depend on their own reads: when a version is published while the
+// platform denies some hosts, it must come into force on these, too.
 func TestSettingsReachDeniedHosts(t *testing.T) {
 	f := newFleet(t, 3, 3, 2)
 	f.deniedHosts["a1"], f.deniedHosts["b2"], f.deniedHosts["c1"] = true, true, true
@@ -41,9 +39,8 @@
 	}
 }
 
-// Symptom: after a crash of hosts during an outage of the platform nobody is
-// served until it is back. Sequence: the platform goes down; all hosts but one
-// are killed and start again. Cause: hosts that can learn from the platform only.
+// Guards against hosts that can learn only from the platform: when the platform is down and
+// all hosts but one are killed and start again, no caller would be served until it is back.
 func TestHostsStartedDuringPlatformOutageAreReady(t *testing.T) {
 	f := newFleet(t, 3, 3, 2)
 	f.down = true
@@ -64,8 +61,8 @@
 	}
 }
 
-// Symptom: the platform turns everybody away. Sequence: the fleet grows. Cause:
-// each host reads for itself, so that calls grow with the fleet.
+// Guards against each host reading for itself, so that calls grow with the fleet until the
+// platform denies them all.
 func TestPlatformReadsDoNotGrowWithFleet(t *testing.T) {
 	reads := map[int]int{}
 	for _, perZone := range []int{3, 30} {
@@ -79,10 +76,9 @@
 	require.LessOrEqual(t, reads[30], 4*reads[3])
 }
 
-// Symptom: flows through one small host are late about every second. Sequence: hosts
-// with links of 2 and of 200 Mbit/s form a fleet; one of the small ones reads settings
-// and targets for all, which takes its link for a third of a second each time.
-// Cause: a reader that is chosen by its name alone.
+// Guards against choosing the reader by its name alone: in a fleet of hosts with links of 2
+// and of 200 Mbit/s, a small host that reads settings and targets for all occupies its link
+// for a third of a second each time, and its flows are late about every second.
 func TestHostsWithFastestLinksReadPlatform(t *testing.T) {
 	f := newFleet(t, 3, 3, 3)
 	for _, name := range f.names {
@@ -112,9 +108,9 @@
 	require.Empty(t, c.target, "the small hosts read when the large ones are gone")
 }
 
-// Symptom: a cut-off zone goes on with old settings though it reaches the
-// platform. Sequence: the zone with the reader is cut off; a version comes.
-// Cause: hosts that wait for a reader that they no longer hear.
+// Guards against hosts that wait for a reader whose reports no longer arrive: when the zone
+// with the reader is partitioned and a version is published, the other side must not keep old
+// settings although it reaches the platform.
 func TestEachSideOfPartitionReadsPlatform(t *testing.T) {
 	f := newFleet(t, 2, 2)
 	f.splitZone("a")
@@ -127,9 +123,9 @@
 	}
 }
 
-// Symptom: callers are refused although every target works. Sequence: the
-// platform is in trouble and the entries of all targets vanish for two seconds.
-// Cause: a list that is believed more than the flows.
+// Guards against trusting a list more than the flows: when the entries of all targets vanish
+// for two seconds while the platform is in trouble, callers must not be refused although
+// every target works.
 func TestMissingTargetsWithRecentProgressStillGetFlows(t *testing.T) {
 	f := newFleet(t, 1)
 	var callers []*caller
@@ -160,7 +156,8 @@
 	require.NotEmpty(t, fresh.target)
 }
 
-// A target that is still missing after its time is gone, however lively.
+// A target that stays missing beyond the grace period gets no new flows, however active it
+// is.
 func TestTargetThatStaysMissingGetsNoFlows(t *testing.T) {
 	f := newFleet(t, 1)
 	const target = "i-10000001"
@@ -178,10 +175,9 @@
 	}
 }
 
-// Symptom: nobody learns from a host that was restarted. Sequence: its time of day
-// jumps back, it restarts, and its incarnation is lower than before; another host
-// is turned away by the platform and could learn from it.
-// Cause: reports of lower incarnations that are dropped for good.
+// Guards against ignoring reports of lower incarnations for good: when a host's clock steps
+// back and it restarts with a lower incarnation, a host that the platform denies could not
+// learn from it.
 func TestReportsAreAcceptedAfterClockStepsBack(t *testing.T) {
 	f := newFleet(t, 2)
 	h := f.hosts["a2"]
@@ -199,10 +195,9 @@
 	require.Equal(t, uint64(2), f.hosts["a1"].steerer.Snapshot().Version)
 }
 
-// Symptom: a host gives flows to a target that was given up long ago. Sequence: the
-// platform is down and back; one host reads again, the others learn from it; later
-// a target that lives vanishes from the list for good. Cause: a host that has not
-// read itself since the outage still believes in it, and in entries that lapse.
+// Guards against an outage that never ends for a host that has not read the platform itself
+// since: when one host reads after the outage and the others learn from it, a target that
+// then vanishes for good must not keep getting flows from them.
 func TestPlatformOutageEndsForHostsThatSyncFromPeers(t *testing.T) {
 	f := newFleet(t, 3)
 	f.down = true
@@ -228,9 +223,9 @@
 	}
 }
 
-// Symptom: many hosts read the platform, or ask each other for everything, after a
-// crash of many targets. Sequence: more targets change at once than a report holds.
-// Cause: reports that tell the latest changes only.
+// Guards against reports that carry only the latest changes: when more targets change at once
+// than a report holds, as in a crash of many targets, hosts would read the platform or send
+// sync requests for the rest.
 func TestManyChangesSpreadThroughReports(t *testing.T) {
 	f := newFleet(t, 10, 10, 10)
 	for n := range 60 {
@@ -252,10 +247,9 @@
 	require.Less(t, f.reads+f.syncRequests, 14, "reads and questions of 30 hosts in 3 s; 9 when nothing changes")
 }
 
-// Symptom: after a loss of all hosts but one of a large fleet most wait long for
-// settings and targets. Sequence: the platform turns everybody away; all ask the
-// one that knows. Cause: questions that all go to one host, though others know by
-// then.
+// Guards against sync requests that all go to one host: when the platform denies all hosts
+// and all but one of a large fleet have restarted, most would wait long although other hosts
+// have the state by then.
 func TestSyncRequestsAreSpreadOverPeers(t *testing.T) {
 	f := newFleet(t, 60, 60)
 	f.down = true
@@ -267,7 +261,7 @@
 	for _, name := range f.names[1:] {
 		f.start(name)
 	}
-	f.maxConcurrentAnswers = 1 // At once, by each host.
+	f.maxConcurrentAnswers = 1 // Concurrent responses by each host.
 	started := f.now
 	for slices.ContainsFunc(f.names, func(name string) bool { return !f.hosts[name].steerer.Ready() }) {
 		f.step(steerer.TickInterval)
@@ -275,7 +269,7 @@
 	}
 }
 
-// A host that knows all up to a revision is told only what came after it.
+// A host that knows everything up to a revision is sent only the changes after it.
 func TestSyncResponseListsOnlyChanges(t *testing.T) {
 	f := newFleet(t, 1)
 	s := f.hosts["a1"].steerer
@@ -288,9 +282,9 @@
 	require.True(t, later.Targets[0].Draining)
 }
 
-// Symptom: flows of a route are refused, and its open ones reset, though operators
-// only changed a detail of it. Sequence: the new version has the route in a form that
-// hosts can't read. Cause: what can't be read is taken for removed.
+// Guards against treating a route that cannot be parsed as removed: when operators change a
+// detail of a route to a form that hosts cannot read, flows to the route would be refused and
+// its open flows reset.
 func TestMalformedRouteKeepsPreviousVersion(t *testing.T) {
 	f := newFleet(t, 1)
 	fault := steerer.RouteProblem{Route: "upload", Err: errPlatformDown}
@@ -307,10 +301,9 @@
 	require.Empty(t, late.target, "version 3 has no such route")
 }
 
-// Symptom: nobody reads the platform for longer and longer, and changes come into force
-// late on all hosts. Sequence: hosts tell each other how old their knowledge is; each
-// report is on its way for a while, most when hosts and links are busy. Cause: what comes
-// back from another looks newer by the time on the way, and is told again.
+// Guards against state that looks newer by the time that a report takes, and is reported
+// again: when hosts exchange the age of their state and reports are slow, as on busy hosts
+// and links, no host would read the platform for longer and longer.
 func TestTargetsAgeGrowsWithoutPlatformReads(t *testing.T) {
 	f := newFleet(t, 8, 8)
 	f.step(3 * time.Second)
@@ -322,15 +315,16 @@
 	}
 }
 
-// Symptom: requests are handled as an older version allows, seconds after a new one was
-// confirmed. Sequence: a version of 300 KB is published to hosts with links of 2 Mbit/s,
-// which need 1.6 s for it; hosts answer one question at a time. Cause: the first reader
-// asks late, those who hear of it wait for others, and a host that nobody can answer
-// begins its own read when the time is nearly up.
+// Guards against settings that arrive late on small links: when a version of 300 KB is
+// published to hosts with links of 2 Mbit/s, which take 1.6 s for it, and hosts respond to
+// one sync request at a time, the first reader may read late, the hosts that learn of the
+// version wait for others, and a host to which no other can send it starts its own read when
+// the time limit is almost reached. Requests would be handled by the older version for
+// seconds.
 //
-// Grounds of the bounds: what operators allow is 6 s. Hosts that others can tell it have
-// it with a third of that to spare; one that nobody can answer, and that is late to take
-// in whatever comes, within all of it.
+// The limits follow from the time limit of 6 s. Hosts to which others can send the settings
+// have them with a third of that to spare; a host to which no other can send them, and that
+// is slow to process any input, has them within all of it.
 func TestSettingsReachSlowLinksInTime(t *testing.T) {
 	f := newFleet(t, 5, 5, 5, 4, 4)
 	f.settingsWithin, f.documentBytes, f.settingsReadTime = 6*time.Second, 300_000, 1600*time.Millisecond
--- a/core/steerer/restore.go
+++ b/core/steerer/restore.go
@@ -5,12 +5,12 @@
 	"cranberryspan.dev/core/timekeeper"
 )
 
-// The platform's store may be restored from a copy that is some seconds old; see package
-// sequencer. What this host knew goes on serving until it has a whole list of the new
-// era, from the platform or from another host, while its age grows.
+// The platform's store may be restored from a backup that is some seconds old; see package
+// sequencer. A host keeps using the state it has until it has a full list of the new era,
+// from the platform or from another host, while the age of its state grows.
 
-// recordEra takes in that the platform has reached an era, as a read or another host says. The
-// first that this host hears of says nothing of a restore.
+// recordEra records that the platform has reached an era, according to a read or another
+// host. The first era that this host learns of does not indicate a restore.
 func (s *Steerer) recordEra(era uint64, by string) {
 	previous := s.reading.era
 	if era <= previous {
@@ -26,13 +26,13 @@
 		field("version", formatUint(s.version())), field("revision", s.targetsPosition.String()), field("targetsAgeMillis", s.targetsAge()))
 }
 
-// inEndedEra reports whether the targets known here are of an era that has ended.
+// inEndedEra reports whether this host's targets belong to an era that has ended.
 func (s *Steerer) inEndedEra() bool {
 	return s.targetsPosition.Known() && s.targetsPosition.Era < s.reading.era
 }
 
-// rereadAfterRestore has a host that learned of a restore by a read of its own read the other
-// source anew, too. The other hosts hear of it from this one.
+// rereadAfterRestore makes a host that found a restore by a read of its own read the other
+// source again, too. The other hosts learn of it from this one.
 func (s *Steerer) rereadAfterRestore() {
 	if s.inEndedEra() {
 		s.reading.targets.urgent = true
@@ -42,13 +42,13 @@
 	}
 }
 
-// inLaterEra reports whether what was seen at a position is of a later era than this host's list.
+// inLaterEra reports whether a position belongs to a later era than this host's list.
 func (s *Steerer) inLaterEra(seen sequencer.Position) bool {
 	return s.targetsPosition.Known() && s.targetsPosition.Era < seen.Era
 }
 
-// recordCompleteList takes in that this host's targets are complete as of a later position than
-// before, and how many of them were missing.
+// recordCompleteList records that this host's targets are complete as of a later position
+// than before, and how many of them went missing.
 func (s *Steerer) recordCompleteList(earlier sequencer.Position, missing int, from string) {
 	switch {
 	case !earlier.Known():
@@ -59,9 +59,9 @@
 	}
 }
 
-// recordNewEraList dates all that is known of targets to the list of a new era. Word of hosts
-// that have only seen an earlier one says nothing against it. What an earlier restore has
-// undone may be written again for as long after this one.
+// recordNewEraList dates all targets to the list of a new era. States from hosts that only
+// have an earlier list cannot override it. What an earlier restore has undone may be written
+// again for as long after this one.
 func (s *Steerer) recordNewEraList(earlier sequencer.Position, missing int, from string) {
 	avoided := 0
 	s.targets.history.resetTo(s.targetsPosition)
@@ -81,15 +81,18 @@
 		field("earlierRevision", earlier.String()), field("revision", s.targetsPosition.String()), field("from", from))
 }
 
-// restoreConflict is what a restored store contradicts of what was known of a target.
+// restoreConflict is how a restored store contradicts what was known of a target.
 type restoreConflict struct {
-	// wasDraining says that the target was draining, and the restored store lists it as ready.
+	// wasDraining is set if the target was draining, and the restored store lists it as
+	// ready.
 	wasDraining bool
-	// wasMissing says that it was no longer listed, and the restored store lists it as ready.
+	// wasMissing is set if the target was no longer listed, and the restored store lists it
+	// as ready.
 	wasMissing bool
-	// absentFromBackup says that it was listed, without draining, and the restored store lacks it.
+	// absentFromBackup is set if the target was listed, without draining, and the restored
+	// store lacks it.
 	absentFromBackup bool
-	// deadline is until when the other fields count.
+	// deadline is until when the other fields apply.
 	deadline timekeeper.Instant
 }
 
@@ -100,13 +103,13 @@
 	return "no longer listed"
 }
 
-// restoreConflictOf returns what a restored store, whose record was seen at a position, has
-// forgotten of a target; known is nil for a target that is new to this host.
+// restoreConflictOf returns how a restored store, whose record was read at a position,
+// contradicts what was known of a target; known is nil for a target that is new to this host.
 //
-// What goes wrong without it: a target drains, or has left, and the copy is from before
-// that. New flows go to it until it has said so again, at once on every host, and end with
-// it; its address may have been given to another target, which does not answer them. One
-// notices by flows that do not open, or are cut, in the seconds after "storeRestored".
+// Without this, if a target drains or has terminated after the backup was made, new flows go
+// to it from every host until it has written its state again, and end with it. Its address
+// may have been given to another target, which does not respond to them. It shows as flows
+// that do not open, or are cut, in the seconds after "storeRestored".
 func (s *Steerer) restoreConflictOf(known *target, record Target, seen sequencer.Position) restoreConflict {
 	if !s.inLaterEra(seen) || known == nil || known.Incarnation != record.Incarnation || record.Draining {
 		return restoreConflict{}
@@ -117,36 +120,36 @@
 	return restoreConflict{wasDraining: known.Draining, wasMissing: known.missing, deadline: s.now.Add(sequencer.RewriteGracePeriod)}
 }
 
-// wasDrainingBeforeRestore reports whether a target gets no new flows because it was draining,
-// or had drained and left, before the platform was restored.
+// wasDrainingBeforeRestore reports whether a target gets no new flows because it was
+// draining, or had drained and terminated, before the platform was restored.
 func (s *Steerer) wasDrainingBeforeRestore(t *target) bool {
 	return t.restored.wasDraining && !t.restored.deadline.Passed(s.now)
 }
 
-// missingFromBackup reports whether a target is missing only since the platform was restored from
-// a copy that lacks it: it writes its entry again within about two seconds.
+// missingFromBackup reports whether a target is missing only because the platform was
+// restored from a backup that lacks it. It writes its entry again within about two seconds.
 //
-// What goes wrong if it gets no flows until then: all targets of a service were replaced after
-// the copy was made. The old ones have drained, the new ones are idle, so that nothing shows
-// that they live, and every caller is refused.
+// Without this, it would get no flows until then. If all targets of a service were replaced
+// after the backup was made, the old ones have drained and the new ones are idle, so that no
+// progress shows that they are alive, and every caller is refused.
 func (s *Steerer) missingFromBackup(t *target) bool {
 	return t.restored.absentFromBackup && !t.restored.deadline.Passed(s.now)
 }
 
-// missingAcrossRestore reports whether a target gets new flows only where no other may serve
-// them, because it had vanished without draining before the platform was restored, or has
-// been missing from then on, and has not shown of late that it lives.
+// missingAcrossRestore reports whether a target gets new flows only if no other target can
+// serve them, because it went missing without draining before the platform was restored, or
+// has been missing since, and has made no progress recently.
 //
-// What goes wrong if it gets none at all: entries lapse while the platform is in trouble, and
-// then it is restored. All targets of a service are refused, though each of them works. One
-// notices by refusals in the seconds after "targetsReread".
+// If it got none at all, then after entries expire while the platform is in trouble and the
+// platform is restored, all targets of a service would be refused although each of them
+// works, which shows as refusals in the seconds after "targetsReread".
 func (s *Steerer) missingAcrossRestore(t *target) bool {
 	r := &t.restored
 	return (r.wasMissing || r.absentFromBackup) && !r.wasDraining && !r.deadline.Passed(s.now) && !s.hasRecentProgress(t)
 }
 
-// avoidedAfterRestore reports whether a target is avoided for what was known of it before the
-// platform was restored.
+// avoidedAfterRestore reports whether a target is avoided because of what was known of it
+// before the platform was restored.
 func (s *Steerer) avoidedAfterRestore(t *target) bool {
 	return s.wasDrainingBeforeRestore(t) || s.missingAcrossRestore(t)
 }
--- a/core/steerer/restore_test.go
+++ b/core/steerer/restore_test.go
@@ -14,7 +14,7 @@
 	"pgregory.net/rapid"
 )
 
-// backup is what the platform held at some moment.
+// backup is what the platform held at a moment.
 type backup struct {
 	settings *steerer.Settings
 	targets  map[string]steerer.Target
@@ -26,7 +26,7 @@
 	return backup{f.settings, maps.Clone(f.targets), f.orders, f.revision}
 }
 
-// restore puts the platform back to a backup and begins the next era.
+// restore restores the platform from a backup and starts the next era.
 func (f *fleet) restore(b backup) {
 	f.era++
 	f.settings, f.targets, f.revision = b.settings, maps.Clone(b.targets), b.revision
@@ -39,13 +39,13 @@
 	f.settings = newSettings(version, routes())
 }
 
-// writeEntry writes a target's entry as it was.
+// writeEntry writes a target's entry unchanged.
 func (f *fleet) writeEntry(target steerer.Target) {
 	f.revision++
 	f.targets[target.ID] = target
 }
 
-// newFleetWithEra starts hosts before a platform that tells its era.
+// newFleetWithEra starts hosts with a platform that reports its era.
 func newFleetWithEra(t tester, hostsByZone ...int) *fleet {
 	f := newFleet(t, hostsByZone...)
 	f.era = 3
@@ -73,7 +73,7 @@
 	return false, false
 }
 
-// requireAll demands the same of all hosts' views of a target.
+// requireAll requires that all hosts have the same view of a target.
 func (f *fleet) requireAll(id string, listed, draining bool) {
 	for _, name := range f.names {
 		l, d := f.listed(name, id)
@@ -85,9 +85,9 @@
 
 const drained = "i-10000003"
 
-// Symptom: new flows go to a target that drains, on all hosts, until they end. Sequence:
-// the platform is restored; a target drains; the revision is below that which hosts have
-// read, or beyond it. Cause: a list of a lower revision is ignored.
+// Guards against ignoring a list with a lower revision: when the platform is restored and a
+// target drains at a revision below the one that hosts have read, or beyond it, new flows
+// would go to the target from all hosts until it terminates.
 func TestRestoredListIsApplied(t *testing.T) {
 	for _, passOldRevision := range []bool{false, true} {
 		f := newFleetWithEra(t, 2, 2)
@@ -118,10 +118,9 @@
 	return slices.DeleteFunc(slices.Clone(f.hosts[name].logs), func(l steerer.WriteLog) bool { return l.Event != event })
 }
 
-// Symptom: a restored platform's list is undone on all hosts. Sequence: a host is cut off
-// from the platform and the others while it is restored; when it is heard again it tells
-// what it saw at the old, higher revisions. Cause: states that are ordered by revision
-// alone.
+// Guards against ordering states by revision alone: when a host is partitioned from the
+// platform and the other hosts during a restore, and then reports what it read at the old,
+// higher revisions, it would undo the restored list on all hosts.
 func TestReportFromEndedEraIsIgnored(t *testing.T) {
 	f := newFleetWithEra(t, 3)
 	before := f.backup()
@@ -145,14 +144,14 @@
 	require.Empty(t, f.syncStatus("a1").Evacuated)
 }
 
-// isolate cuts a host off from all others, or ends that.
+// isolate partitions a host from all others, or ends that.
 func (f *fleet) isolate(name string, cut bool) {
 	for _, other := range f.names {
 		f.cutLinks[[2]string{name, other}], f.cutLinks[[2]string{other, name}] = cut, cut
 	}
 }
 
-// requireSame demands that two hosts list the same targets.
+// requireSame requires that two hosts list the same targets.
 func (f *fleet) requireSame(x, y string) {
 	require.Equal(f.t, f.view(x), f.view(y))
 }
@@ -168,9 +167,9 @@
 	return view
 }
 
-// Symptom: a host that was cut off goes by targets of an ended era for as long as the
-// platform turns it away. Sequence: it is cut off through a restore and then hears others
-// again, but not the platform. Cause: nothing in what it hears is newer by revision.
+// Guards against a host that keeps the targets of an ended era: when it is isolated during a
+// restore and then receives reports again while the platform denies its reads, nothing that
+// it receives is newer by revision.
 func TestIsolatedHostLearnsNewEraFromPeers(t *testing.T) {
 	f := newFleetWithEra(t, 3)
 	before := f.backup()
@@ -193,10 +192,10 @@
 	require.Less(t, f.syncStatus("a3").TargetsAge, 2*time.Second)
 }
 
-// Symptom: a host goes by what the restore has undone. Sequence: it has seen a target
-// drain; another, which was cut off, has not, so the restored list is to it what it knew
-// before; it tells the first one that list. Cause: states that keep the date of the ended
-// era, among which the later one holds.
+// Guards against states that keep the position of the ended era, of which the later one wins:
+// when one host has read that a target drains and another one, which was partitioned, has
+// not, a restore leaves the other host's state unchanged. The first host receives that state
+// and must apply it.
 func TestHostsAgreeAfterRestoreUndoesMissedWrite(t *testing.T) {
 	f := newFleetWithEra(t, 2)
 	before := f.backup()
@@ -217,9 +216,9 @@
 	f.requireAll(drained, true, false)
 }
 
-// Symptom: nobody reads the new history for seconds. Sequence: the platform is restored
-// and one host has heard of it; others go on confirming what they read before. Cause: a
-// confirmation of an ended era makes what it confirms look fresh.
+// Guards against counting a confirmation of an ended era: when the platform is restored and
+// one host knows it while others still confirm what they read before, the confirmed state
+// would look current, and no host would read the new history for seconds.
 func TestConfirmationsFromEndedEraAreIgnored(t *testing.T) {
 	f := newFleetWithEra(t, 2)
 	f.deniedHosts["a1"], f.deniedHosts["a2"] = true, true
@@ -240,7 +239,7 @@
 	require.Equal(t, uint64(3), f.syncStatus("a1").TargetsEra)
 }
 
-// digest is what a host reports of its targets.
+// digest is the digest of its targets that a host reports.
 func (f *fleet) digest(name string) uint64 {
 	for _, effect := range f.hosts[name].steerer.Reduce(f.stamped(&steerer.Tick{}, 400*time.Millisecond)) {
 		if sent, ok := effect.(*steerer.SendReport); ok {
@@ -251,16 +250,16 @@
 	return 0
 }
 
-// stamped lets time pass for an event that a test handles itself.
+// stamped advances the time for an event that the test handles itself.
 func (f *fleet) stamped(event steerer.Event, d time.Duration) steerer.Event {
 	f.now = f.now.Add(d)
 	steerer.SetTime(event, f.now)
 	return event
 }
 
-// Symptom: what a read of the former life shows is put upon the new one. Sequence: a read
-// begins; the platform is restored, and another host tells of it; then the answer comes.
-// Cause: the answer's revision is the higher one.
+// Guards against applying a response because its revision is higher: when a read starts, the
+// platform is restored, and another host reports the restore before the response arrives, the
+// response belongs to the ended era.
 func TestReadSupersededByRestoreIsIgnored(t *testing.T) {
 	f := newFleetWithEra(t, 2)
 	before := f.backup()
@@ -280,9 +279,9 @@
 	require.Empty(t, f.syncStatus("a1").Evacuated)
 }
 
-// Symptom: a host goes by an ended era and takes it for fresh. Sequence: it reads; the
-// platform is restored, and another host tells of it; then the answer comes, from before
-// the restore. Cause: an answer that confirms what has ended.
+// Guards against a late response that confirms the ended era: when a host reads, the platform
+// is restored, and another host reports the restore before the response arrives, the host's
+// old state would look current.
 func TestLateReadDoesNotConfirmEndedEra(t *testing.T) {
 	f := newFleetWithEra(t, 2)
 	f.deniedHosts["a1"], f.deniedHosts["a2"] = true, true
@@ -299,10 +298,10 @@
 	require.GreaterOrEqual(t, f.syncStatus("a1").TargetsAge, age)
 }
 
-// Symptom: flows go to a target that the platform does not list, for as long as a host is
-// turned away. Sequence: a host is cut off through a restore; those that it then asks have
-// started since, and have never heard of what only the ended era had. Cause: an answer of
-// changes, which says nothing of what is not there.
+// Guards against an incremental response, which cannot name what is absent: when a host is
+// isolated during a restore, and the hosts that it then sends sync requests to have started
+// since and never knew targets of the ended era, it would send flows to such targets for as
+// long as the platform denies its reads.
 func TestFullListRemovesTargetsOfEndedEra(t *testing.T) {
 	f := newFleetWithEra(t, 3)
 	before := f.backup()
@@ -322,9 +321,9 @@
 	require.Equal(t, uint64(4), f.syncStatus("a3").TargetsEra)
 }
 
-// Symptom: a target that drains gets flows for a second more than it need. Sequence: the
-// read of the settings finds the platform restored, just after one of the targets. Cause:
-// targets that wait for their own turn.
+// Guards against a targets read that waits for its regular time: when a read of the settings
+// finds a restore just after a read of the targets, a draining target would get flows for an
+// additional second.
 func TestRestoreFoundBySettingsReadTriggersTargetsRead(t *testing.T) {
 	f := newFleetWithEra(t, 1)
 	f.step(3 * time.Second)
@@ -338,10 +337,9 @@
 	f.requireAll(drained, true, true)
 }
 
-// Symptom: a host that starts serves nobody, though others could tell it where packets go.
-// Sequence: it starts after a restore, while the platform turns everybody away; it has
-// heard of the new era, and only a host of the old one is left to tell it targets. Cause:
-// what is of an ended era is not taken by a host that knows nothing.
+// Guards against a host that rejects state of an ended era although it has none: when it
+// starts after a restore while the platform denies all hosts, has learned of the new era, and
+// only a host of the old era can send it targets, it would serve no callers.
 func TestHostWithoutStateAcceptsEndedEra(t *testing.T) {
 	f := newFleetWithEra(t, 2)
 	f.down = true
@@ -362,9 +360,9 @@
 	require.Equal(t, uint64(4), f.syncStatus("a1").TargetsEra)
 }
 
-// Symptom: hosts list what one of two restores has undone. Sequence: the platform is restored
-// twice before all hosts have read it, to the same revision. Cause: two histories that look
-// like one.
+// Guards against two histories that look like one: when the platform is restored twice to the
+// same revision before all hosts have read it, hosts would list what one of the restores has
+// undone.
 func TestRestoresToSameRevisionAreDistinctEras(t *testing.T) {
 	f := newFleetWithEra(t, 2, 1)
 	before := f.backup()
@@ -385,10 +383,11 @@
 	}
 }
 
-// Symptom: new flows go to a target that has left, or whose address another has. Sequence:
-// the copy is from before it left, so it is listed again until its entry ends anew. Cause:
-// what hosts knew of it is dropped with the era. The list is the platform's: it is listed,
-// and gets nothing until what was lost is written again.
+// Guards against dropping with the era what hosts know of a target: when a target has
+// terminated and the backup is from before that, it is listed again until its entry is
+// removed again, and new flows would go to it, or to another target that has its address. The
+// host lists it as the platform does, but sends it no flows until the lost updates are
+// written again.
 func TestTerminatedTargetRelistedByRestoreGetsNoFlows(t *testing.T) {
 	f := newFleetWithEra(t, 1)
 	before := f.backup()
@@ -418,10 +417,10 @@
 	f.requireAll("i-30000001", true, false)
 }
 
-// Symptom: flows are cut by the end of a target that had said so. Sequence: it drains; the
-// copy is from before that; it says so again two seconds later. Cause: new flows go to it
-// meanwhile, on every host. One that lives on and is never written as draining again gets
-// flows after that.
+// Guards against new flows to a target that drained before a restore: when the backup is from
+// before that and the target writes its state again two seconds later, flows from every host
+// would be cut when it terminates. A target that stays up and is never written as draining
+// again gets flows after that.
 func TestTargetDrainingBeforeRestoreGetsNoFlows(t *testing.T) {
 	f := newFleetWithEra(t, 1)
 	before := f.backup()
@@ -434,9 +433,9 @@
 	require.Empty(t, statusOf(f, "a1", drained).AvoidReason)
 }
 
-// Symptom: callers are refused though every target works. Sequence: the copy lacks all
-// targets of a service, which have started after it; they write again within two seconds.
-// Cause: what a restored list lacks is taken for gone at once.
+// Guards against excluding at once what a restored list lacks: when the backup lacks all
+// targets of a service, which have started after it and write their entries again within two
+// seconds, callers would be refused although every target works.
 func TestLiveTargetsAbsentFromBackupKeepServing(t *testing.T) {
 	f := newFleetWithEra(t, 1)
 	all := maps.Clone(f.targets)
@@ -470,10 +469,9 @@
 	f.requireAll(drained, true, false)
 }
 
-// Symptom: new flows go into a zone that is about to fail. Sequence: an order to evacuate
-// it is given; the copy lacks the order; operators give it again two seconds later, at a
-// revision below the first. Cause: an order of the new era that looks older, and one that
-// ends at once though nobody has taken it back.
+// Guards against an evacuation order that ends at once because the backup lacks it, and
+// against ignoring the reissued order because it has a lower revision: when operators issue
+// the order again two seconds later, new flows would go to a zone that is about to fail.
 func TestOrderAbsentFromBackupHoldsUntilReissued(t *testing.T) {
 	f := newFleetWithEra(t, 2, 2)
 	before := f.backup()
@@ -500,8 +498,8 @@
 	}
 }
 
-// Symptom: a zone gets no flows, for good. Sequence: an order is given; the copy lacks it, and
-// operators do not give it again. Cause: an order that is held until somebody takes it back.
+// Guards against an order that holds until it is withdrawn: when the backup lacks the order
+// and operators do not issue it again, its zone would get no flows for good.
 func TestOrderNotReissuedAfterRestoreExpires(t *testing.T) {
 	f := newFleetWithEra(t, 2, 1)
 	before := f.backup()
@@ -514,9 +512,9 @@
 	}
 }
 
-// Symptom: requests are handled as an older version allows, after a newer one was in
-// force. Sequence: the copy has the older one; a host starts after the restore, reads it,
-// and hears of the newer one from others. Cause: the platform's word holds over theirs.
+// Guards against preferring the platform's version over a newer one of other hosts: when the
+// backup has an older version and a host starts after the restore, reads it, and learns of
+// the newer version from others, requests would be handled by the older version.
 func TestPublishedVersionNeverGoesBack(t *testing.T) {
 	f := newFleetWithEra(t, 3)
 	before := f.backup()
@@ -534,13 +532,13 @@
 	f.step(10 * time.Millisecond)
 	require.Equal(t, uint64(1), f.hosts["a3"].steerer.Snapshot().Version, "its own read")
 	f.deniedHosts["a3"] = true
-	f.settings = newSettings(7, routes()) // Whoever is asked tells the document of the version in force.
+	f.settings = newSettings(7, routes()) // Hosts send the document of the version in force.
 	f.step(600 * time.Millisecond)
 	require.Equal(t, uint64(7), f.hosts["a3"].steerer.Snapshot().Version)
 }
 
-// Symptom: after a restart of a target, a restore makes hosts believe in its earlier life.
-// Sequence: the copy is from before the restart. Cause: eras that go before lives.
+// Guards against comparing eras before incarnations: when the backup is from before a
+// target's restart, hosts would return to its earlier incarnation.
 func TestLaterIncarnationOutlastsRestore(t *testing.T) {
 	f := newFleetWithEra(t, 1)
 	before := f.backup()
@@ -555,7 +553,7 @@
 	f.requireAll(restartedTarget, true, false)
 }
 
-// A platform that tells no era is served as ever: a lower revision is an old view.
+// If the platform reports no era, a lower revision is an older state.
 func TestLowerRevisionIsIgnoredWithoutEra(t *testing.T) {
 	f := newFleet(t, 1)
 	f.drain(drained)
@@ -565,9 +563,9 @@
 	require.Zero(t, f.syncStatus("a1").Era)
 }
 
-// Symptom: a platform that has just come back is called by all hosts at once. Sequence: it is
-// restored; every host hears of that. Cause: hosts that each read anew, where those that find
-// it out may tell the others.
+// Guards against a read by every host: when the platform is restored and all hosts learn of
+// it, a platform that has just recovered would be read by all of them at once. The hosts that
+// find the restore inform the others.
 func TestRestoreDoesNotMakeAllHostsReadPlatform(t *testing.T) {
 	f := newFleetWithEra(t, 20, 20)
 	before := f.backup()
@@ -582,9 +580,9 @@
 	require.Less(t, f.reads-reads, len(f.names), "two sources, each read about once a second by a few")
 }
 
-// Whatever the platform, hosts and links do, once all is calm every host knows what the
-// platform says of the newest era; and none has ever gone back to an earlier position or
-// version, or lists what an ended era alone had.
+// Under random events of the platform, hosts and links, every host has the state of the
+// platform's newest era once all faults have ended, and no host ever returns to an earlier
+// position or version, or lists what only an ended era had.
 func TestRandomRestoresAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleetWithEra(t, 2, 1)
--- a/core/steerer/restoreedges_test.go
+++ b/core/steerer/restoreedges_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// listAt is what the platform holds, as of a position.
+// listAt is the platform's list as of a position.
 func (f *fleet) listAt(p sequencer.Position) steerer.TargetList {
 	l := steerer.TargetList{Position: p}
 	for _, id := range slices.Sorted(maps.Keys(f.targets)) {
@@ -22,17 +22,16 @@
 	return l
 }
 
-// Symptom: all hosts list what a restore has undone, and confirm it, for as long as the
-// revision is below the old one. Sequence: a host starts after the restore, and its first
-// answer is from before it. Cause: contents of the ended era under the header of the new
-// one, which pass for the latest of it.
+// Guards against the contents of an ended era that arrive under the header of the new one:
+// when a host starts after a restore and its first response is from before it, all hosts
+// would list and confirm what the restore has undone until the revision exceeds the old one.
 func TestStaleFirstTargetsReadDoesNotOverrideRestoredList(t *testing.T) {
 	f := newFleetWithEra(t, 2)
 	before := f.backup()
 	f.addTarget("i-10000009", "ledger", "a")
 	f.revision += 500
 	f.step(2 * time.Second)
-	stale := f.listAt(sequencer.At(4, f.revision)) // contents of era 3 under the header of 4
+	stale := f.listAt(sequencer.At(4, f.revision)) // contents of era 3 under the header of era 4
 	f.restore(before)
 	f.deniedHosts["a1"] = true
 	f.kill("a1")
@@ -44,8 +43,8 @@
 	f.requireAll(drained, true, true)
 }
 
-// Symptom: an order ends on all hosts that nobody has taken back. Sequence: as above, for
-// what operators write. Cause: as above.
+// As above, for what operators publish: an evacuation order that was not withdrawn would end
+// on all hosts.
 func TestStaleFirstSettingsReadDoesNotEndOrders(t *testing.T) {
 	f := newFleetWithEra(t, 2, 1)
 	before := f.backup()
@@ -67,9 +66,10 @@
 	}
 }
 
-// Symptom: a host takes a target for gone that answers, or never hears that it has gone.
-// Sequence: a target goes; a host asks as of an era that is not the answerer's, or, being of
-// an earlier release, of none. Cause: an answer that leaves out what is gone.
+// Guards against a response that leaves out missing targets: when a target goes missing and a
+// host requests changes since another era than the responder's, or since none because it is
+// of an earlier release, it would never learn that the target is missing, or consider a live
+// one missing.
 func TestSyncResponseToOlderReleaseListsMissingTargets(t *testing.T) {
 	f := newFleetWithEra(t, 1)
 	f.step(2 * time.Second)
@@ -84,8 +84,8 @@
 	require.True(t, told)
 }
 
-// Symptom: a host knows no targets and refuses all callers. Sequence: an answer of a new era
-// comes without a revision. Cause: era 4 at revision 0 is after all of era 3.
+// Guards against treating era 4 at revision 0 as later than all of era 3: when a response of
+// a new era has no revision, a host would know no targets and refuse all callers.
 func TestListWithoutRevisionIsIgnored(t *testing.T) {
 	f := newFleetWithEra(t, 1)
 	f.down = true
@@ -95,7 +95,7 @@
 	require.True(t, listed)
 }
 
-// The same where the platform tells no era.
+// As above, if the platform reports no era.
 func TestListWithoutRevisionAndEraIsIgnored(t *testing.T) {
 	f := newFleet(t, 1)
 	f.step(3 * time.Second)
@@ -105,9 +105,9 @@
 	require.True(t, listed)
 }
 
-// Symptom: new flows go to a target that drains. Sequence: it drains; the platform is
-// restored twice, two seconds apart, before it has said so again. Cause: a time that runs
-// from the first restore, since the second changes nothing.
+// Guards against a period that runs from the first of two restores: when a target drains and
+// the platform is restored twice, two seconds apart, before the target has written its state
+// again, new flows would go to it.
 func TestSecondRestoreExtendsAvoidance(t *testing.T) {
 	f := newFleetWithEra(t, 1)
 	before := f.backup()
@@ -121,8 +121,8 @@
 	require.NotEmpty(t, statusOf(f, "a1", drained).AvoidReason)
 }
 
-// Symptom: operators are told of a restore that was none. Sequence: the platform, or its
-// release, begins to tell an era. Cause: each rise of the era counts as a restore.
+// Guards against counting each rise of the era as a restore: when the platform, or its
+// release, starts to report an era, operators would be told of a restore that did not happen.
 func TestFirstEraIsNotReportedAsRestore(t *testing.T) {
 	f := newFleet(t, 2)
 	f.step(3 * time.Second)
@@ -134,9 +134,9 @@
 	}
 }
 
-// Symptom: a host says that the platform answers again, and obeys an order of an ended era.
-// Sequence: it hears of a restore while its reads, from before it, are on the way. Cause: only
-// errors count as failed reads.
+// Guards against counting only errors as failed reads: when a host learns of a restore while
+// its own reads, from before it, are in flight, it would log a recovery of the platform and
+// follow an order of an ended era.
 func TestReadSupersededByRestoreCountsAsFailed(t *testing.T) {
 	f := newFleetWithEra(t, 2)
 	f.down = true
@@ -156,9 +156,9 @@
 	require.Equal(t, failed+2, f.hosts["a1"].steerer.Snapshot().Counters[steerer.ReadsFailed])
 }
 
-// Symptom: hosts that have started go by what they read first, for as long as they live.
-// Sequence: the platform's answers lose their header; hosts start, and hear of the era from
-// others. Cause: an answer without an era counts as of none, before the one that is known.
+// Guards against treating a response without an era as older than the known era: when the
+// platform's responses lose their header, and hosts start and learn the era from others,
+// these hosts would keep what they read first for good.
 func TestStartingHostReadsPlatformWithoutEra(t *testing.T) {
 	f := newFleetWithEra(t, 2)
 	f.era = 0
@@ -174,9 +174,9 @@
 	f.requireAll(drained, true, true)
 }
 
-// Symptom: callers are refused for two seconds though every target works. Sequence: the
-// entries of a service lapse; the platform is restored from before that, and lists them.
-// Cause: targets that had vanished are taken for those that had left.
+// Guards against treating targets that went missing like targets that terminated: when the
+// entries of a service expire and the platform is restored from a backup that lists them,
+// callers would be refused for two seconds although every target works.
 func TestMissingTargetsListedByRestoreServe(t *testing.T) {
 	f := newFleetWithEra(t, 1)
 	before := f.backup()
@@ -194,7 +194,8 @@
 	require.NotEmpty(t, c.target)
 }
 
-// A target that had vanished without draining may have crashed: others come first.
+// A target that went missing without draining may have crashed, so other targets are
+// preferred.
 func TestTargetMissingBeforeRestoreIsLastResort(t *testing.T) {
 	f := newFleetWithEra(t, 1)
 	before := f.backup()
@@ -212,9 +213,9 @@
 	}
 }
 
-// Symptom: all callers are refused though every target works. Sequence: the order to evacuate
-// a zone is taken back, and one for the other zone given; the copy is from before both. Cause:
-// the order that the copy has counts beside the one that it lacks.
+// Guards against applying both an order of the backup and one that the backup lacks: when an
+// evacuation order is withdrawn, another zone's order is issued, and the platform is restored
+// from a backup from before both, all callers would be refused although every target works.
 func TestConflictingOrdersAfterRestoreLeaveOneZone(t *testing.T) {
 	f := newFleetWithEra(t, 1, 1)
 	f.evacuate("a")
@@ -239,10 +240,10 @@
 	require.Equal(t, "b", f.targets[c.target].AvailabilityZone, "nobody has given it again")
 }
 
-// Symptom: callers are refused though new targets work. Sequence: all targets of a service are
-// replaced and the old ones drain; the copy is from before that. Cause: the old ones get no
-// flows since they drain, the new ones none since the copy lacks them and they have had no
-// flow of late.
+// Guards against a service without targets: when all targets of a service are replaced, the
+// old ones drain, and the platform is restored from a backup from before that, the old ones
+// get no flows because they drain, and the new ones none because the backup lacks them and
+// they have had no recent flow.
 func TestIdleTargetsAbsentFromBackupServe(t *testing.T) {
 	f := newFleetWithEra(t, 1)
 	before := f.backup()
@@ -268,9 +269,9 @@
 	require.Contains(t, statusOf(f, "a1", "i-10000019").AvoidReason, "no longer listed")
 }
 
-// Symptom: flows are cut by the end of a target that had said so. Sequence: it drains; the
-// copy is from before that; its entry is removed, while its open flows go on. Cause: what
-// vanishes and lives is taken for an entry that lapsed.
+// Guards against treating a drained target as one whose entry has expired: when a target
+// drains, the platform is restored from a backup from before that, and its entry is removed
+// while its open flows go on, new flows would be cut when it terminates.
 func TestDrainedTargetRemovedAfterRestoreGetsNoFlows(t *testing.T) {
 	f := newFleetWithEra(t, 1)
 	before := f.backup()
@@ -297,10 +298,10 @@
 	}
 }
 
-// Symptom: a target that drains gets flows until the revision has passed the old one. Sequence:
-// it was written late in the ended era, as the copy has it; the platform is restored; it drains,
-// and a host that has not heard of that tells what it knows. Cause: a state that keeps the
-// revision of the ended era and is told as of the new one.
+// Guards against a state that keeps the revision of the ended era and is sent as of the new
+// one: when a target's entry was written late in the ended era as the backup has it, the
+// platform is restored and the target drains, a host that has not learned of that would
+// override it until the revision exceeds the old one.
 func TestSyncResponseUsesPositionsOfNewEra(t *testing.T) {
 	f := newFleetWithEra(t, 1)
 	before := f.backup()
