--- a/core/steerer/changes.go
+++ b/core/steerer/changes.go
@@ -27,7 +27,7 @@
 //
 // If changes took turns, new ones would wait behind those that every host already knows while
 // targets are replaced. The symptom is hosts that request from other hosts, or from the
-// platform, what reports could have told them.
+// platform, what reports could have delivered.
 type pendingChanges []pendingChange
 
 // queueChange schedules a target's state for reports.
@@ -64,7 +64,7 @@
 	return targets
 }
 
-// expire drops the changes whose time is over.
+// expire drops the changes that have been repeated for changeRetention.
 func (c *pendingChanges) expire(now timekeeper.Instant) {
 	*c = slices.DeleteFunc(*c, func(entry pendingChange) bool {
 		expired := entry.deadline.Passed(now)
--- a/core/steerer/evacuation_test.go
+++ b/core/steerer/evacuation_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// targetZone returns the zone of a target.
+// targetZone returns the availability zone of a target.
 func (f *fleet) targetZone(id string) string { return f.targets[id].AvailabilityZone }
 
 // openOnAllHosts opens a flow through each ready host and counts the flows by zone.
@@ -222,7 +222,7 @@
 	require.NotEmpty(t, zones)
 }
 
-// A host that the platform denies learns orders from other hosts in time.
+// A host whose reads the platform denies learns orders from other hosts in time.
 func TestDeniedHostLearnsOrdersFromPeers(t *testing.T) {
 	f := newFleet(t, 2, 2, 2)
 	f.deniedHosts["b1"] = true
--- a/core/steerer/explain.go
+++ b/core/steerer/explain.go
@@ -66,7 +66,7 @@
 type EffectiveValue struct {
 	Key   string `json:"key"`
 	Value string `json:"value"`
-	// From is where the value is set, or that it is the default.
+	// From is where the value is set, or builtIn for a default.
 	From string `json:"from"`
 }
 
--- a/core/steerer/history.go
+++ b/core/steerer/history.go
@@ -33,7 +33,7 @@
 //
 // A host must not list changes since a position before its own start: it does not know the
 // targets that went missing before that, so the requester would keep them for good. The
-// symptom is flows that go to a target that left long ago, through one host only.
+// symptom is flows that go to a target that terminated long ago, through one host only.
 func (h *history) covers(position sequencer.Position) bool { return !position.Before(h.completeSince) }
 
 // add appends a state. The older half is dropped when the history is full.
--- a/core/steerer/malformed.go
+++ b/core/steerer/malformed.go
@@ -6,11 +6,11 @@
 // may write any number of them.
 const maxLoggedMalformed = 1000
 
-// recordMalformed handles listed entries that cannot be parsed as a target.
+// recordMalformed records listed entries that cannot be parsed as a target.
 //
 // Such an entry belongs to another program, or was written over a target's own entry. A
-// target that loses its entry this way gets no new flows from then on, because nothing says
-// any more that it should get them and which service it belongs to. Its open flows stay.
+// target that loses its entry this way gets no new flows from then on, because no valid entry
+// says any more that it should get them and which service it belongs to. Its open flows stay.
 // Their packets name it by tag and number, which no other target has, so they reach either
 // this target or none. A reset would break flows whose target is most likely alive: it writes
 // its entry again with its next heartbeat.
--- a/core/steerer/malformed_test.go
+++ b/core/steerer/malformed_test.go
@@ -20,7 +20,7 @@
 
 // Another program overwrites a target's entry while the target keeps working. Guards against
 // sending new flows to the target because the entry is skipped as if it were absent, and
-// against resetting its open flows because the target is considered dead.
+// against resetting its open flows because the target is considered to have crashed.
 func TestTargetWithMalformedEntryKeepsOpenFlowsAndGetsNoNewOnes(t *testing.T) {
 	f := newFleet(t, 2)
 	c := requestAt(f, "a1", restartedTarget, 100)
@@ -92,7 +92,7 @@
 
 // Another program's entry has an ID with the number of a target, so both map to the same tag.
 // Guards against accepting both, which sends packets of one flow to two targets. The first
-// one keeps the tag; once it is gone, the other may have it.
+// one keeps the tag; once that target is missing, the other may have it.
 func TestTargetWithDuplicateTagGetsNoFlows(t *testing.T) {
 	f := newFleet(t, 1)
 	duplicate := f.targets[restartedTarget]
--- a/core/steerer/missing.go
+++ b/core/steerer/missing.go
@@ -20,7 +20,7 @@
 
 // needsMissingTargets reports whether this host still has to learn which targets are missing.
 //
-// Without this, a host that starts after a target has crashed and vanished from the list does
+// Without this, a host that starts after a target has crashed and is no longer listed does
 // not know the target when it gets packets of the target's flows. It neither probes the
 // target nor resets the flows of callers that wait for it. The symptom is flows that get no
 // response to any request, with a log line for each dropped packet on one host only.
--- a/core/steerer/missing_test.go
+++ b/core/steerer/missing_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// crashAndDelist makes a target silent and removes it from the list while a read is open at
-// it, and returns the read.
+// crashAndDelist makes a target unresponsive and removes it from the list while a read is
+// open at it, and returns the read.
 func crashAndDelist(f *fleet) *caller {
 	read := openOn(f, "a1", silentTarget, 0, true)
 	f.probeOutcomes[silentTarget] = steerer.ProbeConnectTimeout
@@ -19,9 +19,9 @@
 	return read
 }
 
-// A target crashes and vanishes from the list, a host starts after that, and the fabric sends
-// it packets of a flow at that target. Guards against a host that does not know the target
-// and so neither probes it nor resets the flow, so that the caller gets no response to any
+// A target crashes and is no longer listed, a host starts after that, and the fabric sends it
+// packets of a flow at that target. Guards against a host that does not know the target and
+// so neither probes it nor resets the flow, so that the caller gets no response to any
 // request until it gives up.
 func TestStartingHostLearnsMissingTargets(t *testing.T) {
 	f := newFleet(t, 2)
--- a/core/steerer/peers.go
+++ b/core/steerer/peers.go
@@ -53,7 +53,7 @@
 	aliveTimeoutLargeFleet = 5 * time.Second
 	mentionsPerSecond      = 4 * reportFanout * maxGossipedHosts
 	// missedMentions is the number of expected mentions that must fail to arrive. One in e^8
-	// live hosts is wrongly presumed dead.
+	// live hosts is wrongly presumed lost.
 	missedMentions = 8
 	// seedInterval is the interval between two reports to an address from which nothing is
 	// received.
--- a/core/steerer/peerzones_internal_test.go
+++ b/core/steerer/peerzones_internal_test.go
@@ -31,7 +31,7 @@
 }
 
 // Guards against a shutdown that does not change the generation, so that tickets for cold
-// targets stay assigned to hosts that have left.
+// targets stay assigned to hosts that are shutting down.
 func TestShutdownOfPeerChangesGeneration(t *testing.T) {
 	zones, one := newPeerZones(), &peer{name: "h1"}
 	zones.setZone(one, "a")
--- a/core/steerer/platformread.go
+++ b/core/steerer/platformread.go
@@ -28,7 +28,7 @@
 	minReadShare = 0.08
 	// maxReadShare and maxReadSpread determine when a host reads regardless of how many hosts
 	// rank before it: at 0.6 to 0.8 of the time limit, at a fixed fraction for each host, so
-	// that the hosts of a fleet whose readers died do not all read at once.
+	// that the hosts of a fleet whose readers have crashed do not all read at once.
 	maxReadShare  = 0.6
 	maxReadSpread = 0.2
 	// fleetStartGrace is how long a host waits for state from other hosts when the whole
@@ -178,7 +178,7 @@
 }
 
 // fail records that a read has failed. The jitter, from 0 to 1, keeps hosts that lost the
-// platform together from returning together.
+// platform at the same time from reading again at the same time.
 func (src *source) fail(now timekeeper.Instant, fleetPause time.Duration, jitter float64) {
 	src.reading = false
 	src.backoff = min(max(2*src.backoff, minReadBackoff), maxReadBackoff)
@@ -203,8 +203,8 @@
 // platform's rate limit. With long-lived watches, a platform that drops its history would
 // leave a watch without updates for seconds, unnoticed. So the host with the lowest rank
 // among those that receive each other's reports reads often, and all others learn from its
-// reports. A host that receives no update, because readers died, were partitioned or are
-// denied by the platform, reads for itself.
+// reports. A host that receives no update, because readers crashed, were partitioned or have
+// their reads denied by the platform, reads for itself.
 func (s *Steerer) readTick() {
 	settings, targets := &s.reading.settings, &s.reading.targets
 	if !s.due(targets, 0, s.config.DrainingPropagationLimit, 0) && !s.due(settings, 0, s.settingsPropagationLimit(), s.transferTime()) {
--- a/core/steerer/platformread_test.go
+++ b/core/steerer/platformread_test.go
@@ -25,7 +25,7 @@
 }
 
 // Guards against hosts that depend on their own reads: when a version is published while the
-// platform denies some hosts, it must come into force on these, too.
+// platform denies the reads of some hosts, it must come into force on these, too.
 func TestSettingsReachDeniedHosts(t *testing.T) {
 	f := newFleet(t, 3, 3, 2)
 	f.deniedHosts["a1"], f.deniedHosts["b2"], f.deniedHosts["c1"] = true, true, true
@@ -62,7 +62,7 @@
 }
 
 // Guards against each host reading for itself, so that calls grow with the fleet until the
-// platform denies them all.
+// platform denies the reads of all hosts.
 func TestPlatformReadsDoNotGrowWithFleet(t *testing.T) {
 	reads := map[int]int{}
 	for _, perZone := range []int{3, 30} {
@@ -123,9 +123,9 @@
 	}
 }
 
-// Guards against trusting a list more than the flows: when the entries of all targets vanish
-// for two seconds while the platform is in trouble, callers must not be refused although
-// every target works.
+// Guards against trusting a list more than the flows: when the entries of all targets are
+// missing for two seconds because of a fault of the platform, callers must not be refused
+// although every target works.
 func TestMissingTargetsWithRecentProgressStillGetFlows(t *testing.T) {
 	f := newFleet(t, 1)
 	var callers []*caller
@@ -176,8 +176,8 @@
 }
 
 // Guards against ignoring reports of lower incarnations for good: when a host's clock steps
-// back and it restarts with a lower incarnation, a host that the platform denies could not
-// learn from it.
+// back and it restarts with a lower incarnation, a host whose reads the platform denies could
+// not learn from it.
 func TestReportsAreAcceptedAfterClockStepsBack(t *testing.T) {
 	f := newFleet(t, 2)
 	h := f.hosts["a2"]
@@ -197,7 +197,7 @@
 
 // Guards against an outage that never ends for a host that has not read the platform itself
 // since: when one host reads after the outage and the others learn from it, a target that
-// then vanishes for good must not keep getting flows from them.
+// then goes missing for good must not keep getting flows from them.
 func TestPlatformOutageEndsForHostsThatSyncFromPeers(t *testing.T) {
 	f := newFleet(t, 3)
 	f.down = true
@@ -247,7 +247,7 @@
 	require.Less(t, f.reads+f.syncRequests, 14, "reads and questions of 30 hosts in 3 s; 9 when nothing changes")
 }
 
-// Guards against sync requests that all go to one host: when the platform denies all hosts
+// Guards against sync requests that all go to one host: when the platform denies all reads
 // and all but one of a large fleet have restarted, most would wait long although other hosts
 // have the state by then.
 func TestSyncRequestsAreSpreadOverPeers(t *testing.T) {
@@ -261,7 +261,7 @@
 	for _, name := range f.names[1:] {
 		f.start(name)
 	}
-	f.maxConcurrentAnswers = 1 // Concurrent responses by each host.
+	f.maxConcurrentAnswers = 1 // Limit of concurrent sync responses per host.
 	started := f.now
 	for slices.ContainsFunc(f.names, func(name string) bool { return !f.hosts[name].steerer.Ready() }) {
 		f.step(steerer.TickInterval)
@@ -303,7 +303,7 @@
 
 // Guards against state that looks newer by the time that a report takes, and is reported
 // again: when hosts exchange the age of their state and reports are slow, as on busy hosts
-// and links, no host would read the platform for longer and longer.
+// and links, the intervals between reads of the platform would grow.
 func TestTargetsAgeGrowsWithoutPlatformReads(t *testing.T) {
 	f := newFleet(t, 8, 8)
 	f.step(3 * time.Second)
--- a/core/steerer/reports.go
+++ b/core/steerer/reports.go
@@ -322,9 +322,9 @@
 }
 
 // addGossip names some hosts that are presumed alive, different ones each time, with the time
-// since each of them last reported to any host. The entry of a host that died keeps aging
-// wherever it is passed on. A host without state is sent the names of hosts that have state,
-// if there are any.
+// since each of them last reported to any host. The entry of a host that has crashed keeps
+// aging wherever it is passed on. A host without state is sent the names of hosts that have
+// state, if there are any.
 func (s *Steerer) addGossip(r *messenger.Report, to *peer) {
 	all := s.peers.sorted
 	if len(all) == 0 {
--- a/core/steerer/restore.go
+++ b/core/steerer/restore.go
@@ -140,7 +140,7 @@
 // serve them, because it went missing without draining before the platform was restored, or
 // has been missing since, and has made no progress recently.
 //
-// If it got none at all, then after entries expire while the platform is in trouble and the
+// If it got none at all, then after entries expire during a fault of the platform and the
 // platform is restored, all targets of a service would be refused although each of them
 // works, which shows as refusals in the seconds after "targetsReread".
 func (s *Steerer) missingAcrossRestore(t *target) bool {
--- a/core/steerer/restore_test.go
+++ b/core/steerer/restore_test.go
@@ -338,7 +338,7 @@
 }
 
 // Guards against a host that rejects state of an ended era although it has none: when it
-// starts after a restore while the platform denies all hosts, has learned of the new era, and
+// starts after a restore while the platform denies all reads, has learned of the new era, and
 // only a host of the old era can send it targets, it would serve no callers.
 func TestHostWithoutStateAcceptsEndedEra(t *testing.T) {
 	f := newFleetWithEra(t, 2)
@@ -395,7 +395,7 @@
 	f.drain(drained)
 	f.step(2 * time.Second)
 	f.remove(drained)
-	f.addTarget("i-30000001", "intake", "a") // It has the address of the one that left.
+	f.addTarget("i-30000001", "intake", "a") // It has the address of the terminated target.
 	reused := f.targets["i-30000001"]
 	reused.Address = left.Address
 	f.writeEntry(reused)
--- a/core/steerer/shutdown.go
+++ b/core/steerer/shutdown.go
@@ -8,7 +8,7 @@
 
 const (
 	// minShutdownDelay covers two missed readiness checks of the fabric, half a second apart,
-	// and one more for a check that was in flight.
+	// and one more for a check that was in progress.
 	minShutdownDelay = 1500 * time.Millisecond
 	// maxShutdownDelay leaves a margin before the platform kills a process that does not exit
 	// by itself, 6 s after the first signal.
--- a/core/steerer/status.go
+++ b/core/steerer/status.go
@@ -118,7 +118,7 @@
 	case t.slowdownEstimate.Slow():
 		return fmt.Sprintf("takes %.1f times as long as usual", s.slowdown(t))
 	case !s.warmUpAllows(t):
-		return "cold, and other hosts hold the permits for its new flows"
+		return "cold, and other hosts hold its tickets for new flows"
 	case !t.warmUpDeadline.Passed(s.now):
 		return "cold for " + formatMillis(t.warmUpDeadline.Until(s.now)) + " ms more"
 	case s.isCold(t):
--- a/core/steerer/targetlist.go
+++ b/core/steerer/targetlist.go
@@ -164,9 +164,9 @@
 
 // excludedAsMissing reports whether a target gets no new flows because it is not listed.
 //
-// A missing target is not excluded at once: entries of live targets, at worst all of them,
-// vanish while the platform is in trouble. Callers would be refused although every target
-// works.
+// A missing target is not excluded at once: while the platform has faults, entries of live
+// targets, at worst all of them, may be lost from the list, and callers would be refused
+// although every target works.
 func (s *Steerer) excludedAsMissing(t *target) bool {
 	if !t.missing || t.malformed {
 		return t.malformed
@@ -185,7 +185,7 @@
 	return t.health.lastProgress != 0 && s.now.Since(t.health.lastProgress) < recentProgressWindow
 }
 
-// targetsTick runs the periodic work on targets, whether or not flows use them.
+// targetsTick runs the periodic work on targets, whether they have flows or not.
 func (s *Steerer) targetsTick() {
 	if !s.targetSweepDeadline.Passed(s.now) {
 		return
