--- a/core/steerer/admission.go
+++ b/core/steerer/admission.go
@@ -3,27 +3,29 @@
 import "fmt"
 
 const (
-	// maxQueuedFraction is the part of a host's window, the requests that it may have under
-	// way, that may wait while the fleet has room.
+	// maxQueuedFraction is the number of requests that may be queued at this host while the
+	// fleet has capacity, as a fraction of the host's window (the requests that it may have in
+	// flight).
 	maxQueuedFraction = 0.25
-	// slowerFactor is how many times as long as another a target has to take to count as
-	// slower: more than chance makes of equal ones.
+	// slowerFactor is how many times as long as another target a target must take to count as
+	// slower. Equally fast targets rarely differ by this much.
 	slowerFactor = 1.5
 )
 
-// refusal is why a new flow doesn't get in.
+// refusal is the reason for which a new flow is refused.
 type refusal uint8
 
 const (
 	notRefused refusal = iota
-	// refusedNoCapacity flows do not fit into the room that all hosts share.
+	// refusedNoCapacity means that the flow exceeds the capacity that all hosts share.
 	refusedNoCapacity
-	// refusedOverload flows would wait behind others at this host.
+	// refusedOverload means that the flow's request would be queued behind others at this
+	// host.
 	refusedOverload
 )
 
-// refuseNewFlow refuses a new flow whose caller has had its share, or for which there is no
-// room. It reports whether it did.
+// refuseNewFlow refuses a new flow whose caller has used up its quota or fair share, or for
+// which there is no capacity. It reports whether it did.
 func (s *Steerer) refuseNewFlow(p *Packet, route *Route, service string, to *target) bool {
 	if s.refuseThrottled(p, route, service) {
 		return true
@@ -35,15 +37,16 @@
 	return why != notRefused
 }
 
-// admissionDecision decides whether the request of a new flow has to be refused.
+// admissionDecision decides whether to refuse a new flow.
 //
-// What goes wrong if all get in: their callers wait for answers that can't be in time, and
-// take the places of those that can. Nothing has run, so who doesn't get in is told at
-// once. A host that hears no other goes by what waits at itself.
+// Without this, callers wait for responses that come too late, and take capacity from requests
+// that could be served in time. Nothing has run yet, so a refused caller is told at once. A
+// host without reports from peers decides by its own queue.
 //
-// Requests that may not run again are held by nobody, and so get in before others of their
-// priority; where nothing is left for it they fare as all do, or callers of a low priority
-// would get in while those of a higher one are refused.
+// Requests that must not run twice are never queued at a host, and are therefore admitted
+// before others of their priority. If no capacity is left for their priority, they are refused
+// like all others; otherwise callers of a low priority would be admitted while those of a
+// higher one are refused.
 func (s *Steerer) admissionDecision(route Route, service string, to *target) refusal {
 	v := s.service(service)
 	s.refreshCapacity(v)
@@ -53,7 +56,7 @@
 	nothingLeft := a.HasPeerReports() && a.AdmitRatio(route.Priority) <= 0
 	switch {
 	case nothingLeft && a.MayShutOut():
-		return refusedNoCapacity // Higher priorities need all of it.
+		return refusedNoCapacity // Higher priorities need the full capacity.
 	case !route.Kind.retryable() && !nothingLeft:
 		if a.HasPeerReports() && a.Congested() && !a.Admit(route.Priority) {
 			return refusedNoCapacity
@@ -64,24 +67,27 @@
 	return notRefused
 }
 
-// wouldQueue reports whether the request of a new flow would wait behind others that wait
-// at this host already. Open flows can't be refused; with fewer of them less has to wait.
+// wouldQueue reports whether the request of a new flow would wait behind requests already
+// queued at this host. Open flows can't be refused, but the fewer flows open, the fewer
+// requests are queued.
 func (s *Steerer) wouldQueue(v *service, to *target) bool {
 	return v.load.Congested() && s.queuedAtComparableTargets(v, to) > 0
 }
 
-// wouldQueueTooLong reports whether maxQueuedFraction of the host's window wait at this host. The
-// request of a new flow would wait for as large a part of the time of an answer then. Fewer
-// wait by chance, for a moment: while the fleet has room they are no reason to refuse anybody.
+// wouldQueueTooLong reports whether the queue at this host has reached maxQueuedFraction of
+// the host's window. A new flow's request would then wait for about that fraction of a
+// response time. Shorter queues form briefly by chance; while the fleet has capacity they are
+// no reason to refuse a flow.
 func (s *Steerer) wouldQueueTooLong(v *service, to *target) bool {
 	return v.load.Congested() && float64(s.queuedAtComparableTargets(v, to)) >= maxQueuedFraction*v.load.Window()
 }
 
-// queuedAtComparableTargets counts the requests that wait at this host for targets that are no slower
-// than a given one.
+// queuedAtComparableTargets counts the requests queued at this host for targets that are no
+// slower than the given one.
 //
-// What goes wrong if all count: some targets turn slow, and the requests of the flows that
-// are open there wait. New flows are refused that would go to quick targets with slots free.
+// If requests for slower targets counted too, a few slow targets with queued requests on their
+// open flows would cause new flows to be refused that could go to fast targets with free
+// slots.
 func (s *Steerer) queuedAtComparableTargets(v *service, to *target) int {
 	waiting := 0
 	most := slowerFactor * s.slowdown(to)
@@ -93,8 +99,8 @@
 	return waiting
 }
 
-// refuseForCapacity refuses a new flow for which there is no room, and says what is believed
-// of it.
+// refuseForCapacity refuses a new flow for lack of capacity, and logs the estimates that led
+// to the decision.
 func (s *Steerer) refuseForCapacity(p *Packet, route Route, service string, why refusal) {
 	v := s.service(service)
 	a := v.room.admitter
@@ -109,11 +115,11 @@
 		field("share", fmt.Sprintf("%.2f", a.AdmitRatio(route.Priority))), field("demandAgeMillis", formatMillis(a.OldestReportAge(s.now))))
 }
 
-// formatSlots writes a number of slots for logs.
+// formatSlots formats a number of slots for logs.
 func formatSlots(slots float64) string { return fmt.Sprintf("%.1f", slots) }
 
-// recordRequestDemand takes in that a request begins in an open flow. The first request of a flow
-// was counted when the flow opened.
+// recordRequestDemand records the demand of a request that begins on an open flow. The first
+// request of a flow was recorded when the flow opened.
 func (s *Steerer) recordRequestDemand(f *flow) {
 	if f.firstRequestCounted {
 		f.firstRequestCounted = false
@@ -122,7 +128,7 @@
 	v := s.service(f.target.Service)
 	priority := f.route.Priority
 	if !f.route.Kind.retryable() {
-		priority = 0 // It can't be held here either.
+		priority = 0 // It can't be queued at this host either.
 	}
 	v.room.admitter.RecordOpenFlowRequest(priority, s.processingTime(f.route, v), s.now)
 	s.refreshCapacity(v)
--- a/core/steerer/capacity.go
+++ b/core/steerer/capacity.go
@@ -11,45 +11,49 @@
 )
 
 const (
-	// capacityRefreshInterval is how old the view of a service's room may be. Reports change it about
-	// as often.
+	// capacityRefreshInterval is how long a computed view of a service's capacity is used.
+	// Reports change it about as often.
 	capacityRefreshInterval = 50 * time.Millisecond
-	// zoneReportTTL is how long a report of any host of another zone shows that the
-	// zone's targets can be reached.
+	// zoneReportTTL is how long a report of any host of another zone counts as evidence that
+	// the zone's targets can be reached.
 	zoneReportTTL = 4 * time.Second
 )
 
-// capacityState is what a host knows of the room of a service.
+// capacityState is what a host knows of the capacity of a service.
 type capacityState struct {
 	admitter *admitter.Admitter
-	// refreshDeadline is when the view has to be made anew.
+	// refreshDeadline is when the view of the capacity has to be recomputed.
 	refreshDeadline timekeeper.Instant
-	// handshakeTime is the usual time until a flow opens: what answers take besides work.
+	// handshakeTime is the median time that a flow takes to open, which estimates the part of
+	// a response time that is not processing.
 	handshakeTime medianEstimator
-	// processing holds the usual time of work, by route: the median of times that contain what
-	// requests wait on calm days, which is close to the mean of the work alone. Steerer.usual
-	// learns from the same answers and differs: it holds all that callers wait for, with the
-	// time on the way, and goes on learning where more than half of the room is asked for,
-	// since lateness is measured against it. A time of work that took in the waits of a crowd
-	// would make the crowd look larger still.
+	// processingTimes holds the median processing time by route. The samples include the
+	// queueing of times without overload, so that their median is close to the mean of the
+	// processing alone.
+	//
+	// Steerer.baselines learns from the same responses and differs: it holds the full time
+	// that callers wait, including the network, and goes on learning when more than half of
+	// the capacity is demanded, since lateness is measured against it. If processing times
+	// included the queueing during overload, the overload would look even larger.
 	processingTimes map[string]*medianEstimator
-	// overallProcessingTime is that time over all routes whose callers wait for longer than work takes.
+	// overallProcessingTime is the median over all routes whose latency objective exceeds
+	// their processing time.
 	overallProcessingTime medianEstimator
 }
 
-// recordHandshakeTime takes in how long a flow took to open.
+// recordHandshakeTime records how long a flow took to open.
 func (s *Steerer) recordHandshakeTime(f *flow) {
 	if !f.openingResent {
 		s.service(f.target.Service).room.handshakeTime.add(s.now.Since(f.openingSentAt), false)
 	}
 }
 
-// processing is how long a request of a route keeps a slot busy on average; 0 if unknown.
-// What an answer takes on its way is what a flow takes to open.
+// processingTime is how long a request of a route occupies a slot on average; 0 if unknown.
+// The time that a response takes besides processing is estimated by the time that a flow takes
+// to open.
 //
-// What goes wrong if a route of which little is known counts as nothing: its callers take
-// room that higher priorities are told is theirs. So it counts as the service's other
-// requests do.
+// A route without enough samples counts like the service's other requests. If it counted as 0,
+// its callers would take capacity that higher priorities are promised.
 func (s *Steerer) processingTime(route Route, v *service) time.Duration {
 	w, ok := v.room.processingTimes[route.Name]
 	switch {
@@ -61,7 +65,8 @@
 	return 0
 }
 
-// recordQueueingDelay learns from an answer how long requests wait at a service.
+// recordQueueingDelay learns from a response how long requests wait at the targets of a
+// service.
 func (s *Steerer) recordQueueingDelay(f *flow, took time.Duration) {
 	u, ok := s.baselines[f.route.Name]
 	if !ok || !s.pause.graceDeadline.Passed(s.now) {
@@ -78,15 +83,15 @@
 	case spare <= 0:
 	case u.implausiblyFast(took):
 		if a.Overloaded() {
-			a.RecordWait(1) // A full target has turned the request away.
+			a.RecordWait(1) // A full target has refused the request.
 		}
 	default:
 		a.RecordWait(float64(took-u.median) / float64(spare))
 	}
 }
 
-// recordProcessingTime learns from an answer how long work takes. While many slots are taken, answers
-// tell more of waiting than of work.
+// recordProcessingTime learns from a response how long processing takes. While many slots are
+// occupied, response times say more about queueing than about processing.
 func (r *capacityState) recordProcessingTime(route *Route, took time.Duration) {
 	w, ok := r.processingTimes[route.Name]
 	if !ok {
@@ -101,7 +106,7 @@
 	}
 }
 
-// forgetProcessingTimes drops what is known of the work of routes that settings don't list.
+// forgetProcessingTimes drops the processing times of routes that are not in the settings.
 func (s *Steerer) forgetProcessingTimes(settings *Settings) {
 	for _, v := range s.services {
 		maps.DeleteFunc(v.room.processingTimes, func(name string, _ *medianEstimator) bool {
@@ -111,7 +116,7 @@
 	}
 }
 
-// refreshCapacity brings the view of a service's room up to date.
+// refreshCapacity recomputes the view of a service's capacity if it is due.
 func (s *Steerer) refreshCapacity(v *service) {
 	if !v.room.refreshDeadline.Passed(s.now) {
 		return
@@ -131,8 +136,8 @@
 		field("demand", formatSlots(a.Demand().Total())), field("wait", fmt.Sprintf("%.2f", a.MeanWait())), field("zoneHosts", formatInt(view.ZoneHosts)))
 }
 
-// capacityTick brings the views of services up to date that may run short; those of others
-// follow what is asked and told.
+// capacityTick refreshes the capacity of services that may become overloaded. That of the
+// others is refreshed by requests and reports.
 func (s *Steerer) capacityTick() {
 	for _, name := range s.sortedServices() {
 		if v := s.services[name]; v.room.admitter.ShouldReport() || v.room.admitter.Overloaded() {
@@ -141,7 +146,7 @@
 	}
 }
 
-// sortedServices lists the services of which anything is known, so that equal events give
+// sortedServices lists all services with any state in sorted order, so that equal events give
 // equal effects.
 func (s *Steerer) sortedServices() []string {
 	names := make([]string, 0, len(s.services))
@@ -152,8 +157,8 @@
 	return names
 }
 
-// reachableCapacity is the slots of a service's targets that live, as far as this host knows, in slots
-// of usual speed.
+// reachableCapacity is the capacity of a service's targets that this host considers alive, in
+// slots of baseline speed.
 func (s *Steerer) reachableCapacity(service string) float64 {
 	var room microSlots
 	views := s.evaluateZones(&placement{service: service})
@@ -167,37 +172,39 @@
 	return float64(room) / float64(oneSlot)
 }
 
-// peerVisibility is which hosts and zones are heard from, as of some moment before deadline. All
-// services share it: looking at each host for each of them would cost most of what admission
-// costs.
+// peerVisibility is which hosts and zones have sent reports, as of some time before deadline.
+// All services share it: iterating over all hosts for each service would make up most of the
+// cost of admission.
 type peerVisibility struct {
 	deadline timekeeper.Instant
-	// livePeers counts the other hosts of the own zone that live as far as anybody says, heard
-	// says that one of them has reported of late, neighbours that any are known, living or
-	// not.
+	// livePeers counts the other hosts of the local zone that are alive according to any
+	// host's reports, peerHeard says that one of them has reported recently, zoneHasPeers that
+	// any are known, alive or not.
 	livePeers    int
 	peerHeard    bool
 	zoneHasPeers bool
-	// knownZones are the other zones of which a host has been heard within peerRetention, fresh those
-	// of which one has been of late.
+	// knownZones are the other zones of which a host has reported within peerRetention,
+	// recentZones those of which one has reported recently.
 	knownZones  map[string]bool
 	recentZones map[string]bool
 }
 
-// zoneSilent reports whether another zone has hosts and none has been heard of late: what is
-// asked there is not known, and its targets may be out of reach.
+// zoneSilent reports whether another zone has hosts of which none has reported recently: its
+// demand is not known, and its targets may be unreachable.
 func (r *peerVisibility) zoneSilent(zone string) bool {
 	return r.knownZones[zone] && !r.recentZones[zone]
 }
 
-// connected reports whether this host hears enough of others to share room with them. The only
-// host of a zone sees all that the zone's callers ask; what it needs is word of other zones.
-// One that has neighbours and hears none of them may be cut off, and knows only a part.
+// connected reports whether this host gets enough reports to share capacity with other hosts.
+// The only host of a zone sees all demand of the zone's callers and needs reports of other
+// zones only. A host that has peers in its zone and gets no reports of them may be
+// partitioned, and knows only a part of the demand.
 func (r *peerVisibility) connected() bool {
 	return r.peerHeard || (!r.zoneHasPeers && len(r.recentZones) > 0)
 }
 
-// currentVisibility brings up to date which hosts and zones are heard from.
+// currentVisibility returns which hosts and zones have sent reports, and recomputes it if it
+// is due.
 func (s *Steerer) currentVisibility() *peerVisibility {
 	r := &s.reach
 	if !r.deadline.Passed(s.now) {
@@ -223,7 +230,7 @@
 	return r
 }
 
-// addCapacity adds to a snapshot how full services are.
+// addCapacity adds the capacity and demand of services to a snapshot.
 func (s *Steerer) addCapacity(snapshot *Snapshot) {
 	highestLoad := 0.0
 	for _, v := range s.services {
--- a/core/steerer/cold.go
+++ b/core/steerer/cold.go
@@ -2,12 +2,12 @@
 
 import "cranberryspan.dev/core/warmer"
 
-// isCold reports whether a target has just started, or its zone has just been taken back
-// after an order to evacuate it.
+// isCold reports whether a target has started recently, or whether the evacuation order for
+// its zone has been withdrawn recently.
 //
-// What goes wrong if only entries count: targets that idled through an order are slow
-// like new ones, and write nothing, since they have not started. The whole zone is met
-// by its full load in one moment.
+// Without the second condition, targets that were idle during an evacuation would count as
+// warm, though they are as slow as new ones: they have not restarted, so their entries do not
+// change. The zone would get its full load at once.
 func (s *Steerer) isCold(t *target) bool {
 	if !t.warmUpDeadline.Passed(s.now) {
 		return true
@@ -16,7 +16,7 @@
 	return ok && !lifted.Add(s.settings.service(t.Service).WarmUp).Passed(s.now)
 }
 
-// coldFlowLimit is what a service's cold targets bear.
+// coldFlowLimit is the rate limit for new flows to a cold target of a service.
 func (s *Steerer) coldFlowLimit(service string) warmer.RateLimit {
 	return warmer.RateLimit{
 		PerSecond:      s.settings.service(service).WarmUpFlowsPerSecond,
@@ -25,9 +25,9 @@
 	}
 }
 
-// warmUpAllows reports whether this host may place a new flow on a target as far as its warm-up
-// goes. Hosts of other zones leave cold targets alone: they may be cut off from those
-// that share them out.
+// warmUpAllows reports whether the slow start of a target lets this host place a new flow on
+// it. Hosts of other zones place no flows on cold targets: they may be partitioned from the
+// hosts that share the rate limit.
 func (s *Steerer) warmUpAllows(t *target) bool {
 	if !s.isCold(t) {
 		return true
@@ -39,14 +39,15 @@
 	return !s.leaving.started && t.AvailabilityZone == s.config.AvailabilityZone && s.warmer.Admits(t.ID, bound, s.now)
 }
 
-// recordColdFlow takes in that a new flow goes to a target.
+// recordColdFlow records that a new flow goes to a target, if the target is cold.
 func (s *Steerer) recordColdFlow(t *target) {
 	if s.isCold(t) {
 		s.warmer.RecordPlacement(t.ID, s.coldFlowLimit(t.Service), s.now)
 	}
 }
 
-// updateWarmerHosts tells the warmer who may live in this host's zone.
+// updateWarmerHosts passes the other hosts of the local zone that are not shutting down to the
+// warmer.
 func (s *Steerer) updateWarmerHosts() {
 	if s.peers.zoneEpoch == s.peers.zones.generation {
 		return
--- a/core/steerer/counters.go
+++ b/core/steerer/counters.go
@@ -2,55 +2,58 @@
 
 import "time"
 
-// Counter names something that a host counts.
+// Counter identifies one of a host's event counters.
 type Counter uint8
 
-// What is counted.
+// The counters of a host.
 const (
-	// DropNotReady counts packets that came too long before this host knew settings
-	// and targets.
+	// DropNotReady counts packets dropped because this host did not get settings and targets
+	// soon enough after they arrived.
 	DropNotReady Counter = iota
-	// DropUnknownTag counts packets whose target this host does not know.
+	// DropUnknownTag counts packets whose tag belongs to no target that this host knows.
 	DropUnknownTag
-	// Refused counts flows that were refused before anything ran.
+	// Refused counts flows that were refused before any request ran.
 	Refused
 	// FlowReset counts open flows that were reset.
 	FlowReset
-	// ProbeSent counts liveness checks.
+	// ProbeSent counts probes of targets.
 	ProbeSent
-	// FlowTableFull counts flows beyond Config.MaxFlows.
+	// FlowTableFull counts flows that were not added to the flow table because it already held
+	// Config.MaxFlows.
 	FlowTableFull
-	// SettingsReads and TargetsReads count reads of the platform, ReadsFailed
-	// those of them that failed.
+	// SettingsReads and TargetsReads count reads of the platform, ReadsFailed those of them
+	// that failed.
 	SettingsReads
 	TargetsReads
 	ReadsFailed
 	// ReportsSent counts reports to other hosts.
 	ReportsSent
-	// FastFailure counts answers that came more quickly than work can be done.
+	// FastFailure counts responses that were implausibly fast for a request that was
+	// processed.
 	FastFailure
-	// TargetMalformed counts entries that name no target, once for each change.
+	// TargetMalformed counts malformed target entries, once for each change of an entry.
 	TargetMalformed
-	// RequestQueued counts requests that had to wait at this host.
+	// RequestQueued counts requests that were queued at this host.
 	RequestQueued
-	// RefusedNoCapacity counts those of the refused flows for which there was no room,
-	// RefusedOverload those that would have waited behind others at this host.
+	// RefusedNoCapacity counts the refused flows for which the fleet had no capacity,
+	// RefusedOverload those whose requests would have been queued behind others at this host.
 	RefusedNoCapacity
 	RefusedOverload
-	// RefusedFull counts flows that were refused because all targets are full, FlowRedispatched those
-	// that this host sent on because a target did not take them.
+	// RefusedFull counts flows that were refused because all targets are at their connection
+	// limit, FlowRedispatched those that this host redispatched because a target did not
+	// accept them.
 	RefusedFull
 	FlowRedispatched
-	// DropStale counts packets that came while this host stood still.
+	// DropStale counts packets that arrived while this host was paused.
 	DropStale
 	// StoreRestored counts restores of the platform's store that this host has learned of.
 	StoreRestored
-	// TargetSlow counts targets that turned slow, TrialFlow the flows that went to a slow
-	// target to learn whether it is quick again.
+	// TargetSlow counts targets that became slow, TrialFlow the flows sent to a slow target to
+	// learn whether it has recovered.
 	TargetSlow
 	TrialFlow
-	// RefusedCallerShare and RefusedCallerQuota count those of the refused flows whose
-	// caller had more than its share of a service short of room, or had used up a quota.
+	// RefusedCallerShare counts the refused flows whose caller exceeded its fair share of an
+	// overloaded service, RefusedCallerQuota those whose caller had used up a quota.
 	RefusedCallerShare
 	RefusedCallerQuota
 	numCounters
@@ -58,7 +61,7 @@
 
 func (c Counter) String() string { return counterNames[c] }
 
-// counterNames are the counts' names in metrics.
+// counterNames are the names of the counters in metrics.
 var counterNames = [numCounters]string{
 	DropNotReady:       "dropUnknowing",
 	DropUnknownTag:     "dropUnknownTag",
@@ -85,54 +88,53 @@
 	RefusedCallerQuota: "refusedCallerQuota",
 }
 
-// Counters holds a number for each Count.
+// Counters holds the value of each Counter.
 type Counters [numCounters]uint64
 
 func (c *Counters) add(counter Counter) { c[counter]++ }
 
-// Snapshot is a host's state in figures, for metrics.
+// Snapshot is the state of a host in numbers, for metrics.
 type Snapshot struct {
 	Counters Counters
 	Flows    int
 	Targets  int
-	// Unreachable counts the targets that did not answer.
+	// Unreachable counts the targets that a probe has confirmed as not responding.
 	Unreachable int
-	// Evacuated counts the zones that operators have ordered to be evacuated, Cold the
-	// targets that have just started or whose zone has just been taken back.
+	// Evacuated counts the zones under an evacuation order, Cold the targets that started
+	// recently or whose zone's evacuation order was withdrawn recently.
 	Evacuated int
 	Cold      int
 	// Slow counts the targets that take markedly longer than others of their zone.
 	Slow  int
 	Peers int
-	// Live counts those of the other hosts that live as far as anybody says.
+	// Live counts the other hosts that are alive according to any host's reports.
 	Live    int
 	Version uint64
-	// Era is the newest era of the platform's history that the host has heard of; 0 if the
-	// platform tells none.
+	// Era is the latest era of the platform's history that this host has heard of; 0 if the
+	// platform reports none.
 	Era uint64
-	// SettingsAge and TargetsAge tell for how long settings and targets have not
-	// been confirmed.
+	// SettingsAge and TargetsAge are the times since settings and targets were last confirmed.
 	SettingsAge time.Duration
 	TargetsAge  time.Duration
-	// Queued counts the requests that wait at this host, Pressed the services that are
-	// asked for more than their targets can do.
+	// Queued counts the requests queued at this host, Congested the services whose latency
+	// shows queueing at their targets.
 	Queued    int
 	Congested int
-	// Overloaded counts the services that are asked for more than their targets have room for.
-	// Room and Demand are those of the fullest service, in slots.
+	// Overloaded counts the services whose demand exceeds the capacity of their targets.
+	// Capacity and Demand are those of the service with the highest load, in slots.
 	Overloaded int
 	Capacity   float64
 	Demand     float64
-	// Connections counts the flows at the targets of services that are short of connections,
-	// as far as known, ConnectionCapacity how many there may be.
+	// Connections counts the known flows at the targets of services with constrained
+	// connections, ConnectionCapacity how many of them there may be.
 	Connections        int
 	ConnectionCapacity int
-	// Callers counts the addresses and prefixes of callers that are kept.
+	// Callers counts the caller addresses and prefixes that the throttler tracks.
 	Callers int
 	Ready   bool
 }
 
-// Snapshot returns the present figures.
+// Snapshot returns the current numbers.
 func (s *Steerer) Snapshot() Snapshot {
 	snapshot := Snapshot{Counters: s.counts, Flows: len(s.flows), Targets: len(s.targets.byID), Peers: len(s.peers.byName), Live: s.alivePeers(), Version: s.version()}
 	snapshot.SettingsAge = age(s.now, s.reading.settings.confirmed)
@@ -166,7 +168,7 @@
 	return snapshot
 }
 
-// Each calls a function with each count's name and value.
+// Each calls a function with the name and value of each counter.
 func (c *Counters) Each(do func(name string, value uint64)) {
 	for counter, value := range c {
 		do(Counter(counter).String(), value)
--- a/core/steerer/demand.go
+++ b/core/steerer/demand.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// maxReportedDemands bounds the services of a report, so that it fits a datagram.
+	// maxReportedDemands limits the services in a report, so that it fits into a datagram.
 	maxReportedDemands = 8
-	// milliSlots is how many parts of a slot reports tell apart. Less than one of them is
+	// milliSlots is the resolution of reported demand in parts of a slot. Smaller demand is
 	// left out.
 	milliSlots = 1000
 )
 
-// addDemands writes into a report what callers ask of the services that may run short.
+// addDemands adds to a report the demand for services that may become overloaded.
 func (s *Steerer) addDemands(r *messenger.Report, to *peer) {
 	for _, name := range s.sortedServices() {
 		a := s.services[name].room.admitter
@@ -29,13 +29,13 @@
 	}
 }
 
-// openFlowLevel turns a priority p of open flows into the number under which it is told, -1-p,
-// and such a number back.
+// openFlowLevel encodes priority p of requests on open flows as the number -1-p used in
+// reports, and decodes it.
 func openFlowLevel(level int) int { return -1 - level }
 
-// encodeDemand writes a demand for a report. Where nothing is asked, it writes a demand of 0:
-// whoever hears it counts the sender as a host without callers. An entry without any demand
-// would be one that tells only of flows.
+// encodeDemand encodes demand for a report. Without any demand it encodes an explicit 0, so
+// that the receiver counts the sender as a host without callers. An entry with no demand at
+// all would be one that reports only flow counts.
 func encodeDemand(service string, demand admitter.Demand) messenger.ServiceDemand {
 	encoded := messenger.ServiceDemand{Service: service}
 	add := func(priority int, slots float64) {
@@ -53,7 +53,7 @@
 	return encoded
 }
 
-// decodeDemand reads a demand from a report.
+// decodeDemand decodes demand from a report.
 func decodeDemand(encoded messenger.ServiceDemand) admitter.Demand {
 	var demand admitter.Demand
 	for _, asked := range encoded.ByPriority {
@@ -67,9 +67,10 @@
 	return demand
 }
 
-// applyDemands takes in what a report tells of demand. Services that nobody lists are left
-// out, so that no report makes this host keep them, and so are entries that tell only of
-// flows: their sender says nothing of demand, not that there is none.
+// applyDemands applies the demand that a report contains. It ignores services without listed
+// targets, so that no report can make this host keep state for them, and entries that report
+// only flow counts: their sender makes no statement about demand, which differs from reporting
+// none.
 func (s *Steerer) applyDemands(r *messenger.Report, from *peer) {
 	sameZone := from.zone == s.config.AvailabilityZone
 	all := r.ZoneDemands
--- a/core/steerer/estimates.go
+++ b/core/steerer/estimates.go
@@ -12,48 +12,50 @@
 
 const (
 	// maxUploadGap is how long a caller on a slow link may pause between two packets of an
-	// upload, repeats of lost ones included, before its request may count as overdue.
+	// upload, including retransmissions, before its request may count as overdue.
 	maxUploadGap = time.Second
-	// overdueFactor is how many times as long as expected a request waits before that says
-	// something of its target: few take so long by chance.
+	// overdueFactor is how many times its expected latency a request must wait before the wait
+	// counts as evidence about its target. Few requests take so long by chance.
 	overdueFactor = 3
-	// maxFastFailures bounds the targets that a report names as answering too quickly for work,
-	// maxSlowdownReports those whose speed it tells, so that it fits a datagram.
+	// maxFastFailures limits the targets that a report lists for fast failures,
+	// maxSlowdownReports those whose slowdown it contains, so that it fits into a datagram.
 	maxFastFailures    = 32
 	maxSlowdownReports = 32
-	// slowZoneLogSlowdown is the binary logarithm by which a zone's answers take longer than another's
-	// before the zone counts as slow: 1.4 times.
+	// slowZoneLogSlowdown is the difference in log slowdown from another zone above which a
+	// zone counts as slow: 1.4 times.
 	slowZoneLogSlowdown = 0.5
-	// verySlowZoneLogSlowdown is the binary logarithm above which it is slow whatever other zones are:
-	// 2.8 times the usual. It is more than slowZoneLogSlowdown, since in a crowd a host does not know
-	// of all that is under way, and answers take longer than what it does know explains.
+	// verySlowZoneLogSlowdown is the log slowdown above which a zone counts as slow whatever
+	// the other zones are: 2.8 times the baseline. It exceeds slowZoneLogSlowdown because
+	// during overload a host does not know all requests in flight, and responses take longer
+	// than the known ones explain.
 	verySlowZoneLogSlowdown = 1.5
 )
 
-// serviceZone is a service's part in an availability zone.
+// serviceZone identifies the targets of a service in an availability zone.
 type serviceZone struct {
 	service string
 	zone    string
 }
 
-// slowdownEstimates is what a host knows of how fast targets are, beside what is kept with each.
+// slowdownEstimates is what a host has estimated about the speed of targets, besides the
+// estimate kept with each target.
 type slowdownEstimates struct {
-	// zones is how fast each zone of a service is, of those from which answers came of late.
+	// zones holds the slowdown of each zone of a service from which responses came recently.
 	zones map[serviceZone]*estimator.Zone
-	// active are the targets of which something is known, the longest known first.
+	// active lists the targets with an estimate, the oldest first.
 	active []*target
-	// reportStart is the index of the first of them of which the reports of a round tell; the next
-	// round, after roundDeadline, begins with nextReportStart.
+	// reportStart is the index in active at which the reports of the current round start; the
+	// next round, after roundDeadline, starts at nextReportStart.
 	reportStart     int
 	nextReportStart int
 	roundDeadline   timekeeper.Instant
-	// overdue are the requests to check for whether they wait for longer than expected, in
-	// no order of their deadlines: those of routes with long requests must not hold up the
-	// others.
+	// overdue holds the requests to check for being overdue. It is not sorted by deadline:
+	// requests of routes with long response times must not delay the checks of others.
 	overdue []flowTimer
 }
 
-// zoneSlowdown returns what is known of a service's targets in a zone.
+// zoneSlowdown returns the estimate for a service's targets in a zone, and creates it if there
+// is none.
 func (s *Steerer) zoneSlowdown(service, zone string) *estimator.Zone {
 	key := serviceZone{service, zone}
 	z, ok := s.estimating.zones[key]
@@ -64,8 +66,8 @@
 	return z
 }
 
-// zoneLogSlowdown is the binary logarithm of the time that a service takes in a zone, as a
-// multiple of the usual; 0 if nothing is known.
+// zoneLogSlowdown is the log slowdown (log2 of latency over baseline) of a service in a zone;
+// 0 without an estimate.
 func (s *Steerer) zoneLogSlowdown(service, zone string) float64 {
 	if z, ok := s.estimating.zones[serviceZone{service, zone}]; ok {
 		return z.LogSlowdown()
@@ -73,24 +75,24 @@
 	return 0
 }
 
-// slowdown is how much longer a target takes for a request than is usual: 1 is usual,
-// 2 twice as long.
+// slowdown is the estimated latency of a target relative to the baseline: 1 is the baseline, 2
+// twice as long.
 func (s *Steerer) slowdown(t *target) float64 {
 	return estimator.Slowdown(s.zoneLogSlowdown(t.Service, t.AvailabilityZone) + t.slowdownEstimate.LogSlowdown())
 }
 
-// slowdownWithinZone is how much longer a target takes than the others of its zone,
-// 1 at the least. Unlike slowness it leaves out what all of them have in common: in a crowd
-// that is waiting, which takes nothing of what they can do.
+// slowdownWithinZone is the latency of a target relative to the others of its zone, at least
+// 1. Unlike slowdown it leaves out what all of them have in common: during overload that is
+// queueing, which does not reduce their capacity.
 func (t *target) slowdownWithinZone() float64 {
 	return estimator.Slowdown(max(t.slowdownEstimate.LogSlowdown(), 0))
 }
 
-// setExpectedResponse notes when the answer to a request that begins is expected.
+// setExpectedResponse records when the response to a request that begins is expected.
 //
-// All times count from the caller's last data packet. What goes wrong if they count from
-// its first: some callers upload over slow links, and their target counts as slow. One
-// notices by a target that is avoided though it answers as soon as it has the request.
+// All times count from the caller's last data packet. Counted from its first one, uploads over
+// slow links would make their target count as slow, which shows as a target that is avoided
+// though it responds as soon as it has the full request.
 func (s *Steerer) setExpectedResponse(key flowKey, f *flow) {
 	f.expectedLatency, f.assumedExcess, f.lastData = 0, 0, s.now
 	u, ok := s.baselines[f.route.Name]
@@ -101,7 +103,7 @@
 	s.estimating.overdue = append(s.estimating.overdue, flowTimer{key: key, since: s.now, deadline: f.overdueAt()})
 }
 
-// overdueAt is when a request has waited for long enough to say something of its target.
+// overdueAt is the time from which the wait of a request counts as evidence about its target.
 func (f *flow) overdueAt() timekeeper.Instant {
 	wait := overdueFactor * f.expectedLatency
 	if f.route.Kind == KindUpload {
@@ -110,11 +112,11 @@
 	return f.lastData.Add(wait)
 }
 
-// checkOverdue learns from requests that wait for longer than expected.
+// checkOverdue records the waits of overdue requests as latency samples.
 //
-// What goes wrong if only answers count: a target hangs, or takes seconds, and gets new
-// flows until the first of its answers comes. One notices by callers that all wait at one
-// target whose siblings are idle.
+// If only responses counted, a target that hangs or takes seconds would get new flows until
+// its first response, which shows as callers that all wait at one target while other targets
+// are idle.
 func (s *Steerer) checkOverdue() {
 	overdue := s.estimating.overdue
 	kept := overdue[:0]
@@ -124,7 +126,7 @@
 			continue
 		}
 		if from := f.overdueAt(); !from.Passed(s.now) {
-			check.deadline = from // The caller has sent more.
+			check.deadline = from // The caller has sent more data.
 		}
 		if check.deadline.Passed(s.now) && s.silenceIsEvidence() {
 			waited := s.now.Since(f.lastData)
@@ -138,9 +140,9 @@
 	s.estimating.overdue = kept
 }
 
-// recordLatency learns from the time that a request took, or has been waiting for, about its
-// target and the target's zone. Cold targets are known to be slow, and answers that were late
-// because this host stood still say nothing.
+// recordLatency updates the estimates of a target and its zone from the time that a request
+// took, or has been waiting. It skips cold targets, which are expected to be slow, and
+// responses that were late because this host was paused.
 func (s *Steerer) recordLatency(f *flow, took time.Duration) {
 	t := f.target
 	if f.expectedLatency == 0 || !s.pause.graceDeadline.Passed(s.now) || s.isCold(t) {
@@ -158,8 +160,8 @@
 	s.refreshEstimate(t, "own")
 }
 
-// refreshEstimate works out anew what is believed of a target. Cause is, for the log, whose
-// samples it rests on: "own", the name of another host, or "age".
+// refreshEstimate recomputes the estimate of a target. For the log, cause says where the new
+// samples come from: "own", the name of another host, or "age".
 func (s *Steerer) refreshEstimate(t *target, cause string) {
 	if !t.slowdownTracked {
 		t.slowdownTracked = true
@@ -181,7 +183,7 @@
 		field("own", fmt.Sprintf("%.1f", own)), field("cause", cause))
 }
 
-// estimatesTick forgets what is too old to count.
+// estimatesTick checks for overdue requests and drops expired estimates.
 func (s *Steerer) estimatesTick() {
 	s.checkOverdue()
 	maps.DeleteFunc(s.estimating.zones, func(_ serviceZone, z *estimator.Zone) bool {
@@ -201,17 +203,17 @@
 	s.estimating.active = kept
 }
 
-// pickTrialTarget picks a slow target that a new flow should go to, so that one that is quick again
-// is found out; nil if none is due. Then it may leave out of views what is believed of slow
-// zones, so that the flow may go to one of them.
+// pickTrialTarget picks a slow target for a new flow, so that its recovery is noticed; nil if
+// no trial is due. In that case it may reset the slowdown of zones in views, so that the flow
+// may go to a slow zone.
 //
-// What goes wrong without trials: a slow target gets no flows, so nobody learns that it has
-// recovered. And what goes wrong if hosts merely forget after a time that it was slow: all
-// hosts of the zone do so at the same moment, and it gets a queue of callers before the first
-// answer.
+// Without trials, a slow target gets no flows, so no host learns that it has recovered. If
+// estimates only expired instead, all hosts of the zone would use the target again at the same
+// moment, and it would have a queue of callers before its first response.
 //
-// Nothing is tried while requests of the service wait here: some may wait for the slow
-// target, and the new flow would be refused on their account though quick targets idle.
+// There are no trials while requests of the service are queued at this host: some may wait for
+// the slow target, and the new flow would be refused because of them though fast targets are
+// idle.
 func (s *Steerer) pickTrialTarget(c placement, views []zoneView, crowd *connectionConstraint) *target {
 	if c.avoid != nil || s.service(c.service).paced > 0 || !s.service(c.service).trials.Allow() {
 		return nil
@@ -239,8 +241,8 @@
 	return nil
 }
 
-// trialAllowed reports whether a slow target may get a trial: only if nothing else speaks against
-// it.
+// trialAllowed reports whether a slow target may get a trial, which requires that nothing but
+// its slowdown excludes it.
 func (s *Steerer) trialAllowed(t *target, views []zoneView) bool {
 	switch {
 	case t.AvailabilityZone != s.config.AvailabilityZone, t.listedUnder == "", views[t.zone].penalty() > 0:
@@ -253,13 +255,12 @@
 	return t.inFlightPerSlot() < 1
 }
 
-// recordResponse learns from the time until an answer.
+// recordResponse learns from the time until a response.
 //
-// What goes wrong otherwise: a target fails a part of its requests at once while its
-// liveness check is good. Failures take less time than work, so it has the least load
-// of its service and gets most new flows. One notices by callers that fail again and
-// again at one target. What is in an answer can't be read here, but how quickly it
-// comes can.
+// Without this, a target that fails some of its requests at once while its health check passes
+// would have the least load of its service, since failures take less time than processing, and
+// would get most new flows. That shows as callers that fail repeatedly at one target. The load
+// balancer can't read the content of a response, but it can measure how fast it comes.
 func (s *Steerer) recordResponse(f *flow, took time.Duration) {
 	u, ok := s.baselines[f.route.Name]
 	if !ok {
@@ -283,17 +284,17 @@
 	u.fromRequestEnd.add(worked, doubtful)
 }
 
-// targetOrZoneSlow reports whether a target or its zone is slow, so that its answers say little
-// of what is usual.
+// targetOrZoneSlow reports whether a target or its zone is slow, so that its responses say
+// little about the baseline.
 //
-// What goes wrong otherwise: half of the targets turn slow, within seconds that counts as
-// usual, and nobody avoids them any more.
+// Without this, when half of the targets become slow, their latency would become the baseline
+// within seconds, and no host would avoid them any more.
 func (s *Steerer) targetOrZoneSlow(t *target) bool {
 	return t.slowdownEstimate.Slow() || s.inSlowZone(t)
 }
 
-// inSlowZone reports whether a target's zone is slower than another. Where all are late
-// the service is asked for too much, or its work became heavier.
+// inSlowZone reports whether a target's zone is slower than another. If all zones are slow,
+// the service is overloaded or its requests have become more expensive.
 func (s *Steerer) inSlowZone(t *target) bool {
 	excess := s.zoneLogSlowdown(t.Service, t.AvailabilityZone)
 	if excess <= slowZoneLogSlowdown || excess > verySlowZoneLogSlowdown {
@@ -308,14 +309,15 @@
 	return false
 }
 
-// failsFast reports whether a target answers more quickly than it can work. Answers of a
-// pressed service say nothing of that: full targets refuse at once, and work that goes
-// elsewhere for it fills the next.
+// failsFast reports whether a target's responses are implausibly fast. Responses of a
+// congested service don't count: full targets refuse at once, and if a target were avoided for
+// that, its work would fill the next one.
 func (s *Steerer) failsFast(t *target) bool {
 	return t.failures.ThresholdReached(s.now) && !s.congested(t.Service)
 }
 
-// applyFastFailures takes in which targets another host of the zone saw answer too quickly.
+// applyFastFailures applies the report of another host of the zone on targets with fast
+// failures.
 func (s *Steerer) applyFastFailures(from *peer, tags []uint32) {
 	for _, tag := range tags {
 		if t, ok := s.reportedTarget(from, tag); ok {
@@ -324,10 +326,10 @@
 	}
 }
 
-// recentFastFailures reports whether this host saw a target answer too quickly of late.
+// recentFastFailures reports whether this host has recently seen fast failures of a target.
 func (s *Steerer) recentFastFailures(t *target) bool { return t.failures.SeenRecently(s.now) }
 
-// applySlowdownReports takes in how fast another host of the zone finds targets.
+// applySlowdownReports applies the slowdown estimates that another host of the zone reports.
 func (s *Steerer) applySlowdownReports(from *peer, slowdownReports []messenger.TargetSlowdown) {
 	for _, p := range slowdownReports[:min(len(slowdownReports), maxSlowdownReports)] {
 		if t, ok := s.reportedTarget(from, p.Tag); ok {
@@ -337,11 +339,12 @@
 	}
 }
 
-// slowdownReports lists how fast the targets are that stand out, at most maxSlowdownReports: if there are more,
-// each round tells of the next ones.
+// slowdownReports lists the estimates of targets with a notable slowdown, at most
+// maxSlowdownReports. If there are more, each round continues where the last one ended.
 //
-// What goes wrong if each report tells of the next ones: where a round has as many reports as
-// the list has parts, each recipient hears of the same part for ever.
+// The position advances per round and not per report. Otherwise, if a round has as many
+// reports as it takes to go through the list, each recipient would always get the same part of
+// it.
 func (s *Steerer) slowdownReports() []messenger.TargetSlowdown {
 	var slowdownReports []messenger.TargetSlowdown
 	active := s.estimating.active
--- a/core/steerer/queueing.go
+++ b/core/steerer/queueing.go
@@ -9,31 +9,31 @@
 )
 
 const (
-	// maxQueuedRequests bounds the requests that wait at a host, to some 5 MB of the largest.
+	// maxQueuedRequests limits the requests queued at a host, to about 5 MB of the largest.
 	maxQueuedRequests = 4096
-	// maxQueuedPackets bounds the packets of one of them: what a caller sends at most
-	// without acknowledgement.
+	// maxQueuedPackets limits the packets of a queued request to what a caller sends without
+	// an acknowledgment.
 	maxQueuedPackets = windowBytes / 1200
-	// spareLoad is the part of a target's slots below which it has some to spare for
-	// requests that will be late.
+	// spareLoad is the load of a target, in requests per slot, below which it has slots to
+	// spare for requests that will miss their objective.
 	spareLoad = 2.0 / 3
 )
 
-// queuedRequest is a request of an open flow that waits at this host.
+// queuedRequest is a request of an open flow that is queued at this host.
 type queuedRequest struct {
 	key     flowKey
 	flow    *flow
 	service *service
-	// packets are as they came from the caller.
+	// packets are the request's packets as received from the caller.
 	packets [][]byte
 	arrived timekeeper.Instant
 }
 
-// mayQueue reports whether a request that begins in an open flow may wait here.
+// mayQueue reports whether a request that begins on an open flow may be queued here.
 //
-// Only requests that may run again do: their callers ask again if this host dies with
-// them. Checks and uploads open a flow each, and are passed on at once, so that they
-// meet short queues at the targets.
+// Only retryable requests may be: if this host dies with them, their callers retry. Other
+// requests, such as uploads, open a flow each and are forwarded at once, so that they meet
+// short queues at the targets.
 func (s *Steerer) mayQueue(f *flow, v *service) bool {
 	if !f.route.Kind.retryable() || f.route.Timeout <= 0 {
 		return false
@@ -44,8 +44,7 @@
 	return v.load.Congested() && (f.target.queue.Len() > 0 || !v.load.HasCapacity(v.inFlight))
 }
 
-// enqueue lets a request wait if its service has no room for it, and reports whether it
-// does.
+// enqueue queues a request if its service has no capacity for it, and reports whether it did.
 func (s *Steerer) enqueue(key flowKey, f *flow, p *Packet) bool {
 	v := s.service(f.target.Service)
 	if !s.mayQueue(f, v) {
@@ -62,7 +61,7 @@
 	return true
 }
 
-// queueLimits says what the callers of a route hope for.
+// queueLimits returns what determines how long requests of a route may be queued.
 func (s *Steerer) queueLimits(route Route) pacer.RouteParams {
 	limits := pacer.RouteParams{Objective: route.LatencyObjective, Timeout: route.Timeout, Priority: route.Priority}
 	if u, ok := s.baselines[route.Name]; ok {
@@ -71,12 +70,13 @@
 	return limits
 }
 
-// queuePacket takes in a later packet of a flow whose request waits, and reports
-// whether the packet has to wait, too. Repeats are of no use: what they repeat is here.
+// queuePacket handles a later packet of a flow whose request is queued, and reports whether
+// the packet must not be forwarded. Retransmissions are dropped: the data that they repeat is
+// queued here.
 func (s *Steerer) queuePacket(f *flow, p *Packet) bool {
 	switch {
 	case p.Flags.Has(FlagReset):
-		return false // Nobody waits for the answer any more: the flow is closed.
+		return false // The caller has closed the flow and expects no response.
 	case p.Flags.Has(FlagEnd) || len(f.paced.packets) == maxQueuedPackets:
 		s.forwardQueued(f.paced, "more")
 		return false
@@ -88,7 +88,7 @@
 	return true
 }
 
-// forwardQueued passes on a request that waits.
+// forwardQueued forwards a queued request, or resets its flow if the route has been removed.
 func (s *Steerer) forwardQueued(r *queuedRequest, reason string) {
 	f := r.flow
 	s.dequeue(f)
@@ -107,14 +107,14 @@
 	}
 }
 
-// discardQueued forgets the request of a flow that waits here.
+// discardQueued drops the queued request of a flow, if there is one.
 func (s *Steerer) discardQueued(f *flow) {
 	if f.paced != nil {
 		s.dequeue(f)
 	}
 }
 
-// dequeue takes a flow's request out of the line of its target.
+// dequeue removes a flow's request from the queue of its target.
 func (s *Steerer) dequeue(f *flow) {
 	r, t := f.paced, f.target
 	t.queue.Remove(r)
@@ -126,15 +126,15 @@
 	}
 }
 
-// forwardAllQueued passes on all that waits for a target.
+// forwardAllQueued forwards all requests queued for a target.
 func (s *Steerer) forwardAllQueued(t *target, reason string) {
 	for r, waits := t.queue.Oldest(); waits; r, waits = t.queue.Oldest() {
 		s.forwardQueued(r, reason)
 	}
 }
 
-// forwardWithinWindow passes on the requests of a service for which there is room, those for the
-// least busy targets first.
+// forwardWithinWindow forwards queued requests of a service while its window has capacity,
+// those for the least loaded targets first.
 func (s *Steerer) forwardWithinWindow(v *service) {
 	for v.paced > 0 && v.load.HasCapacity(v.inFlight) {
 		r := s.nextToForward(v)
@@ -145,8 +145,8 @@
 	}
 }
 
-// nextToForward picks the request that goes next: for the least busy of the targets for
-// which one may go now; nil if there is none.
+// nextToForward picks the queued request to forward next: one for the least loaded of the
+// targets that may get a request now; nil if there is none.
 func (s *Steerer) nextToForward(v *service) *queuedRequest {
 	var best *queuedRequest
 	var least float64
@@ -162,12 +162,12 @@
 	return best
 }
 
-// inFlightPerSlot is how many requests each of a target's slots has.
+// inFlightPerSlot is the number of requests in flight at a target per slot.
 func (t *target) inFlightPerSlot() float64 {
 	return float64(t.inFlight()) / float64(max(t.Slots, 1))
 }
 
-// queueTick passes on what has waited long enough, and what there is room for.
+// queueTick forwards queued requests that are overdue, and those for which there is capacity.
 func (s *Steerer) queueTick() {
 	s.expireInFlight()
 	if s.paced == 0 {
@@ -184,8 +184,8 @@
 	}
 }
 
-// servicesWithQueue lists the services with requests that wait, so that equal events give
-// equal effects.
+// servicesWithQueue lists the services with queued requests in sorted order, so that equal
+// events give equal effects.
 func (s *Steerer) servicesWithQueue() []string {
 	var names []string
 	for name, v := range s.services {
--- a/core/steerer/settings.go
+++ b/core/steerer/settings.go
@@ -8,21 +8,20 @@
 	"time"
 )
 
-// Kind says what may be done with the requests of a route.
+// Kind says how often the requests of a route may run, and how much data they carry.
 type Kind uint8
 
 // The kinds of requests.
 const (
-	// KindIdempotent requests may run more than once; callers repeat them after
-	// any failure.
+	// KindIdempotent requests may run more than once; callers retry them after any failure.
 	KindIdempotent Kind = iota + 1
-	// KindNonIdempotent requests run at most once; callers repeat them only if
-	// they certainly did not run.
+	// KindNonIdempotent requests run at most once; callers retry them only if they certainly
+	// did not run.
 	KindNonIdempotent
 	// KindUpload requests carry much data and run at most once.
 	KindUpload
-	// KindDownload requests have large answers. They may run more than once, and callers
-	// repeat them after any failure.
+	// KindDownload requests have large responses. They may run more than once, and callers
+	// retry them after any failure.
 	KindDownload
 )
 
@@ -43,25 +42,25 @@
 	return "unknown"
 }
 
-// WeightedService is a service's part of the new flows of a route.
+// WeightedService is a service with its weight in the traffic split of a route.
 type WeightedService struct {
 	Service string
 	Weight  int
 }
 
-// Route sends the flows that callers open to Address to services.
+// Route maps the flows that callers open to Address to services.
 type Route struct {
 	Name    string
 	Address netip.AddrPort
 	// TrafficSplit has at least one entry, sorted by service.
 	TrafficSplit []WeightedService
 	Kind         Kind
-	// Timeout bounds a request, LatencyObjective is what callers hope for.
+	// Timeout limits a request, LatencyObjective is the response time that callers expect.
 	Timeout          time.Duration
 	LatencyObjective time.Duration
-	// Priority orders routes when work has to be refused; 0 is the highest.
+	// Priority orders routes when requests have to be refused; 0 is the highest.
 	Priority int
-	// Regions are those in which the route's requests may run, sorted; any if empty.
+	// Regions are the regions in which the route's requests may run, sorted; any if empty.
 	Regions []string
 }
 
@@ -87,52 +86,53 @@
 // Service is a group of targets that run the same requests.
 type Service struct {
 	Name string
-	// HealthPath is the path of the targets' liveness check.
+	// HealthPath is the path of the targets' health check.
 	HealthPath string
-	// WarmUp is for how long a target is cold after a start, and WarmUpFlowsPerSecond how many
-	// new flows a second it bears meanwhile; 0 is any number.
+	// WarmUp is how long a target is cold after a start, and WarmUpFlowsPerSecond the limit of
+	// new flows to it meanwhile; 0 is no limit.
 	WarmUp               time.Duration
 	WarmUpFlowsPerSecond float64
-	// MaxConnections is how many flows each target holds at once; 0 is any number.
+	// MaxConnections is the number of flows that each target accepts at once; 0 is no limit.
 	MaxConnections int
 }
 
-// Settings is one version of what operators published. It is immutable.
+// Settings is one version of the published settings. It is immutable.
 type Settings struct {
 	Version  uint64
 	Routes   []Route
 	Services []Service
-	// IdleTimeout is after how long an idle flow may be forgotten.
+	// IdleTimeout is the time after which an idle flow may be dropped from the flow table.
 	IdleTimeout time.Duration
-	// RouteProblems lists the published routes that could not be read.
+	// RouteProblems lists the published routes that could not be parsed.
 	RouteProblems []RouteProblem
 	byAddress     map[netip.AddrPort]int
 }
 
-// RouteProblem is a published route that could not be read, with the reason.
+// RouteProblem is a published route that could not be parsed, with the reason.
 type RouteProblem struct {
 	Route string
 	Err   error
 }
 
-// MarshalText writes a fault for operators.
+// MarshalText formats the problem for operators.
 func (f RouteProblem) MarshalText() ([]byte, error) { return []byte(f.String()), nil }
 
 func (f RouteProblem) String() string { return fmt.Sprintf("route %q: %v", f.Route, f.Err) }
 
-// WithRouteProblems returns the settings with a list of routes that could not be read.
+// WithRouteProblems returns a copy of the settings with a list of routes that could not be
+// parsed.
 func (s *Settings) WithRouteProblems(problems []RouteProblem) *Settings {
 	next := *s
 	next.RouteProblems = problems
 	return &next
 }
 
-// keepUnreadableRoutes returns the settings with the routes of an earlier version that could not
-// be read in this one.
+// keepUnreadableRoutes returns the settings with the earlier version of the routes that could
+// not be parsed.
 //
-// What goes wrong otherwise: operators publish a route in a form that this host does
-// not know yet. It takes the route for removed, refuses its new flows and resets its
-// open ones, while the operators only changed a detail.
+// Without this, if operators publish a route in a form that this host does not support yet,
+// the host would treat the route as removed, refuse its new flows and reset its open ones,
+// though the operators only changed a detail.
 func (s *Settings) keepUnreadableRoutes(earlier *Settings) *Settings {
 	if earlier == nil || len(s.RouteProblems) == 0 {
 		return s
@@ -147,7 +147,7 @@
 	return NewSettings(s.Version, routes, s.Services, s.IdleTimeout).WithRouteProblems(s.RouteProblems)
 }
 
-// NewSettings indexes a version.
+// NewSettings builds a version of the settings and indexes its routes by address.
 func NewSettings(version uint64, routes []Route, services []Service, idleTimeout time.Duration) *Settings {
 	s := &Settings{Version: version, Routes: routes, Services: services, IdleTimeout: idleTimeout}
 	slices.SortFunc(s.Routes, func(x, y Route) int { return strings.Compare(x.Name, y.Name) })
@@ -158,7 +158,7 @@
 	return s
 }
 
-// RouteAt returns the route of an address that callers use.
+// RouteAt returns the route of an address to which callers open flows.
 func (s *Settings) RouteAt(address netip.AddrPort) (Route, bool) {
 	if s == nil {
 		return Route{}, false
@@ -170,7 +170,7 @@
 	return s.Routes[i], true
 }
 
-// service returns what is published of a service, of which nothing may be.
+// service returns the published settings of a service, or defaults if there are none.
 func (s *Settings) service(name string) Service {
 	if s != nil {
 		for _, service := range s.Services {
@@ -182,8 +182,8 @@
 	return Service{Name: name, HealthPath: defaultHealthPath}
 }
 
-// healthPath returns the path of a service's liveness check.
+// healthPath returns the path of a service's health check.
 func (s *Settings) healthPath(service string) string { return s.service(service).HealthPath }
 
-// defaultHealthPath is asked while the settings do not name another.
+// defaultHealthPath is used if the settings don't name a path.
 const defaultHealthPath = "/healthz"
--- a/core/steerer/slots.go
+++ b/core/steerer/slots.go
@@ -1,24 +1,26 @@
 package steerer
 
-// microSlots counts millionths of a slot of usual speed. Sums of whole numbers don't drift
-// as parts come and go.
+// microSlots is a number of slots of baseline speed in millionths. Integer sums don't drift as
+// targets come and go.
 type microSlots int64
 
 const oneSlot microSlots = 1_000_000
 
-// recountBatch is how many targets of a service are counted anew for each view of its room,
-// in turn. A part that changes with time alone, as a warm-up ends, is off until then. The
-// cost of a view stays the same however many targets there are.
+// recountBatch is how many targets of a service are recounted for each refresh of its
+// capacity, in rotation. A contribution that changes with time alone, such as at the end of a
+// warm-up, is outdated until its turn. The cost of a refresh does not depend on the number of
+// targets.
 const recountBatch = 128
 
-// slotTotals adds up the slots of a service's targets by zone.
+// slotTotals holds the slots of a service's targets by zone.
 type slotTotals struct {
 	byZone []microSlots
-	// nextIndex is where the next turn begins among the service's choices.
+	// nextIndex is the index among the service's selectable targets at which the next batch
+	// starts.
 	nextIndex int
 }
 
-// set replaces a target's part in the sum.
+// set replaces a target's contribution to the totals.
 func (sum *slotTotals) set(t *target, contribution microSlots) {
 	for len(sum.byZone) <= t.zone {
 		sum.byZone = append(sum.byZone, 0)
@@ -27,7 +29,7 @@
 	t.countedSlots = contribution
 }
 
-// markForRecount has a target's slots counted anew for the next view of its service's room.
+// markForRecount has a target's slots recounted at the next refresh of its service's capacity.
 func (t *targetTable) markForRecount(target *target) {
 	if !target.slotsStale {
 		target.slotsStale = true
@@ -35,7 +37,7 @@
 	}
 }
 
-// slotTotalsOf returns the sum of a service's slots, which it makes if there is none.
+// slotTotalsOf returns the slot totals of a service, and creates them if there are none.
 func (t *targetTable) slotTotalsOf(service string) *slotTotals {
 	sum, ok := t.slots[service]
 	if !ok {
@@ -45,8 +47,8 @@
 	return sum
 }
 
-// updateSlotTotals brings the sum of a service's slots up to date: the targets that have changed,
-// and some of the others.
+// updateSlotTotals updates the slot totals of a service: it recounts the targets that have
+// changed, and a batch of the others.
 func (s *Steerer) updateSlotTotals(service string) *slotTotals {
 	for _, t := range s.targets.slotsStale {
 		t.slotsStale = false
@@ -67,14 +69,15 @@
 	return sum
 }
 
-// recountTarget counts a target's slots anew.
+// recountTarget recounts a target's slots.
 func (s *Steerer) recountTarget(t *target) {
 	if t.listedUnder != "" {
 		s.targets.slotTotalsOf(t.listedUnder).set(t, s.usableSlots(t))
 	}
 }
 
-// usableSlots is what a target adds to the room of its service if its zone can be used.
+// usableSlots is what a target contributes to the capacity of its service if its zone can be
+// used.
 func (s *Steerer) usableSlots(t *target) microSlots {
 	lost := t.health.unreachable() || t.health.suspect || t.reportedUnresponsive(s.now)
 	if t.Draining || s.excludedAsMissing(t) || lost {
--- a/core/steerer/throttling.go
+++ b/core/steerer/throttling.go
@@ -6,8 +6,9 @@
 	"cranberryspan.dev/core/throttler"
 )
 
-// overloadedOrCongested reports whether a service is asked for more than its targets can do. A host
-// that hears no other does not know what all callers ask, and goes by its own answers.
+// overloadedOrCongested reports whether the demand for a service exceeds its capacity. A host
+// without reports from peers does not know the full demand, and decides by the latency that it
+// observes.
 func (s *Steerer) overloadedOrCongested(service string) bool {
 	v, ok := s.services[service]
 	if !ok {
@@ -17,15 +18,15 @@
 	return a.Overloaded() || (!a.HasPeerReports() && v.load.Congested())
 }
 
-// refuseThrottled refuses a new flow whose caller has used up a quota, or has had more than its
-// share of a service that is short of room. It reports whether it did.
+// refuseThrottled refuses a new flow whose caller has used up a quota, or has exceeded its
+// fair share of an overloaded service. It reports whether it did.
 //
-// What goes wrong otherwise: one caller that repeats itself without pause takes the room
-// of all, since whoever asks most gets most. Nothing has run, so the caller is told at
-// once.
+// Without this, a single caller that repeats requests without pause takes the capacity of all
+// others, since the most active caller gets the most. Nothing has run yet, so the caller is
+// told at once.
 //
-// Quotas come first: what they refuse is no demand for the service's room, or it would look
-// as if others were refused for want of room, and shares would shrink.
+// Quotas are checked first: what they refuse must not count as demand for the service, or
+// others would seem to be refused for lack of capacity, and fair shares would shrink.
 func (s *Steerer) refuseThrottled(p *Packet, route *Route, service string) bool {
 	if quota, exceeded := s.throttler.ExceededQuota(p.Caller.Addr(), route.Name, s.now); exceeded {
 		s.counts.add(RefusedCallerQuota)
@@ -42,7 +43,7 @@
 	return false
 }
 
-// formatRate writes a rate for logs.
+// formatRate formats a rate for logs.
 func formatRate(rate float64) string { return fmt.Sprintf("%.1f", rate) }
 
 // recordFlowStart counts a new flow for its caller.
@@ -54,9 +55,9 @@
 
 // recordFlowEnd counts the end of a flow for its caller, once.
 //
-// What goes wrong if it counts for the service of the flow's target: the flow, or its target,
-// has gone to another service meanwhile, and at the first its caller keeps the weight of an
-// open flow for good.
+// It counts for the service for which the start was counted. If it counted for the current
+// service of the flow's target, and the flow or its target had moved to another service, the
+// caller would keep the weight of an open flow at the first service forever.
 func (s *Steerer) recordFlowEnd(key flowKey, f *flow) {
 	if f.callerCountedAt == nil {
 		return
@@ -66,8 +67,8 @@
 	s.throttler.FlowEnded(ended, s.now)
 }
 
-// chargeQuota counts a request of an open flow for its caller's quotas, also if it has
-// to wait here. The first was counted with the flow.
+// chargeQuota counts a request on an open flow towards its caller's quotas, even if it is
+// queued here. The first request was counted with the flow.
 func (s *Steerer) chargeQuota(p *Packet, f *flow) {
 	if f.hasSentRequest {
 		s.throttler.Charge(p.Caller.Addr(), f.route.Name, s.now)
@@ -75,8 +76,8 @@
 	f.hasSentRequest = true
 }
 
-// divideQuotas divides the quotas by the live hosts of this host's zone, over which the
-// fabric spreads each caller's flows evenly.
+// divideQuotas divides the quotas by the number of alive hosts of the local zone, over which
+// the network fabric spreads each caller's flows evenly.
 func (s *Steerer) divideQuotas() {
 	if !s.throttler.HasQuotas() {
 		return
