--- a/core/steerer/admission_test.go
+++ b/core/steerer/admission_test.go
@@ -10,16 +10,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// ledgerSlots is the room of the fixture's ledger.
+// ledgerSlots is the capacity of the fixture's service "ledger".
 const ledgerSlots = 18
 
-// ledgerDemand is demand for the ledger, in thousandths of a slot by told priority.
+// ledgerDemand is reported demand for the ledger, by encoded priority in thousandths of a
+// slot.
 func ledgerDemand(asked ...messenger.PriorityDemand) []messenger.ServiceDemand {
 	return []messenger.ServiceDemand{{Service: "ledger", ByPriority: asked}}
 }
 
-// urgentOverload leaves nothing for new flows of priority 2: urgent callers ask for 10 of 18
-// slots, reads of open flows for 9, and others want more.
+// urgentOverload is demand that leaves no capacity for new flows of priority 2: new flows of
+// priority 1 demand 10 of 18 slots, requests on open flows of priority 2 demand 9, and new
+// flows of priority 2 demand more.
 func urgentOverload() []messenger.ServiceDemand {
 	return ledgerDemand(
 		messenger.PriorityDemand{Priority: 1, MilliSlots: 10_000},
@@ -28,7 +30,7 @@
 	)
 }
 
-// calibratedPair is two hosts of a zone, of which a1 knows how long answers take.
+// calibratedPair starts two hosts in a zone, of which a1 has learned the baseline latency.
 func calibratedPair(t *testing.T) *fleet {
 	f := newFleet(t, 2)
 	f.settings = newSettings(2, objectiveRoutes())
@@ -39,7 +41,8 @@
 	return f
 }
 
-// deliverReport lets a1 hear from a host of a zone, and brings its view up to date.
+// deliverReport has a1 receive a report from a host of any zone, and refreshes its view of the
+// capacity.
 func deliverReport(f *fleet, from string, report *messenger.Report) {
 	report.Address, report.Incarnation = f.hosts["a2"].address, 1
 	f.reduce("a1", &steerer.ReportReceived{From: from, Report: report})
@@ -51,7 +54,7 @@
 	return c.target != ""
 }
 
-// lastRefusal is the latest line of a1 on a refused flow.
+// lastRefusal is the fields of a1's latest log line about a refused flow.
 func lastRefusal(f *fleet) string {
 	var last string
 	for _, l := range f.hosts["a1"].logs {
@@ -66,10 +69,9 @@
 	return last
 }
 
-// Symptom: in a crowd urgent requests are late, since reads take their places. Sequence:
-// other hosts' callers and this one's ask for more than there is room for; a read and a
-// check open at this host, where nothing waits. Cause: a host that goes by what waits at
-// itself.
+// Guards against late urgent requests during overload: when callers of all hosts together
+// demand more than the capacity, a host that decides by its own queue alone admits a read, and
+// reads take the capacity that checks of a higher priority need.
 func TestLowPriorityIsRefusedWhenHigherPrioritiesTakeAllCapacity(t *testing.T) {
 	f := calibratedPair(t)
 	congest(f, 21_000)
@@ -84,8 +86,8 @@
 	}
 }
 
-// Symptom: callers are refused while slots idle. Sequence: hosts believe that too much is
-// asked; answers come as quickly as usual. Cause: an estimate that answers don't overrule.
+// Guards against refusals while slots are idle: when demand is estimated to exceed capacity
+// but responses are as fast as ever, the measured latency must overrule the estimate.
 func TestNoRefusalsWhileResponsesAreFast(t *testing.T) {
 	f := calibratedPair(t)
 	deliverReport(f, "a2", &messenger.Report{AvailabilityZone: "a", Demands: urgentOverload()})
@@ -93,9 +95,9 @@
 	require.True(t, opens(f.caller(1, readRoute)))
 }
 
-// Symptom: a host that is cut off from its zone refuses by what another zone asks.
-// Sequence: a service is short; no host of the own zone reports any more. Cause: a demand
-// of which the own zone's part is missing is shared out.
+// Guards against a host that is partitioned from its zone and refuses flows by the demand of
+// another zone: when no host of the local zone reports any more, the known demand is
+// incomplete and must not be used to divide the capacity.
 func TestIsolatedHostFallsBackToItsOwnWindow(t *testing.T) {
 	f := calibratedPair(t)
 	congest(f, 21_000)
@@ -108,8 +110,8 @@
 	require.True(t, opens(f.caller(1, readRoute)), "nothing waits at this host")
 }
 
-// Symptom: a zone lets everybody in while callers of another fill its targets. Cause: what
-// other zones' callers ask is not known.
+// Guards against a zone that admits all flows while callers of another zone fill its targets:
+// demand reported from other zones must count.
 func TestDemandIncludesOtherZones(t *testing.T) {
 	f := calibratedPair(t)
 	before := f.hosts["a1"].steerer.Snapshot().Demand
@@ -117,8 +119,8 @@
 	require.InDelta(t, before+24, f.hosts["a1"].steerer.Snapshot().Demand, 2)
 }
 
-// Load: callers of one host ask for more than half of the room. Its neighbour hears of it,
-// and on calm days no report says anything.
+// Guards against demand that other hosts don't learn of: when callers of one host demand more
+// than half of the capacity, its peer gets a report. Below that, reports contain no demand.
 func TestDemandIsReportedAboveHalfOfCapacity(t *testing.T) {
 	f := calibratedPair(t)
 	require.Less(t, f.hosts["a2"].steerer.Snapshot().Demand, 1.0)
@@ -134,8 +136,8 @@
 	require.Greater(t, f.hosts["a2"].steerer.Snapshot().Demand, ledgerSlots/2.0)
 }
 
-// Symptom: hosts keep services for ever that a broken report has named. Cause: words on
-// services that nobody lists.
+// Guards against services that hosts keep forever because a broken report has named them:
+// demand for services without listed targets is ignored.
 func TestDemandForUnknownServicesIsIgnored(t *testing.T) {
 	f := calibratedPair(t)
 	before := f.hosts["a1"].steerer.Snapshot().Demand
@@ -144,9 +146,9 @@
 	require.InDelta(t, before, f.hosts["a1"].steerer.Snapshot().Demand, 1)
 }
 
-// Symptom: a zone that is short lets everybody in for some seconds. Sequence: another zone
-// tells what its callers ask; a second host of it, which knows of no demand, tells only how
-// many flows targets have. Cause: a word of flows that is taken for one of no demand.
+// Guards against an overloaded zone that admits all flows for some seconds: when one host of
+// another zone reports demand and a second host, which knows of none, reports only flow
+// counts, the latter must not be taken for a demand of 0.
 func TestFlowCountReportDoesNotClearDemand(t *testing.T) {
 	f := calibratedPair(t)
 	before := f.hosts["a1"].steerer.Snapshot().Demand
@@ -156,17 +158,17 @@
 	require.InDelta(t, before+24, f.hosts["a1"].steerer.Snapshot().Demand, 2)
 }
 
-// delayResponses lets answers be late by so much that requests wait for a third of their
-// callers' spare time.
+// delayResponses makes responses so late that requests wait for a third of the time that their
+// callers can spare.
 func delayResponses(f *fleet, from int) {
 	for n := range 40 {
 		requestWithLatency(f, "a1", from+n, 150*time.Millisecond)
 	}
 }
 
-// Symptom: checks of a low priority get in while reads of a higher one are refused.
-// Sequence: reads of a higher priority take all that is left; a check opens. Cause: requests
-// that may not run again get in whatever the shares say until targets are full.
+// Guards against checks of a low priority that are admitted while reads of a higher one are
+// refused: when reads take all remaining capacity, requests that must not run twice are not
+// admitted ahead of them.
 func TestNonRetryableRequestsDoNotBypassHigherPriorities(t *testing.T) {
 	f := newFleet(t, 2)
 	all := objectiveRoutes()
@@ -186,9 +188,9 @@
 	require.True(t, opens(f.caller(2, readRoute)), "a part of the reads fits in: %s", lastRefusal(f))
 }
 
-// Symptom: urgent callers are refused, since more get in than fits. Sequence: a route
-// without an objective is asked for; how long its work takes is not learned. Cause: requests
-// that count as nothing.
+// Guards against urgent callers that are refused because too many others are admitted: when
+// requests arrive for a route without a latency objective, whose processing time is not
+// learned, they must not count as 0 demand.
 func TestUnknownProcessingTimeDefaultsToThatOfTheService(t *testing.T) {
 	f := newFleet(t, 1)
 	all := objectiveRoutes()
@@ -207,9 +209,9 @@
 	require.Greater(t, f.hosts["a1"].steerer.Snapshot().Demand, before+5)
 }
 
-// Symptom: flows to quick targets with slots free are refused while requests of open flows
-// wait for slow ones. Sequence: a target turns slow; its service is pressed, and what its
-// open flows ask waits at the host. Cause: lines that count whatever they wait for.
+// Guards against refused flows to fast targets with free slots: when a target becomes slow in
+// a congested service and requests of its open flows are queued at the host, these must not
+// count against flows to faster targets.
 func TestQueueForSlowTargetDoesNotRefuseFlowsToOthers(t *testing.T) {
 	f := congestedHost(t)
 	waiting := openOn(f, "a1", failingTarget, 1000, true)
@@ -220,7 +222,7 @@
 	require.Greater(t, statusOf(f, "a1", failingTarget).Slowness, 1.5*statusOf(f, "a1", "i-10000002").Slowness)
 	require.Equal(t, 1, f.hosts["a1"].steerer.Snapshot().Congested)
 	for _, one := range slow {
-		one.sendRequest("a1") // They take what this host may have under way.
+		one.sendRequest("a1") // They fill the host's window of requests in flight.
 	}
 	waiting.sendRequest("a1")
 	require.Equal(t, 1, queuedRequests(f))
@@ -229,9 +231,9 @@
 	require.NotEqual(t, failingTarget, c.target)
 }
 
-// Symptom: a zone's demand is overstated twice, and callers are refused. Sequence: all callers
-// come to one of two hosts; the other has none. Cause: a host that says nothing of its
-// demand because there is none, and counts as one of which nothing is known.
+// Guards against overstating the demand of a zone twofold: when all callers use one of two
+// hosts, the other must report that it has no demand, or it counts as a host whose demand is
+// unknown.
 func TestIdleHostReportsZeroDemand(t *testing.T) {
 	f := calibratedPair(t)
 	for n := range 800 {
@@ -242,14 +244,14 @@
 			f.step(25 * time.Millisecond)
 		}
 	}
-	asked := 20 / 0.025 * 0.1 // Slots: requests a second times the time of work.
+	asked := 20 / 0.025 * 0.1 // Slots: requests per second times processing time.
 	require.InDelta(t, asked, f.hosts["a1"].steerer.Snapshot().Demand, 0.3*asked)
 }
 
-// Symptom: the only host of a zone lets everybody in while other zones' hosts refuse, so its
-// callers get more than their part, and urgent ones elsewhere less. Sequence: the service is
-// short; the zone never had another host. Cause: a host without neighbours that counts as
-// one that is cut off from them.
+// Guards against the only host of a zone admitting all flows while hosts of other zones
+// refuse: when a service is overloaded, a host without peers in its zone must not be taken for
+// one that is partitioned from them. Its callers would get more than their fair share, and
+// urgent callers elsewhere less.
 func TestOnlyHostOfAZoneSharesCapacityWithOtherZones(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	f.settings = newSettings(2, objectiveRoutes())
@@ -270,5 +272,5 @@
 	require.True(t, opens(f.caller(2, readRoute)))
 }
 
-// zoneReportTTL is how long another zone's hosts count as heard.
+// zoneReportTTL is how long a report from another zone counts.
 const zoneReportTTL = 4 * time.Second
--- a/core/steerer/cold_test.go
+++ b/core/steerer/cold_test.go
@@ -8,13 +8,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// publishWarmUp publishes what cold targets of the ledger bear.
+// publishWarmUp publishes the warm-up and its flow limit for targets of the ledger.
 func (f *fleet) publishWarmUp(span time.Duration, perSecond float64) {
 	f.settings = steerer.NewSettings(2, routes(), []steerer.Service{{Name: "ledger", HealthPath: "/healthz", WarmUp: span, WarmUpFlowsPerSecond: perSecond}}, 15*time.Second)
 	f.step(2 * time.Second)
 }
 
-// markCold says in a target's entry that it is cold.
+// markCold sets a warm-up in a target's entry.
 func (f *fleet) markCold(id string, span time.Duration) {
 	target := f.targets[id]
 	target.WarmUp = span
@@ -22,8 +22,8 @@
 	f.revision++
 }
 
-// openFlowsAndCountPeaks opens flows through all hosts, some each tick, and returns how many came to each
-// target in its worst second.
+// openFlowsAndCountPeaks opens flows through all hosts, perTick of them per host and tick, and
+// returns the most that each target got within a second.
 func (f *fleet) openFlowsAndCountPeaks(first int, span time.Duration, perTick int) map[string]int {
 	times := map[string][]time.Duration{}
 	n := first
@@ -55,12 +55,12 @@
 	return worst
 }
 
-// Symptom: targets that have just started fall over, and their requests fail. Sequence: a
-// zone's targets come back together, cold and idle; all hosts of the zone place their
-// flows on them. Cause: no host knows what the others place.
+// Guards against targets that fail because they get too many flows right after a start: when
+// the targets of a zone come back together, cold and idle, the hosts of the zone have to share
+// the limit, or each would place flows on them without counting those of the others.
 //
-// The bound is what the targets state, 2 a second, times 1.5, and 5 more. What they
-// can't take goes to the other zone, and nobody is refused.
+// The limit is the 2 flows per second in the settings, times 1.5, plus 5. Flows that exceed it
+// go to the other zone, and none is refused.
 func TestColdTargetsStayWithinTheirFlowLimit(t *testing.T) {
 	f := newFleet(t, 4, 4)
 	f.publishWarmUp(4*time.Second, 2)
@@ -81,9 +81,9 @@
 	}
 }
 
-// Symptom: a zone that comes back after an order falls over. Sequence: it is evacuated for
-// some seconds, and the order is taken back. Cause: its targets have not started anew, so
-// nothing says that they are cold.
+// Guards against overloading a zone after an evacuation: when the order is withdrawn after
+// some seconds, the zone's targets have not restarted, so their entries do not show that they
+// are cold.
 func TestZoneIsColdAfterEvacuation(t *testing.T) {
 	f := newFleet(t, 4, 4)
 	f.publishWarmUp(4*time.Second, 2)
@@ -106,8 +106,8 @@
 	require.Greater(t, total, 3*8, "warm again, it takes its part")
 }
 
-// Symptom: callers are refused although targets have room. Sequence: all targets of a
-// service start together and state no bound. Cause: tickets where none are needed.
+// Guards against refusing callers although targets have capacity: when all targets of a
+// service start together and have no flow limit, hosts must not require tickets.
 func TestColdTargetsWithoutLimitAcceptAllFlows(t *testing.T) {
 	f := newFleet(t, 2)
 	f.publishWarmUp(4*time.Second, 0)
@@ -121,8 +121,8 @@
 	}
 }
 
-// Symptom: only the host that reads the platform spares a target. Sequence: a target turns
-// cold without a restart. Cause: a warm-up is no news to others.
+// Guards against only one host limiting flows to a cold target: when a target becomes cold
+// without a restart, the host that reads this from the platform must report it to the others.
 func TestColdStateReachesOtherHosts(t *testing.T) {
 	f := newFleet(t, 3)
 	f.publishWarmUp(10*time.Second, 2)
@@ -133,8 +133,8 @@
 	}
 }
 
-// Symptom: a request whose data may not leave a region runs in another. Sequence: a route
-// names regions; the targets of its region drain. Cause: regions are not asked for.
+// Guards against requests that run outside of the regions that their route allows: when the
+// targets of the only allowed region drain, flows are refused and not placed elsewhere.
 func TestRoutesStayInTheirRegions(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	f.regions = map[string]string{"a": "north", "b": "south"}
--- a/core/steerer/estimates_internal_test.go
+++ b/core/steerer/estimates_internal_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: a host's memory grows with each service that it has ever served. Sequence:
-// services come and go. Cause: what is known of a service's zones is never forgotten.
+// Guards against memory that grows with each service ever served: when services come and go,
+// the estimates of their zones must expire.
 func TestZoneEstimatesOfUnusedServicesExpire(t *testing.T) {
 	s := New(Config{Self: "a1", AvailabilityZone: "a", MaxFlows: 100})
 	s.now = timekeeper.Instant(time.Second)
@@ -25,8 +25,8 @@
 	require.Empty(t, s.estimating.zones)
 }
 
-// Symptom: the flows of one service are the trials of all, or none are. Sequence: two
-// services whose flows alternate. Cause: one counter for all services.
+// Guards against one service getting the trials of all: when the flows of two services
+// alternate, each must count its trials on its own.
 func TestTrialsAreCountedPerService(t *testing.T) {
 	s := New(Config{Self: "a1", AvailabilityZone: "a", MaxFlows: 100})
 	s.now = timekeeper.Instant(time.Second)
@@ -43,9 +43,9 @@
 	require.Equal(t, map[string]int{"intake": 4, "ledger": 4}, due)
 }
 
-// Symptom: some hosts never hear of a slow target. Sequence: more targets are slow than a
-// report has room for; a host sends as many reports in a round as there are parts. Cause:
-// each report begins with other targets, so that each recipient hears the same part always.
+// Guards against hosts that never learn of a slow target: when more targets are slow than a
+// report can list, and a round has as many reports as the list has parts, each report starting
+// at other targets would give each recipient the same part every time.
 func TestReportsOfARoundCoverTheSameTargets(t *testing.T) {
 	s := New(Config{Self: "a1", AvailabilityZone: "a", MaxFlows: 100})
 	s.now = timekeeper.Instant(time.Second)
--- a/core/steerer/estimates_test.go
+++ b/core/steerer/estimates_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// learnBaseline lets hosts learn that answers take 50 ms, wherever they come from.
+// learnBaseline has hosts learn a baseline latency of 50 ms, whichever target responds.
 func learnBaseline(f *fleet, names ...string) {
 	for n := range 30 {
 		for h, name := range names {
@@ -27,7 +27,7 @@
 	return all
 }
 
-// requestAll lets a request of each flow take a while.
+// requestAll sends a request on each flow, with a response after the given time.
 func requestAll(f *fleet, name string, flows []*caller, took time.Duration) {
 	for _, c := range flows {
 		c.sendRequest(name)
@@ -38,8 +38,8 @@
 	}
 }
 
-// makeTargetSlow lets a host find out that a target takes ten times as long, while others
-// work as usual.
+// makeTargetSlow has a host observe that a target takes ten times as long, while others
+// respond as usual.
 func makeTargetSlow(f *fleet, name, target string) {
 	flows := openFlowsAt(f, name, target, 2000, 3)
 	for round := range 3 {
@@ -50,9 +50,9 @@
 	}
 }
 
-// Symptom: callers wait at a target that takes ten times as long, while its siblings idle.
-// Sequence: its answers are late, but it has slots free. Cause: load that counts requests
-// under way and not how long each takes.
+// Guards against callers that wait at a target that takes ten times as long while other
+// targets are idle: when its responses are late but it has free slots, load must account for
+// the time per request and not only for the number in flight.
 func TestSlowTargetGetsFewFlows(t *testing.T) {
 	f := newFleet(t, 1)
 	learnBaseline(f, "a1")
@@ -66,8 +66,8 @@
 	require.Equal(t, 1, f.hosts["a1"].steerer.Snapshot().Slow)
 }
 
-// Symptom: in a large zone each host has to find out for itself that a target is slow.
-// Sequence: one host sees late answers of it. Cause: hosts that keep it to themselves.
+// Guards against each host of a large zone having to detect a slow target on its own: when one
+// host observes late responses, it must report them to the zone's other hosts.
 func TestSlowTargetIsReportedWithinItsZone(t *testing.T) {
 	f := newFleet(t, 3, 1)
 	learnBaseline(f, "a1", "a2")
@@ -77,8 +77,8 @@
 	require.InDelta(t, 1, statusOf(f, "b1", failingTarget).Slowness, 0, "other zones look for themselves")
 }
 
-// Symptom: callers wait at a target that hangs. Sequence: it takes requests and answers
-// none. Cause: only answers tell how long requests take.
+// Guards against callers that wait at a hanging target: when a target accepts requests and
+// responds to none, it must count as slow before its first response.
 func TestHangingTargetIsSlowBeforeItsFirstResponse(t *testing.T) {
 	f := newFleet(t, 1)
 	learnBaseline(f, "a1")
@@ -89,9 +89,9 @@
 	require.Greater(t, statusOf(f, "a1", failingTarget).Slowness, 1.5)
 }
 
-// Symptom: a host that stood still makes its zone avoid targets that work. Sequence:
-// requests are under way when the host freezes; their answers came long before it looks.
-// Cause: the host's own delay is taken for the target's.
+// Guards against a paused host that makes its zone avoid working targets: when the host is
+// paused with requests in flight and sees their responses long after they arrived, its own
+// delay must not count as the targets'.
 func TestHostPauseDoesNotMarkTargetsSlow(t *testing.T) {
 	f := newFleet(t, 1)
 	learnBaseline(f, "a1")
@@ -110,9 +110,8 @@
 	require.InDelta(t, 1, statusOf(f, "a1", failingTarget).Slowness, 0)
 }
 
-// Symptom: callers stay in a zone whose targets all take ten times as long. Sequence: all
-// targets of a zone turn slow, those of another work. Cause: another zone that costs more
-// than any wait.
+// Guards against keeping callers in a zone whose targets all take ten times as long, while
+// those of another zone work: the cross-zone penalty must not outweigh any wait.
 func TestSlowZoneSpillsOver(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	learnBaseline(f, "a1", "b1")
@@ -140,9 +139,8 @@
 	require.Greater(t, away, 30)
 }
 
-// Symptom: flows that the quick targets would serve are refused for overload. Sequence:
-// some targets turn slow and their answers are late. Cause: late answers of slow targets
-// that count as pressure on the service.
+// Guards against refusing flows for overload that fast targets could serve: when some targets
+// become slow, their late responses must not count as congestion of the service.
 func TestSlowTargetsDoNotCongestTheirService(t *testing.T) {
 	f := newFleet(t, 1)
 	f.settings = newSettings(2, objectiveRoutes())
@@ -158,9 +156,9 @@
 	require.Zero(t, f.hosts["a1"].steerer.Snapshot().Congested)
 }
 
-// Symptom: a slow half of the targets counts as usual after some seconds, and is avoided
-// no more. Sequence: more than half of the answers take six times as long. Cause: what is usual
-// follows all answers alike.
+// Guards against a baseline that follows slow targets: when more than half of the responses
+// take six times as long, the slow targets must not become the baseline after some seconds, or
+// they would no longer be avoided.
 func TestBaselineIgnoresSlowTargets(t *testing.T) {
 	f := newFleet(t, 1)
 	for n := range 300 {
@@ -179,8 +177,8 @@
 	require.Zero(t, f.hosts["a1"].steerer.Snapshot().Counters[steerer.FastFailure], "15 ms are more than a quarter of 50")
 }
 
-// Symptom: a target that has recovered idles. Sequence: it was slow, then its flows ended;
-// it answers as usual again. Cause: nobody is sent there any more.
+// Guards against a recovered target that stays idle: when a target was slow, its flows have
+// ended and it responds at the baseline again, it must get new flows.
 func TestRecoveredTargetRegainsItsShare(t *testing.T) {
 	f := newFleet(t, 1)
 	learnBaseline(f, "a1")
@@ -194,8 +192,8 @@
 	require.NotZero(t, countPlacements(f, "a1", failingTarget, 20_000))
 }
 
-// Symptom: the believed speed of a target outlives its process. Sequence: a slow target
-// starts again under its ID. Cause: what was learned of an earlier life.
+// Guards against an estimate that outlives the target's process: when a slow target restarts
+// under its ID, samples from before the restart must not count.
 func TestRestartedTargetIsNotSlow(t *testing.T) {
 	f := newFleet(t, 1)
 	learnBaseline(f, "a1")
@@ -209,8 +207,8 @@
 	require.InDelta(t, 1, statusOf(f, "a1", failingTarget).Slowness, 0)
 }
 
-// Symptom: a trial goes to a target that has crashed. Sequence: a slow target without open
-// flows falls silent; it is due for a trial. Cause: trials that look at speed alone.
+// Guards against a trial at a crashed target: when a slow target without open flows becomes
+// unresponsive, its trial must not take place even if it is due.
 func TestUnresponsiveTargetGetsNoTrial(t *testing.T) {
 	f := newFleet(t, 1)
 	learnBaseline(f, "a1")
@@ -228,9 +226,9 @@
 	}
 }
 
-// Symptom: a hanging target is found out seconds late. Sequence: requests that usually take
-// long are under way when it hangs. Cause: overdue requests that wait for their turn behind
-// those whose deadlines are later.
+// Guards against detecting a hanging target seconds late: when requests that usually take long
+// are in flight, the overdue checks of other requests must not wait behind their later
+// deadlines.
 func TestLongRequestsDoNotHideAHangingTarget(t *testing.T) {
 	f := newFleet(t, 1)
 	learnBaseline(f, "a1")
@@ -257,17 +255,16 @@
 	require.Greater(t, statusOf(f, "a1", failingTarget).Slowness, 1.5)
 }
 
-// Symptom: a sound target gets no new flows of its service. Sequence: some callers upload
-// over slow links, by chance to the same target: each goes on sending for half a second, and
-// has its answer 50 ms after its last byte. Cause: the time in which the caller sends counts
-// as the target's.
+// Guards against avoiding a healthy target: when callers upload over slow links, by chance to
+// the same target, and each keeps sending for half a second and gets its response 50 ms after
+// its last byte, the time in which the caller sends must not count as the target's.
 func TestSlowUploadsDoNotMarkTargetsSlow(t *testing.T) {
 	for _, pause := range []time.Duration{50 * time.Millisecond, 600 * time.Millisecond} {
 		t.Run(pause.String(), func(t *testing.T) { uploadSlowly(t, pause) })
 	}
 }
 
-// uploadSlowly lets callers pause between the packets of their uploads to one target.
+// uploadSlowly has callers pause between the packets of their uploads to one target.
 func uploadSlowly(t *testing.T, pause time.Duration) {
 	f := newFleet(t, 1)
 	learnBaseline(f, "a1")
--- a/core/steerer/queueing_test.go
+++ b/core/steerer/queueing_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// objectiveRoutes are the fleet's routes with objectives, as crowds are judged by them.
+// objectiveRoutes are the fleet's routes with latency objectives, which congestion is measured
+// against.
 func objectiveRoutes() []steerer.Route {
 	all := routes()
 	for i := range all {
@@ -19,7 +20,8 @@
 	return all
 }
 
-// congestedHost is a host whose ledger is pressed: answers take 100 ms as usual, then 400.
+// congestedHost is a host whose ledger is congested: responses first take 100 ms, which
+// becomes the baseline, then 400.
 func congestedHost(t *testing.T) *fleet {
 	f := newFleet(t, 1)
 	f.settings = newSettings(2, objectiveRoutes())
@@ -32,14 +34,14 @@
 	return f
 }
 
-// congest lets answers take so long that the service is pressed, with a window of one.
+// congest makes responses so slow that the service is congested and its window shrinks to one.
 func congest(f *fleet, from int) {
 	for n := range 40 {
 		requestWithLatency(f, "a1", from+n, 400*time.Millisecond)
 	}
 }
 
-// openReadFlow opens a flow to read from before the crowd.
+// openReadFlow opens a flow of the read route before the service is overloaded.
 func openReadFlow(f *fleet, n int) *caller {
 	c := f.caller(n, readRoute)
 	c.open("a1", 0)
@@ -47,7 +49,7 @@
 	return c
 }
 
-// fillWindow lets checks take what the host may have under way.
+// fillWindow sends enough checks to use up the host's window of requests in flight.
 func fillWindow(f *fleet, from int) []*caller {
 	var all []*caller
 	for n := range 8 {
@@ -60,7 +62,8 @@
 	return all
 }
 
-// hostWithQueuedRead is a pressed host where a feed's request waits behind checks.
+// hostWithQueuedRead is a congested host where the request of a read flow is queued behind
+// checks.
 func hostWithQueuedRead(t *testing.T) (*fleet, *caller, []*caller) {
 	f := congestedHost(t)
 	c := openReadFlow(f, 1)
@@ -72,7 +75,8 @@
 
 func queuedRequests(f *fleet) int { return f.hosts["a1"].steerer.Snapshot().Queued }
 
-// requireReset demands that nothing waits any more and that only a caller was reset.
+// requireReset requires that no request is queued any more and that only the given caller was
+// reset.
 func requireReset(t *testing.T, f *fleet, c *caller) {
 	t.Helper()
 	require.Zero(t, queuedRequests(f))
@@ -80,8 +84,8 @@
 	require.Equal(t, c.address, f.hosts["a1"].resets[0].Caller)
 }
 
-// Symptom: in a crowd checks are as late as feeds. Sequence: a service is pressed; a feed
-// asks in its open flow, then a check comes. Cause: whatever comes first goes first.
+// Guards against checks that are as late as reads during overload: when a service is congested
+// and a read on an open flow comes before a check, the read has to wait.
 func TestReadIsQueuedWhileServiceIsCongested(t *testing.T) {
 	f := congestedHost(t)
 	c := openReadFlow(f, 1)
@@ -102,8 +106,8 @@
 	require.Contains(t, f.hosts["a1"].sent[sentBefore:], sentPacket{target: c.target, data: "ask", flow: c.address.String()}, "it goes to its own target")
 }
 
-// Symptom: a caller is held until it gives up. Sequence: a feed waits, and no room comes.
-// Cause: a wait without a bound.
+// Guards against holding a request until its caller gives up: when a read is queued and no
+// capacity becomes available, the wait must be limited.
 func TestQueuedRequestIsForwardedBeforeItsCallerTimesOut(t *testing.T) {
 	f, _, _ := hostWithQueuedRead(t)
 	f.step(500 * time.Millisecond)
@@ -114,8 +118,9 @@
 	require.NotEqual(t, 0, f.hosts["a1"].steerer.Snapshot().Counters[steerer.RequestQueued])
 }
 
-// Symptom: a target gets a request twice, or counts as silent. Sequence: a feed waits at
-// the host, and its caller repeats the packet. Cause: a repeat that passes what waits.
+// Guards against forwarding a request twice, or taking its target for unresponsive: when a
+// read is queued and its caller retransmits the packet, the retransmission must not overtake
+// the queued one.
 func TestRetransmitsOfAQueuedRequestAreNotForwarded(t *testing.T) {
 	f, c, checks := hostWithQueuedRead(t)
 	before := len(f.hosts["a1"].sent)
@@ -135,8 +140,8 @@
 	require.Equal(t, 1, asks)
 }
 
-// Symptom: targets work for callers that have gone. Sequence: a feed waits, its caller
-// gives up and resets the flow. Cause: a request that outlives its caller.
+// Guards against targets that work for callers that have gone: when a caller resets the flow
+// of a queued read, the request must be dropped.
 func TestQueuedRequestIsDiscardedWhenItsCallerResets(t *testing.T) {
 	f, c, _ := hostWithQueuedRead(t)
 	before := len(f.hosts["a1"].sent)
@@ -149,9 +154,9 @@
 	}
 }
 
-// Symptom: new callers wait as long as those before them, and make all later. Sequence: a
-// service is pressed and feeds wait; a new flow opens. Cause: flows that are taken though
-// their requests can't be in time. Checks, which are worth more, are not refused.
+// Guards against admitting new callers whose requests can't be in time and delay all others:
+// when a service is congested and reads are queued, a new read flow is refused. Checks, which
+// have a higher priority, are not.
 func TestNewReadFlowIsRefusedWhileRequestsAreQueued(t *testing.T) {
 	f := congestedHost(t)
 	c := openReadFlow(f, 1)
@@ -169,8 +174,8 @@
 	require.NotEmpty(t, check.target)
 }
 
-// Symptom: callers wait for a host that ends. Sequence: SIGTERM comes while feeds wait.
-// Cause: what waits is forgotten with the process.
+// Guards against callers that wait for a host that has exited: when SIGTERM arrives while
+// reads are queued, the host must forward them before it exits.
 func TestLeavingHostForwardsQueuedRequests(t *testing.T) {
 	f, c, _ := hostWithQueuedRead(t)
 	f.reduce("a1", &steerer.Shutdown{})
@@ -181,8 +186,8 @@
 	require.Zero(t, queuedRequests(f), "nothing waits at a host that leaves")
 }
 
-// Symptom: a feed waits at its host for a target that is silent. Sequence: the target
-// crashes; a check of it fails. Cause: only requests that were passed on are given up.
+// Guards against queueing a read for an unresponsive target: when the target crashes and a
+// probe of it fails, queued requests must be reset like those already forwarded.
 func TestQueuedRequestOfAnUnresponsiveTargetIsReset(t *testing.T) {
 	f, c, _ := hostWithQueuedRead(t)
 	f.probeOutcomes[c.target] = steerer.ProbeRefused
@@ -191,8 +196,8 @@
 	requireReset(t, f, c)
 }
 
-// Symptom: a request reaches a service that its route no longer names. Sequence: a feed
-// waits; a version drops its route. Cause: what waits is passed on unseen.
+// Guards against forwarding a request to a service that its route no longer names: when a read
+// is queued and a new version of the settings drops its route, the flow is reset.
 func TestQueuedRequestOfARemovedRouteIsReset(t *testing.T) {
 	f, c, _ := hostWithQueuedRead(t)
 	f.settings = newSettings(3, objectiveRoutes()[1:])
@@ -200,18 +205,18 @@
 	requireReset(t, f, c)
 }
 
-// Symptom: a service is throttled for seconds after its targets reset flows. Sequence:
-// targets that are full reset flows, which tells only their callers. Cause: requests
-// whose answers nobody sees count as under way until their timeout.
+// Guards against queueing requests for seconds after targets have reset flows: when full
+// targets reset flows, which only their callers see, requests without an observed response
+// must not count as in flight until their timeout.
 func TestUnseenResetsDoNotBlockTheQueue(t *testing.T) {
 	f, _, _ := hostWithQueuedRead(t)
 	f.step(time.Second)
 	require.Zero(t, queuedRequests(f), "eight times the usual 100 ms, and before the wait's own bound")
 }
 
-// Symptom: full targets are avoided as faulty, and work is pushed from one to the next.
-// Sequence: a service is pressed; a target refuses at once. Cause: a refusal that is taken
-// for a failure.
+// Guards against avoiding full targets as faulty, which pushes their work to one target after
+// the other: when a target of a congested service refuses at once, this must not count as a
+// failure.
 func TestRefusalsOfACongestedServiceAreNotFailures(t *testing.T) {
 	f := congestedHost(t)
 	for n := range 3 {
@@ -221,9 +226,9 @@
 	require.Zero(t, f.hosts["a1"].steerer.Snapshot().Counters[steerer.FastFailure])
 }
 
-// Symptom: after a moment in which a host stood still, feeds wait there although targets
-// are idle. Sequence: requests are under way; the host stands still for 0.7 s; their
-// answers are acknowledged. Cause: the host's own delay is taken for load.
+// Guards against queueing reads after a host pause although targets are idle: when the host is
+// paused for 0.7 s with requests in flight, and their responses are acknowledged afterwards,
+// its own delay must not count as congestion.
 func TestHostPauseIsNotTakenForCongestion(t *testing.T) {
 	f := newFleet(t, 1)
 	f.settings = newSettings(2, objectiveRoutes())
