--- a/core/steerer/bench_test.go
+++ b/core/steerer/bench_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// loneHost is a host that knows some targets of ledger.
+// loneHost is a host without peers that knows some targets of the ledger.
 func loneHost(targets, maxFlows int) *steerer.Steerer {
 	s := steerer.New(steerer.Config{Self: "a1", AvailabilityZone: "a", MaxFlows: maxFlows, SettingsPropagationLimit: 3 * time.Second, DrainingPropagationLimit: 3 * time.Second, Start: timekeeper.Instant(time.Second)})
 	at := timekeeper.Instant(2 * time.Second)
@@ -30,8 +30,8 @@
 	return s
 }
 
-// BenchmarkOpeningPacket places new flows among as many targets as the two-year
-// size has.
+// BenchmarkOpeningPacket places new flows among up to as many targets as the fleet is planned
+// to have in two years.
 func BenchmarkOpeningPacket(b *testing.B) {
 	for _, targets := range []int{14, 150, 3800} {
 		b.Run(fmt.Sprint(targets), func(b *testing.B) {
@@ -47,7 +47,7 @@
 	}
 }
 
-// BenchmarkEstablishedFlowPacket passes on a packet of a flow that is known.
+// BenchmarkEstablishedFlowPacket forwards a packet of a flow in the flow table.
 func BenchmarkEstablishedFlowPacket(b *testing.B) {
 	s := loneHost(150, 1<<20)
 	c := (&fleet{}).caller(1, readRoute)
@@ -66,7 +66,7 @@
 	}
 }
 
-// A remembered flow takes less memory than the daemon reckons with.
+// A flow in the flow table takes less memory than the daemon's memory budget assumes.
 func TestFlowsTakeLittleMemory(t *testing.T) {
 	const flows, most = 50_000, 512
 	s := loneHost(150, flows)
@@ -86,12 +86,13 @@
 	require.Less(t, each, most)
 }
 
-// largestZone is how many hosts each of seven zones has in the largest fleet that is
-// measured. make capacity passes 87, the two-year size, which takes minutes.
+// largestZone is the number of hosts in each of seven zones of the largest fleet that is
+// measured. make capacity passes 87, the size planned for two years ahead, which takes
+// minutes.
 var largestZone = flag.Int("largestZone", 15, "hosts of each zone in the largest fleet")
 
-// Symptom: control traffic takes the links of a large fleet. Sequence: the fleet
-// grows. Cause: hosts that tell every other.
+// Guards against control traffic that fills the links of a large fleet: hosts must not report
+// to every other host as the fleet grows.
 func TestControlTrafficDoesNotGrowWithTheFleet(t *testing.T) {
 	for _, perZone := range []int{3, *largestZone} {
 		f := newFleet(t, perZone, perZone, perZone, perZone, perZone, perZone, perZone)
--- a/core/steerer/capacity_internal_test.go
+++ b/core/steerer/capacity_internal_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: a host's memory grows with each change of settings. Sequence: routes come and go
-// at a service that stays. Cause: times of work that are kept for routes that are gone.
+// Guards against memory that grows with each change of the settings: when routes come and go
+// at a service that stays, the processing times of removed routes must be dropped.
 func TestProcessingTimesOfRemovedRoutesAreDropped(t *testing.T) {
 	s := New(Config{Self: "a1", AvailabilityZone: "a"})
 	for n := range 100 {
--- a/core/steerer/fixture_test.go
+++ b/core/steerer/fixture_test.go
@@ -18,15 +18,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// tester is what a test and a fuzz run have in common.
+// tester is the common part of a test and a fuzz run.
 type tester interface {
 	require.TestingT
 	Fatalf(format string, args ...any)
 	Helper()
 }
 
-// fleet is some hosts before one platform, on a clock of its own. Calls and
-// messages take hop.
+// fleet simulates hosts and a platform with a clock of its own. Calls and messages take
+// linkDelay.
 type fleet struct {
 	t      tester
 	now    timekeeper.Instant
@@ -37,63 +37,63 @@
 	settings *steerer.Settings
 	targets  map[string]steerer.Target
 	revision uint64
-	// era counts the platform's restores; 0 if it tells none.
+	// era counts the platform's restores; 0 if the platform reports no era.
 	era uint64
-	// orders are those to evacuate zones, as the platform has them.
+	// orders are the platform's evacuation orders.
 	orders evacuator.Orders
-	// settingsWithin is what hosts that start are told; 3 s if 0. documentBytes is the
-	// size of the published document.
+	// settingsWithin is the configured limit for the propagation of settings to hosts that
+	// start; 3 s if 0. documentBytes is the size of the published document.
 	settingsWithin time.Duration
 	documentBytes  int
-	// drainingWithin is the same for targets that drain.
+	// drainingWithin is the same limit for draining targets.
 	drainingWithin time.Duration
-	// unansweredHosts are hosts whose questions nobody answers, late by how much hosts are late to
-	// take in what comes.
+	// unansweredHosts are hosts whose sync requests get no response, inboundDelay is how late
+	// hosts process what they receive.
 	unansweredHosts map[string]bool
 	inboundDelay    map[string]time.Duration
-	// evacuatedWithin and regions are what hosts that start are told.
+	// evacuatedWithin and regions are in the configuration of hosts that start.
 	evacuatedWithin time.Duration
 	regions         map[string]string
-	// quotas are what hosts that start are told.
+	// quotas are in the configuration of hosts that start.
 	quotas []throttler.Quota
-	// listings is what the platform listed at each position that it has shown.
+	// listings holds what the platform listed at each position that it has returned.
 	listings map[sequencer.Position]platformListing
-	// malformed are listed entries that name no target.
+	// malformed are the malformed entries that the platform lists.
 	malformed []steerer.MalformedTarget
-	// down says that the platform answers nobody, deniedHosts names hosts that it
-	// does not answer.
+	// down says that the platform responds to no host, deniedHosts names hosts that it denies.
 	down        bool
 	deniedHosts map[string]bool
 	cutLinks    map[[2]string]bool
-	// probeOutcomes says how liveness checks end; the others end well.
+	// probeOutcomes holds the outcome of probes by target; the others are healthy.
 	probeOutcomes map[string]steerer.ProbeOutcome
 	reads         int
-	// targetReads counts those of reads that were of the targets.
-	// staleReads counts those of reads that may have been seconds old.
+	// staleReads counts the reads that may have returned data some seconds old.
 	staleReads   int
 	syncRequests int
-	// settingsReadTime and targetsReadTime are how long a read of them takes; hop if 0.
+	// settingsReadTime and targetsReadTime are how long a read of them takes; linkDelay if 0.
 	settingsReadTime time.Duration
 	targetsReadTime  time.Duration
-	// reportDelay is how long a report is on its way; hop if 0.
+	// reportDelay is how long a report is in transit; linkDelay if 0.
 	reportDelay time.Duration
-	// answerDelay is how long a host takes to answer another; hop if 0.
+	// answerDelay is how long a host takes to respond to a sync request; linkDelay if 0.
 	answerDelay time.Duration
-	// pendingSyncRequests counts the questions of each host that are under way, peakPendingSyncRequests the most
-	// that any had at once.
+	// pendingSyncRequests counts the sync requests of each host that have no response yet,
+	// peakPendingSyncRequests is the most that any host had at once.
 	pendingSyncRequests     map[string]int
 	peakPendingSyncRequests int
-	// maxConcurrentAnswers bounds the questions that a host answers at once; 0 is any.
+	// maxConcurrentAnswers limits the sync requests that a host responds to at once; 0 is no
+	// limit.
 	maxConcurrentAnswers int
 	probes               int
 	// reports counts the reports that hosts sent each other, crossZoneReports those that went
 	// to another zone.
 	reports          int
 	crossZoneReports int
-	// reportBytes counts what hosts sent each other, sealed; -1 to leave it.
+	// reportBytes counts the bytes of encoded reports that hosts sent each other; -1 disables
+	// the count.
 	reportBytes int
-	// answerBytes counts what hosts told each other of targets in answer to questions, while
-	// reportBytes is counted.
+	// answerBytes counts the bytes of target lists in sync responses while reportBytes is
+	// counted.
 	answerBytes int
 }
 
@@ -106,17 +106,17 @@
 	resets  []steerer.ResetFlow
 	logs    []steerer.WriteLog
 	ended   bool
-	// activeAnswers counts the questions that the host answers at present.
+	// activeAnswers counts the sync requests that the host is responding to.
 	activeAnswers int
-	// maxFlows bounds the flows that the host remembers; 0 is plenty.
+	// maxFlows is the size of the host's flow table; 10,000 if 0.
 	maxFlows int
-	// linkBytesPerSecond is what the host's link carries; 0 is unknown.
+	// linkBytesPerSecond is the capacity of the host's link; 0 is unknown.
 	linkBytesPerSecond int
 	// reads counts the host's reads of the platform.
 	reads int
 }
 
-// sentPacket is a packet that a host passed on.
+// sentPacket is a packet that a host forwarded.
 type sentPacket struct {
 	target string
 	tag    steerer.Tag
@@ -157,8 +157,8 @@
 	return steerer.NewSettings(version, routes, []steerer.Service{{Name: "ledger", HealthPath: "/healthz"}}, 15*time.Second)
 }
 
-// newFleet starts hosts in zones a, b, ... and waits until all are ready. A
-// host's name is its zone and a number.
+// newFleet starts hosts in zones a, b, ... and waits until all are ready. A host's name is its
+// zone and a number.
 func newFleet(t tester, hostsByZone ...int) *fleet {
 	t.Helper()
 	f := &fleet{
@@ -189,7 +189,7 @@
 	return f
 }
 
-// addTarget registers a target and returns it.
+// addTarget adds a target to the platform's list and returns it.
 func (f *fleet) addTarget(id, service, zone string) steerer.Target {
 	number, ok := steerer.ParseTargetNumber(id)
 	require.True(f.t, ok)
@@ -209,7 +209,7 @@
 	f.revision++
 }
 
-// restart lets a target start again under its ID.
+// restart restarts a target under its ID.
 func (f *fleet) restart(id string) {
 	target := f.targets[id]
 	target.Incarnation += 1000
@@ -218,13 +218,13 @@
 	f.revision++
 }
 
-// malformEntry writes an entry that names no target over a target's own.
+// malformEntry replaces a target's entry by a malformed one.
 func (f *fleet) malformEntry(id string) {
 	f.remove(id)
 	f.malformed = append(f.malformed, steerer.MalformedTarget{ID: id, Digest: f.revision, Err: errMalformedEntry})
 }
 
-// evacuate orders a zone to be evacuated, withdrawEvacuation takes the order back.
+// evacuate issues an evacuation order for a zone, cancelEvacuation withdraws it.
 func (f *fleet) evacuate(zone string) {
 	f.revision++
 	f.orders = f.orders.WithZone(zone, f.revision)
@@ -240,7 +240,7 @@
 	f.revision++
 }
 
-// start starts a host that knows nothing but seeds.
+// start starts a host that knows only seeds.
 func (f *fleet) start(name string) {
 	h := f.hosts[name]
 	var seeds []netip.AddrPort
@@ -268,7 +268,7 @@
 	f.timers = append(f.timers, timer{at: f.now.Add(d), run: do})
 }
 
-// step lets time pass, tick by tick, in order of the hosts' names.
+// step advances the clock tick by tick; at each tick the hosts run in order of their names.
 func (f *fleet) step(d time.Duration) {
 	end := f.now.Add(d)
 	for f.now < end {
@@ -281,7 +281,7 @@
 	}
 }
 
-// runUntil runs what is due before a moment, in order of time and entry.
+// runUntil runs the timers due until the given time, in order of time and insertion.
 func (f *fleet) runUntil(end timekeeper.Instant) {
 	for {
 		best := -1
@@ -341,7 +341,7 @@
 
 func (f *fleet) platformAnswers(name string) bool { return !f.down && !f.deniedHosts[name] }
 
-// countRead counts a read.
+// countRead counts a read of the platform by a host.
 func (f *fleet) countRead(name string, mayBeStale bool) {
 	f.reads++
 	f.hosts[name].reads++
@@ -369,8 +369,8 @@
 	f.schedule(max(linkDelay, f.settingsReadTime)+f.inboundDelay[name], func() { f.reduce(name, event) })
 }
 
-// answerEra is the era of an answer: the platform's, or, if it tells none, what the reader has
-// heard of.
+// answerEra is the era of a platform response: the platform's own, or, if it reports none, the
+// one that the reader knows.
 func (f *fleet) answerEra(options steerer.ReadOptions) uint64 {
 	if f.era == 0 {
 		return options.Era
@@ -387,13 +387,14 @@
 	f.schedule(max(linkDelay, f.targetsReadTime), func() { f.reduce(name, event) })
 }
 
-// platformListing is what the platform listed at some position.
+// platformListing is what the platform listed at a position.
 type platformListing struct {
 	targets   map[string]steerer.Target
 	malformed []steerer.MalformedTarget
 }
 
-// changesSince is what has changed since a position that the platform has shown, or all targets.
+// changesSince returns the changes since a position that the platform has returned before, or
+// the full list.
 func (f *fleet) changesSince(options steerer.ReadOptions) steerer.TargetList {
 	list := steerer.TargetList{Position: sequencer.At(f.answerEra(options), f.revision)}
 	previous, known := f.listings[options.Since]
@@ -433,7 +434,7 @@
 		outcome = steerer.ProbeHealthy
 	}
 	if outcome == steerer.ProbeConnectTimeout {
-		took = e.Timeout * 5 / 3 // The host is slow to notice.
+		took = e.Timeout * 5 / 3 // The host notices the timeout late.
 	}
 	f.schedule(took, func() {
 		f.reduce(name, &steerer.ProbeCompleted{Target: e.Target, Incarnation: e.Incarnation, Outcome: outcome, Took: took})
@@ -485,7 +486,7 @@
 	})
 }
 
-// splitZone cuts every link between zones; the platform stays in reach.
+// splitZone cuts all links between a zone and the others; the platform stays reachable.
 func (f *fleet) splitZone(zone string) {
 	for _, x := range f.names {
 		for _, y := range f.names {
@@ -494,12 +495,12 @@
 	}
 }
 
-// caller is one end of a flow.
+// caller is the caller's end of a flow.
 type caller struct {
 	f       *fleet
 	address netip.AddrPort
 	route   netip.AddrPort
-	// target and tag are what the opening packet got.
+	// target and tag are those of the forwarded opening packet.
 	target       string
 	tag          steerer.Tag
 	sequence     uint32
@@ -518,8 +519,8 @@
 	}
 }
 
-// open sends the first opening packet through a host, or a copy of it, and takes
-// the target that it reached.
+// open sends the opening packet through a host, or a retransmission of it if copies is not 0,
+// and records the target that it reached.
 func (c *caller) open(name string, copies uint32) {
 	p := c.packet(steerer.FlagOpen, 0, "open")
 	p.Acknowledged, p.Tag = copies, 0
@@ -556,7 +557,7 @@
 	c.f.reduce(name, &steerer.CallerPacket{Packet: p})
 }
 
-// ackResponse acknowledges an answer.
+// ackResponse acknowledges a response.
 func (c *caller) ackResponse(name string) {
 	c.acknowledged += 500
 	c.establish(name)
@@ -567,7 +568,7 @@
 	c.f.reduce(name, &steerer.CallerPacket{Packet: c.packet(steerer.FlagAck|steerer.FlagEnd, 0, "end")})
 }
 
-// lastTarget is the target that the last packet through a host reached.
+// lastTarget is the target of the last packet forwarded by a host.
 func (f *fleet) lastTarget(name string) string {
 	all := f.hosts[name].sent
 	if len(all) == 0 {
--- a/core/steerer/fuzz_test.go
+++ b/core/steerer/fuzz_test.go
@@ -15,8 +15,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes the seed of the fuzz, so that CI gives the same verdict each
-// run. make fuzz passes another seed.
+// TestMain sets a fixed seed for the fuzz test, so that each CI run gives the same result.
+// make fuzz passes another seed.
 func TestMain(m *testing.M) {
 	seeded := slices.ContainsFunc(os.Args, func(arg string) bool { return strings.Contains(arg, "rapid.seed") })
 	if !seeded {
@@ -27,13 +27,12 @@
 	os.Exit(m.Run())
 }
 
-// Symptom: any broken promise. Sequence: a random mix of kills, pauses, cuts,
-// outages of the platform, drains, crashes, reused addresses, versions and
-// traffic. Cause: unknown until it is found; each failure becomes a test with a
-// name.
+// Guards against any broken guarantee under a random mix of host crashes and pauses,
+// partitions, platform outages, draining, crashing and restarting targets, reused addresses,
+// new versions of the settings and traffic. Each failure found becomes a named test.
 //
-// The oracle keeps the target of each flow, the services that each route was ever
-// allowed to use, and when each target drained. It knows nothing of the hosts.
+// The oracle keeps the target of each flow, the services that each route was ever allowed to
+// use, and when each target began to drain. It has no access to the state of the hosts.
 func TestFleetAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
@@ -68,23 +67,23 @@
 type oracleFlow struct {
 	*caller
 	kind steerer.Kind
-	// stateLost says that the flow's target has started again and does not hold it.
+	// stateLost says that the flow's target has restarted and no longer has the flow.
 	stateLost bool
 }
 
-// model drives a fleet and keeps the oracle.
+// model drives a fleet and keeps the oracle's state.
 type model struct {
 	f            *fleet
 	flows        []*oracleFlow
 	lastCaller   int
 	lastTargetID int
-	// services names what each route was ever allowed to use.
+	// services holds the services that each route was ever allowed to use.
 	services     map[string]string
 	dead         map[string]bool
 	drainedSince map[string]timekeeper.Instant
-	// malformed are targets whose entries were written over.
+	// malformed holds the targets whose entries were replaced by malformed ones.
 	malformed []steerer.Target
-	// lastDisturbance is when something last kept news from a host.
+	// lastDisturbance is when something last kept updates from a host.
 	lastDisturbance timekeeper.Instant
 	versions        map[string]uint64
 	checked         map[string]int
@@ -124,7 +123,7 @@
 	name := m.host(t)
 	c.open(name, 0)
 	if c.target == "" || m.dead[c.target] {
-		return // It does not open; its caller tries anew.
+		return // The flow does not open; its caller retries.
 	}
 	require.Equal(t, route.service, m.serviceOf(c.target), "flow %d", m.lastCaller)
 	if since, ok := m.drainedSince[c.target]; ok {
@@ -149,7 +148,7 @@
 	return rapid.SampledFrom(m.flows).Draw(t, "flow")
 }
 
-// exchange lets some flows ask, and be answered if their targets live.
+// exchange sends requests on some flows, with a response if the target is alive.
 func (m *model) exchange(t *rapid.T) {
 	for range rapid.IntRange(1, 10).Draw(t, "requests") {
 		c := m.flow(t)
@@ -169,8 +168,7 @@
 	m.sendAndCheck(t, name, c.retransmit)
 }
 
-// sendAndCheck sends a packet of a flow and checks that each packet that the host passes on
-// reaches its own target or nobody.
+// sendAndCheck sends a packet of a flow and checks all packets that the host forwards in turn.
 func (m *model) sendAndCheck(t *rapid.T, name string, send func(string)) {
 	before := len(m.f.hosts[name].sent)
 	send(name)
@@ -179,8 +177,8 @@
 	}
 }
 
-// checkSent demands that a packet of an open flow goes to the flow's own target. What
-// one flow's packet sets free may be another's.
+// checkSent requires that a packet of an open flow goes to the flow's own target. A packet of
+// one flow may cause the host to forward queued packets of another.
 func (m *model) checkSent(t *rapid.T, s sentPacket) {
 	at := slices.IndexFunc(m.flows, func(c *oracleFlow) bool { return c.address.String() == s.flow })
 	if at >= 0 {
@@ -201,7 +199,7 @@
 	m.lastDisturbance = m.f.now
 }
 
-// pause lets time pass for everything but a host.
+// pause lets time pass for all but one host.
 func (m *model) pause(t *rapid.T) {
 	h := m.f.hosts[m.host(t)]
 	running := h.running
@@ -239,7 +237,8 @@
 	}
 }
 
-// crash ends a target silently; sometimes its address goes to another service.
+// crash ends a target without notice; sometimes its address goes to a target of another
+// service.
 func (m *model) crash(t *rapid.T) {
 	id := m.target(t)
 	old := m.f.targets[id]
@@ -255,7 +254,7 @@
 	}
 }
 
-// restart lets a target start again under its ID. It holds none of its flows.
+// restart restarts a target under its ID, which loses its flows.
 func (m *model) restart(t *rapid.T) {
 	id := m.target(t)
 	m.f.restart(id)
@@ -265,7 +264,8 @@
 	}
 }
 
-// malformEntry writes another program's entry over a target's own; the target works on.
+// malformEntry replaces a target's entry by a malformed one, as if another program had written
+// it; the target keeps working.
 func (m *model) malformEntry(t *rapid.T) {
 	id := m.target(t)
 	m.malformed = append(m.malformed, m.f.targets[id])
@@ -275,7 +275,7 @@
 	}
 }
 
-// restoreEntries lets the targets whose entries were written over write them again.
+// restoreEntries has the targets with replaced entries write them again.
 func (m *model) restoreEntries(t *rapid.T) {
 	if len(m.malformed) == 0 {
 		t.Skip("no entry is spoilt")
@@ -291,7 +291,7 @@
 	m.f.malformed = nil
 }
 
-// congest lets a host see quick answers, then slow ones, so that feeds wait there.
+// congest has a host observe fast responses, then slow ones, so that reads are queued there.
 func (m *model) congest(t *rapid.T) {
 	name := m.host(t)
 	for n := range 35 {
@@ -329,14 +329,14 @@
 	m.recordDisturbance()
 }
 
-// recordDisturbance remembers that news are still kept from hosts, after time has passed.
+// recordDisturbance records, after time has passed, that updates are still kept from hosts.
 func (m *model) recordDisturbance() {
 	if m.f.down || len(m.f.deniedHosts) > 0 && slices.ContainsFunc(m.f.names, func(name string) bool { return m.f.deniedHosts[name] }) || len(m.f.cutLinks) > 0 {
 		m.lastDisturbance = m.f.now
 	}
 }
 
-// checkInvariants holds what must be true after each step.
+// checkInvariants checks what must hold after each step.
 func (m *model) checkInvariants(t *rapid.T) {
 	for _, name := range m.f.names {
 		h := m.f.hosts[name]
@@ -352,8 +352,8 @@
 	}
 }
 
-// checkReset allows resets of flows that never opened, and of flows that may run
-// again and whose target is gone.
+// checkReset allows resets of flows that never opened, and of retryable flows whose target is
+// gone.
 func (m *model) checkReset(t *rapid.T, name string, reset steerer.ResetFlow) {
 	at := slices.IndexFunc(m.flows, func(c *oracleFlow) bool { return c.address == reset.Caller })
 	if at < 0 {
--- a/core/steerer/large_bench_test.go
+++ b/core/steerer/large_bench_test.go
@@ -21,7 +21,8 @@
 	zones   int
 }
 
-// largeFleets are the fleets of these benchmarks, the larger ones twice as large each.
+// largeFleets are the fleets of these benchmarks; each of the larger ones is twice the size of
+// the one before.
 var largeFleets = []largeFleet{
 	{hosts: 300, targets: 480, zones: 3},
 	{hosts: 300, targets: 3000, zones: 5},
@@ -31,17 +32,17 @@
 
 func (l largeFleet) String() string { return fmt.Sprintf("%dx%d", l.hosts, l.targets) }
 
-// zone names the zone of a host or target.
+// zone returns the zone of the host or target with a number.
 func (l largeFleet) zone(n int) string { return string(rune('a' + n%l.zones)) }
 
 const (
-	// busyTargets is how many targets each host has requests at.
+	// busyTargets is how many targets have requests of a given host in flight.
 	busyTargets = 3
-	// maxFlowsPerTarget is how many flows a target holds.
+	// maxFlowsPerTarget is the connection limit of a target.
 	maxFlowsPerTarget = 2000
 )
 
-// settings are those of two services that hold many flows.
+// settings are those of two services with many flows per target.
 func (l largeFleet) settings() *steerer.Settings {
 	services := []steerer.Service{
 		{Name: "ledger", HealthPath: "/healthz", MaxConnections: maxFlowsPerTarget},
@@ -50,7 +51,7 @@
 	return steerer.NewSettings(1, objectiveRoutes(), services, 15*time.Second)
 }
 
-// list lists the fleet's targets: one in five is of intake, the others are of ledger.
+// list returns the fleet's targets: one in five belongs to intake, the others to ledger.
 func (l largeFleet) list() []steerer.Target {
 	var list []steerer.Target
 	for n := range l.targets {
@@ -65,22 +66,24 @@
 	return list
 }
 
-// largeHost is one host that hears of all others.
+// largeHost is one host that gets reports from all others.
 type largeHost struct {
 	fleet   largeFleet
 	targets []steerer.Target
 	steerer *steerer.Steerer
 	sealer  *encoder.MessageCodec
 	now     timekeeper.Instant
-	// reports are one from each other host, those of the own zone first.
+	// sameZone and crossZone hold one report from each other host of the local zone and of
+	// other zones.
 	sameZone  []*steerer.ReportReceived
 	crossZone []*steerer.ReportReceived
 	callers   int
 	sent      []*steerer.SendReport
-	// syncRequests are the questions to other hosts; asking says that the last is not answered.
+	// syncRequests are the sync requests to other hosts; syncRequestPending says that the last
+	// one has no response yet.
 	syncRequests       []*steerer.SendSyncRequest
 	syncRequestPending bool
-	// reports and changes count what came; revision is that of the last change.
+	// reports and changes count what the host received; revision is that of the last change.
 	reports  int
 	changes  int
 	revision uint64
@@ -103,7 +106,7 @@
 	return h
 }
 
-// addPeer makes the report of another host.
+// addPeer creates the report of another host.
 func (h *largeHost) addPeer(n int) {
 	zone := n % h.fleet.zones
 	name := fmt.Sprintf("%s%d", h.fleet.zone(n), n)
@@ -130,7 +133,7 @@
 	h.perform(h.steerer.Reduce(e))
 }
 
-// tick lets a tick pass, and seals the reports that come of it.
+// tick advances the clock by one tick and collects the reports that the host sends.
 func (h *largeHost) tick() {
 	h.now = h.now.Add(steerer.TickInterval)
 	h.perform(h.steerer.Reduce(&steerer.Tick{At: h.now}))
@@ -152,7 +155,7 @@
 	}
 }
 
-// runFlow is a request that opens a flow, is answered, and ends it.
+// runFlow opens a flow, sends a request on it, acknowledges the response and closes the flow.
 func (h *largeHost) runFlow(f *fleet) {
 	h.callers++
 	c := f.caller(h.callers%50_000, checkRoute)
@@ -176,8 +179,8 @@
 	}
 }
 
-// receiveChanges is a report of a host of the own zone that brings news of some targets: each begins
-// to drain, and the next time it is ready again.
+// receiveChanges receives a report of a host of the local zone with changes of some targets:
+// each begins to drain, and is ready again at its next change.
 func (h *largeHost) receiveChanges(count int) {
 	r := *h.sameZone[h.reports%len(h.sameZone)].Report
 	h.reports++
@@ -195,8 +198,8 @@
 	h.receive(&steerer.ReportReceived{From: h.sameZone[(h.reports-1)%len(h.sameZone)].From, Report: &r})
 }
 
-// runSecond is a second of a host: 20 ticks, 12 reports of the own zone and 4 of others, and as
-// many flows. Each report of the own zone tells of some changes.
+// runSecond simulates a second of a host: 20 ticks, 12 reports of the local zone and 4 of
+// others, and the given number of flows. Each report of the local zone contains some changes.
 func (h *largeHost) runSecond(f *fleet, flows, changes int) {
 	for tick := range 20 {
 		for range flows / 20 {
@@ -212,7 +215,7 @@
 	}
 }
 
-// runIdleSecond lets a second pass in which nothing comes.
+// runIdleSecond simulates a second in which the host receives nothing.
 func (h *largeHost) runIdleSecond() {
 	for range 20 {
 		h.tick()
@@ -232,8 +235,8 @@
 	}
 }
 
-// BenchmarkLargeReport takes in a report of a host of the own zone, or of another, of
-// which some come between two ticks.
+// BenchmarkLargeReport receives a report of a host of the local zone, or of another, some of
+// them between two ticks.
 func BenchmarkLargeReport(b *testing.B) {
 	for _, sameZone := range []bool{true, false} {
 		b.Run(fmt.Sprintf("near=%v", sameZone), func(b *testing.B) {
@@ -255,7 +258,7 @@
 	}
 }
 
-// BenchmarkLargeTick lets ticks pass, of which one in five sends a round of reports.
+// BenchmarkLargeTick runs ticks, one in five of which sends a round of reports.
 func BenchmarkLargeTick(b *testing.B) {
 	eachFleet(b, func(b *testing.B, h *largeHost) {
 		for n := range b.N {
@@ -266,8 +269,8 @@
 	})
 }
 
-// BenchmarkLargeFlow carries requests with a flow of their own, four packets of a caller
-// each, 20 a second.
+// BenchmarkLargeFlow handles requests with a flow of their own, four packets of a caller each,
+// 20 per second.
 func BenchmarkLargeFlow(b *testing.B) {
 	eachFleet(b, func(b *testing.B, h *largeHost) {
 		f := &fleet{}
@@ -282,8 +285,8 @@
 	})
 }
 
-// BenchmarkLargeSecond is a second of a host with 20 flows, quiet or during a release, and
-// the reports that it seals.
+// BenchmarkLargeSecond is a second of a host with 20 flows, idle or during a release,
+// including the encoding of the reports that it sends.
 func BenchmarkLargeSecond(b *testing.B) {
 	for _, changes := range []int{0, 3} {
 		b.Run(fmt.Sprintf("changes=%d", 16*changes), func(b *testing.B) {
--- a/core/steerer/release_test.go
+++ b/core/steerer/release_test.go
@@ -15,15 +15,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// releaseZone and releaseChanges are the size of the fleet of TestReleaseReachesAllHostsInTime,
-// which takes minutes at the size of the largest fleets.
+// releaseZone and releaseChanges are the size of the fleet of
+// TestReleaseReachesAllHostsInTime, which takes minutes at the size of the largest fleets.
 var (
 	releaseZone    = flag.Int("releaseZone", 8, "hosts of each of five zones during a release")
 	releaseChanges = flag.Int("releaseChanges", 60, "targets that change in the second of a release")
 )
 
-// Failure: many targets begin to drain at once, and some hosts go on sending them new flows
-// for longer than they may.
+// Guards against hosts that send new flows to draining targets for longer than allowed when
+// many targets begin to drain at once.
 func TestReleaseReachesAllHostsInTime(t *testing.T) {
 	f := newFleet(t, *releaseZone, *releaseZone, *releaseZone, *releaseZone, *releaseZone)
 	for n := range 10*len(f.names) - len(f.targets) {
@@ -63,14 +63,15 @@
 	return true
 }
 
-// trafficSummary says what each host has sent a second since a moment.
+// trafficSummary describes the average traffic that a host has sent per second since a given
+// time.
 func (f *fleet) trafficSummary(since timekeeper.Instant) string {
 	seconds := f.now.Since(since).Seconds() * float64(len(f.names))
 	return fmt.Sprintf("%.0f B/s of reports, %.0f B/s of answers, %.2f questions a second and host",
 		float64(f.reportBytes)/seconds, float64(f.answerBytes)/seconds, float64(f.syncRequests)/seconds)
 }
 
-// compressedSize is how many bytes a list of targets takes on the way.
+// compressedSize is the size of a list of targets in bytes as sent in a sync response.
 func compressedSize(t tester, targets []messenger.TargetState) int {
 	data, err := encoder.EncodeTargets(targets)
 	require.NoError(t, err)
@@ -82,8 +83,8 @@
 	return buffer.Len()
 }
 
-// Failure: during a release all hosts read the platform themselves, because none learns that
-// it knows all up to the last read.
+// Guards against all hosts reading the platform during a release because none learns that it
+// has all changes up to the latest read.
 func TestReleaseDoesNotMakeAllHostsRead(t *testing.T) {
 	f := newFleet(t, 8, 8, 8, 8, 8)
 	for n := range 400 {
--- a/core/steerer/slots_internal_test.go
+++ b/core/steerer/slots_internal_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fullSlotTotals adds up the slots of all of a service's choices by zone.
+// fullSlotTotals adds up the slots of all selectable targets of a service by zone.
 func fullSlotTotals(s *Steerer, service string) []microSlots {
 	sum := make([]microSlots, len(s.targets.slotTotalsOf(service).byZone))
 	for _, t := range s.targets.byService[service] {
@@ -19,8 +19,8 @@
 	return sum
 }
 
-// Failure: callers are refused though there is room, or let in though there is none, because
-// a sum that is kept up to date has missed a change.
+// Guards against refusing callers although there is capacity, or admitting them although there
+// is none: totals that are updated incrementally must not miss a change.
 func TestSlotTotalsFollowEachChange(t *testing.T) {
 	random := rand.New(rand.NewPCG(2, 2))
 	s := New(Config{Self: "a1", AvailabilityZone: "a"})
@@ -34,8 +34,8 @@
 	}
 }
 
-// Failure: in a large fleet what a host believes of the room costs as much as its targets
-// are many, for each caller.
+// Guards against a cost per caller that grows with the number of targets in a large fleet:
+// refreshing the capacity recounts a limited batch of targets.
 func TestLargeServiceIsRecountedInBatches(t *testing.T) {
 	s := hostWithTargets(12_000)
 	s.updateSlotTotals("ledger")
@@ -47,8 +47,8 @@
 	require.Equal(t, fullSlotTotals(s, "ledger"), sum)
 }
 
-// Failure: targets that turn cold, or warm up, without anything being told of them count as
-// before for good.
+// Guards against outdated contributions: targets that become cold, or warm, through time alone
+// must be recounted, though no report mentions them.
 func TestSlotTotalsFollowWarmUpWithinOneCycle(t *testing.T) {
 	s := hostWithTargets(1_000)
 	for _, one := range s.targets.byService["ledger"] {
@@ -66,7 +66,7 @@
 	require.Equal(t, 2_000*oneSlot, s.targets.slotTotalsOf("ledger").byZone[0])
 }
 
-// hostWithTargets is a host that knows some targets of ledger in one zone.
+// hostWithTargets is a host that knows some targets of the ledger in one zone.
 func hostWithTargets(targets int) *Steerer {
 	s := New(Config{Self: "a1", AvailabilityZone: "a", MaxFlows: 100_000})
 	s.now = s.now.Add(time.Second)
@@ -81,8 +81,8 @@
 	return s
 }
 
-// Failure: a host that places no flows keeps every target that was ever replaced, because
-// nobody counts its slots.
+// Guards against memory that grows with each replaced target: a host that places no flows
+// never recounts slots, and must not keep removed targets for a recount.
 func TestRemovedTargetsAreNotRecounted(t *testing.T) {
 	s := hostWithTargets(10)
 	before := len(s.targets.slotsStale)
--- a/core/steerer/throttling_internal_test.go
+++ b/core/steerer/throttling_internal_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// forwardedFlow is a flow to a service that has been passed on.
+// forwardedFlow is a flow to a service that has been forwarded.
 func forwardedFlow(t *testing.T, s *Steerer, caller, service string) (flowKey, *flow) {
 	key := flowKey{caller: netip.MustParseAddrPort(caller)}
 	f := &flow{target: &target{Target: Target{Service: service}}}
@@ -20,15 +20,15 @@
 	return key, f
 }
 
-// fairShare is what a caller may have of a service that is short of room.
+// fairShare is the fair share of a caller at an overloaded service.
 func fairShare(s *Steerer, key flowKey, service string) float64 {
 	return s.throttler.Check(throttler.Request{Caller: key.caller.Addr(), Service: service, Overloaded: true}, s.now).FairShare
 }
 
-// Symptom: an address weighs for good as much as flows that ended long ago. Sequence: its
-// flow is passed on for a service; before it ends, its target serves another (the target came
-// back under its ID for that, or a copy went there after the route's weights changed). Cause:
-// the end is counted for the service that the flow's target has by then.
+// Guards against a caller whose ended flows count forever: when a flow is forwarded to a
+// service and its target serves another one before it ends (the target came back under its ID
+// for that, or a retransmission of the opening packet went there after the route's weights
+// changed), the end must count for the original service.
 func TestFlowEndIsCountedForItsOriginalService(t *testing.T) {
 	s := New(Config{Self: "a1", AvailabilityZone: "a", MaxFlows: 100})
 	s.now = timekeeper.Instant(time.Second)
--- a/core/steerer/throttling_test.go
+++ b/core/steerer/throttling_test.go
@@ -10,14 +10,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// callerAt is a caller behind an address that many may share.
+// callerAt is a caller with an address that several callers may share, and a port.
 func callerAt(f *fleet, address string, port int, route netip.AddrPort) *caller {
 	c := f.caller(0, route)
 	c.address = netip.AddrPortFrom(netip.MustParseAddr(address), uint16(port))
 	return c
 }
 
-// refusalsByAddress counts the flows that a host refused for a reason, by the caller's address.
+// refusalsByAddress counts the flows that a host refused for a reason, by the caller's
+// address.
 func refusalsByAddress(h *host, reason string) map[string]int {
 	counts := map[string]int{}
 	for _, line := range h.logs {
@@ -35,9 +36,9 @@
 	return counts
 }
 
-// Symptom: when a service is short of room all callers are refused for one. Sequence: the
-// service is pressed; one address opens a flow each 10 ms, each from another port, while
-// feeds of others are refused. Cause: a host that sees requests, and not callers.
+// Guards against refusing all callers of an overloaded service because of one: when the
+// service is congested and one address opens a flow every 10 ms, each from another port, while
+// reads of others are refused, the host has to limit by caller and not only by request.
 func TestHeaviestCallerIsRefusedFirst(t *testing.T) {
 	f, _, _ := hostWithQueuedRead(t)
 	h := f.hosts["a1"]
@@ -47,7 +48,7 @@
 		callerAt(f, "203.0.113.9", 1000+n, checkRoute).open("a1", 0)
 		if n%5 == 0 {
 			callerAt(f, "198.51.100.7", 1000+n, readRoute).open("a1", 0)
-			f.caller(20_000+n/5, checkRoute).open("a1", 0) // It came in calm times, too.
+			f.caller(20_000+n/5, checkRoute).open("a1", 0) // This caller also opens flows under normal load.
 		}
 	}
 	shares := refusalsByAddress(h, "callerShare")
@@ -56,8 +57,8 @@
 	require.Equal(t, uint64(shares["203.0.113.9"]), h.steerer.Snapshot().Counters[steerer.RefusedCallerShare])
 }
 
-// Symptom: a caller is refused for its share on an ordinary day. Sequence: one address
-// opens nine flows of ten, and the service is calm. Cause: shares that count without need.
+// Guards against refusing a caller for its fair share under normal load: when one address
+// opens nine of ten flows and the service is not overloaded, fair shares must not apply.
 func TestSharesApplyOnlyDuringOverload(t *testing.T) {
 	f := newFleet(t, 1)
 	for n := range 200 {
@@ -70,9 +71,9 @@
 	}
 }
 
-// Symptom: callers are refused for their share though their service has room. Sequence: it
-// is calm; a quota refuses the reads, and one address opens nine checks of ten. Cause:
-// refusals taken for a shortage.
+// Guards against refusing callers for their fair share though the service has capacity: when a
+// quota refuses the reads and one address opens nine of ten checks, refusals by the quota must
+// not be taken for overload.
 func TestQuotaRefusalsWithoutOverloadDoNotTriggerShares(t *testing.T) {
 	f := newFleet(t, 1)
 	f.quotas = []throttler.Quota{{Route: "read", PerSecond: 1}}
@@ -88,9 +89,9 @@
 	require.Empty(t, refusalsByAddress(h, "callerShare"))
 }
 
-// Symptom: callers get more than their quota, or others less. Sequence: a quota of 40 a
-// second for a prefix; three hosts in the zone. Cause: hosts that each apply the whole, or
-// apply it to all.
+// Guards against callers that get more than their quota, or others that get less: when a
+// prefix has a quota of 40 requests per second and its zone three hosts, each host applies its
+// part, and to callers of the prefix only.
 func TestQuotaIsDividedAmongTheHostsOfAZone(t *testing.T) {
 	f := newFleet(t, 3)
 	f.quotas = []throttler.Quota{{Prefix: netip.MustParsePrefix("203.0.113.0/24"), PerSecond: 40}}
@@ -115,8 +116,9 @@
 	require.NotEmpty(t, refusalsByAddress(f.hosts["a1"], "callerQuota"))
 }
 
-// Symptom: a quota is no bound for callers with long flows. Sequence: one flow brings all
-// requests. Cause: only new flows count. The open flow itself may not be touched.
+// Guards against a quota that does not limit callers with long flows: when one flow carries
+// all requests, they must count, and not only new flows. The open flow itself must not be
+// reset.
 func TestRequestsOfOpenFlowsCountTowardsQuota(t *testing.T) {
 	f := newFleet(t, 1)
 	f.quotas = []throttler.Quota{{Route: "read", PerSecond: 10}}
@@ -139,9 +141,9 @@
 	require.NotEmpty(t, check.target, "the quota is of another route")
 }
 
-// Symptom: a quota is no bound while a service is pressed. Sequence: the requests of an open
-// flow wait at the host before they are passed on. Cause: only requests that are passed on
-// at once are charged.
+// Guards against a quota without effect while a service is congested: when requests of an open
+// flow are queued at the host before they are forwarded, they must be charged like those
+// forwarded at once.
 func TestQueuedRequestsCountTowardsQuota(t *testing.T) {
 	f := newFleet(t, 1)
 	f.settings = newSettings(2, objectiveRoutes())
@@ -171,9 +173,9 @@
 	require.Empty(t, second.target, "%d requests passed on at once of 10 that may", passed)
 }
 
-// Symptom: a caller is refused for its share though room has been found for all. Sequence:
-// a quota of a route refuses most of its flows while the service is short of room. Cause:
-// what a quota refuses counts as demand that found no room.
+// Guards against refusing a caller for its fair share though all callers found capacity: when
+// the quota of a prefix refuses most of its flows while the service is congested, these must
+// not count as demand that found no capacity.
 func TestQuotaRefusalsAreNotUnmetDemand(t *testing.T) {
 	f := newFleet(t, 1)
 	f.settings = newSettings(2, objectiveRoutes())
@@ -203,9 +205,9 @@
 	require.Empty(t, refusalsByAddress(h, "callerShare"))
 }
 
-// Symptom: a caller is refused for its share though its service has room again. Sequence:
-// one address repeats itself through a shortage; then answers are as quick as usual. Cause:
-// refusals of a moment ago taken for a shortage.
+// Guards against refusing a caller for its fair share although the service has capacity again:
+// when one address keeps opening flows through an overload and responses are then as fast as
+// the baseline, earlier refusals must not be taken for overload.
 func TestSharesEndWithOverload(t *testing.T) {
 	f, _, checks := hostWithQueuedRead(t)
 	h := f.hosts["a1"]
--- a/core/steerer/trials_test.go
+++ b/core/steerer/trials_test.go
@@ -8,12 +8,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// trialCount counts the flows that a host has sent to slow targets to learn of them.
+// trialCount is the number of flows that a host has sent to slow targets as trials.
 func trialCount(f *fleet, name string) int {
 	return int(f.hosts[name].steerer.Snapshot().Counters[steerer.TrialFlow])
 }
 
-// openAndCountReached opens flows of a route one after another and counts those that reach a target.
+// openAndCountReached opens flows of a route one after another and counts those that reach a
+// target.
 func openAndCountReached(f *fleet, name, target string, from, count int) int {
 	reached := 0
 	for n := range count {
@@ -29,8 +30,8 @@
 	return reached
 }
 
-// Symptom: a target that has recovered gets nothing while its siblings are idle. Sequence:
-// it was slow, and has no open flows. Cause: no trials.
+// Guards against a recovered target that gets no flows while others are busy: when a target
+// was slow and has no open flows, it must get trials.
 func TestSlowTargetGetsTrials(t *testing.T) {
 	f := newFleet(t, 1)
 	learnBaseline(f, "a1")
@@ -39,9 +40,9 @@
 	require.NotZero(t, trialCount(f, "a1"))
 }
 
-// Symptom: flows are refused for overload though quick targets idle. Sequence: a service is
-// pressed, requests wait at this host, and a slow target is due for a trial. Cause: a trial
-// goes to a target for which requests wait.
+// Guards against refusing flows for overload while fast targets are idle: when a service is
+// congested, requests are queued at this host and a slow target is due for a trial, the trial
+// must not go to a target for which requests are queued.
 func TestNoTrialsWhileRequestsAreQueued(t *testing.T) {
 	f := newFleet(t, 1)
 	f.settings = newSettings(2, objectiveRoutes())
@@ -87,8 +88,9 @@
 	require.NotZero(t, trialCount(f, "a1"), "while nothing waits")
 }
 
-// requireNoTrials demands that a slow target gets no trial, under a condition that came after it
-// was found slow, and gets some without it. Trials go by chance, so there are some rounds.
+// requireNoTrials requires that a slow target gets no trial under a condition that begins
+// after it was found slow, and gets some without the condition. Trials are random, so there
+// are several rounds.
 func requireNoTrials(t *testing.T, change func(f *fleet, flows []*caller)) {
 	t.Helper()
 	tried := func(change func(f *fleet, flows []*caller)) int {
@@ -130,20 +132,20 @@
 	require.Zero(t, tried(change))
 }
 
-// Symptom: a flow opens at a target that is about to end. Sequence: a slow target drains
-// and is due for a trial. Cause: trials that look at speed alone.
+// Guards against a flow that opens at a target about to shut down: when a slow target drains
+// and is due for a trial, its speed alone must not decide.
 func TestDrainingTargetGetsNoTrial(t *testing.T) {
 	requireNoTrials(t, func(f *fleet, _ []*caller) { f.drain(failingTarget) })
 }
 
-// Symptom: flows go to a zone that is being emptied. Sequence: the zone of a slow target is
-// evacuated. Cause: as above.
+// Guards against flows to a zone under evacuation: when the zone of a slow target is evacuated
+// and the target is due for a trial, its speed alone must not decide.
 func TestTargetOfAnEvacuatedZoneGetsNoTrial(t *testing.T) {
 	requireNoTrials(t, func(f *fleet, _ []*caller) { f.evacuate(f.targetZone(failingTarget)) })
 }
 
-// Symptom: data leaves its region. Sequence: a route may run in another region only; a
-// target near by is slow. Cause: as above.
+// Guards against data that leaves its region: when a route may run only in another region and
+// a slow target of the local zone is due for a trial, its speed alone must not decide.
 func TestTargetOfAnotherRegionGetsNoTrial(t *testing.T) {
 	requireNoTrials(t, func(f *fleet, _ []*caller) {
 		all := routes()
@@ -152,8 +154,8 @@
 	})
 }
 
-// Symptom: callers queue at a target that is slow. Sequence: all of its slots have requests
-// under way. Cause: as above.
+// Guards against callers that queue at a slow target: when all of its slots have requests in
+// flight and it is due for a trial, its speed alone must not decide.
 func TestBusyTargetGetsNoTrial(t *testing.T) {
 	requireNoTrials(t, func(_ *fleet, flows []*caller) {
 		for _, c := range flows {
