--- a/core/steerer/admission.go
+++ b/core/steerer/admission.go
@@ -39,9 +39,9 @@
 
 // admissionDecision decides whether to refuse a new flow.
 //
-// Without this, callers wait for responses that come too late, and take capacity from requests
-// that could be served in time. Nothing has run yet, so a refused caller is told at once. A
-// host without reports from peers decides by its own queue.
+// If all flows were admitted, callers would wait for responses that come too late, and take
+// capacity from requests that could be served in time. Nothing has run yet, so a refused
+// caller is notified at once. A host without reports from peers decides by its own queue.
 //
 // Requests that must not run twice are never queued at a host, and are therefore admitted
 // before others of their priority. If no capacity is left for their priority, they are refused
--- a/core/steerer/capacity.go
+++ b/core/steerer/capacity.go
@@ -28,7 +28,7 @@
 	// a response time that is not processing.
 	handshakeTime medianEstimator
 	// processingTimes holds the median processing time by route. The samples include the
-	// queueing of times without overload, so that their median is close to the mean of the
+	// queueing that occurs under normal load, so that their median is close to the mean of the
 	// processing alone.
 	//
 	// Steerer.baselines learns from the same responses and differs: it holds the full time
@@ -53,7 +53,7 @@
 // to open.
 //
 // A route without enough samples counts like the service's other requests. If it counted as 0,
-// its callers would take capacity that higher priorities are promised.
+// its callers would take capacity that is reserved for higher priorities.
 func (s *Steerer) processingTime(route Route, v *service) time.Duration {
 	w, ok := v.room.processingTimes[route.Name]
 	switch {
@@ -190,7 +190,7 @@
 }
 
 // zoneSilent reports whether another zone has hosts of which none has reported recently: its
-// demand is not known, and its targets may be unreachable.
+// demand is not known, and its targets may be out of reach.
 func (r *peerVisibility) zoneSilent(zone string) bool {
 	return r.knownZones[zone] && !r.recentZones[zone]
 }
--- a/core/steerer/fuzz_test.go
+++ b/core/steerer/fuzz_test.go
@@ -352,8 +352,8 @@
 	}
 }
 
-// checkReset allows resets of flows that never opened, and of retryable flows whose target is
-// gone.
+// checkReset allows resets of flows that never opened, and of retryable flows whose target has
+// crashed or restarted.
 func (m *model) checkReset(t *rapid.T, name string, reset steerer.ResetFlow) {
 	at := slices.IndexFunc(m.flows, func(c *oracleFlow) bool { return c.address == reset.Caller })
 	if at < 0 {
