--- a/core/steerer/throttling.go
+++ b/core/steerer/throttling.go
@@ -23,7 +23,7 @@
 //
 // Without this, a single caller that repeats requests without pause takes the capacity of all
 // others, since the most active caller gets the most. Nothing has run yet, so the caller is
-// told at once.
+// notified at once.
 //
 // Quotas are checked first: what they refuse must not count as demand for the service, or
 // others would seem to be refused for lack of capacity, and fair shares would shrink.
