--- a/scripts/red.sh
+++ b/scripts/red.sh
@@ -465,7 +465,7 @@
 without "tags that pass on" steerer/targetlist.go '	s.targets.handOverTag(t)
 ' '' TestTagOfMissingTargetIsReassigned
 without "zones that have fallen silent" steerer/peers.go '|| lost[p.zone] {' '|| (false && lost[p.zone]) {' TestHostsOfLostZoneDoNotCountForRank
-without "doubt of answers of an earlier release" steerer/peersync.go '		return // Something may be missing; a later read tells.' '		s.targetsPosition = position' TestSyncResponseWithoutScopeIsNotTreatedAsComplete
+without "doubt of answers of an earlier release" steerer/peersync.go '		return // The response may be incomplete; a later read fills the gap.' '		s.targetsPosition = position' TestSyncResponseWithoutScopeIsNotTreatedAsComplete
 without "the end of counts of forgotten targets" steerer/target_table.go 'if gone.slotsStale {' 'if false {' TestRemovedTargetsAreNotRecounted
 
 wait
