--- a/balancer/internal/exchanger/exchanger.go
+++ b/balancer/internal/exchanger/exchanger.go
@@ -202,9 +202,9 @@
 	go func() {
 		defer x.outgoing.Done()
 		event := &steerer.SyncResponseReceived{From: request.Host}
-		event.Knowledge, event.Err = x.roundTrip(ctx, &request)
-		if event.Err == nil && len(event.Knowledge.CompressedSettings) > 0 {
-			event.Document, event.Settings, event.Err = x.decodeDocument(event.Knowledge.CompressedSettings)
+		event.Response, event.Err = x.roundTrip(ctx, &request)
+		if event.Err == nil && len(event.Response.CompressedSettings) > 0 {
+			event.Document, event.Settings, event.Err = x.decodeDocument(event.Response.CompressedSettings)
 		}
 		select {
 		case x.events <- event:
--- a/balancer/internal/exchanger/exchanger_test.go
+++ b/balancer/internal/exchanger/exchanger_test.go
@@ -64,9 +64,9 @@
 		return &messenger.SyncResponse{SettingsRevision: 12, CompressedSettings: make([]byte, 12), TargetsRevision: 9, Targets: makeTargets(3800)}, nil
 	})
 	require.NoError(t, event.Err)
-	require.Equal(t, all, event.Knowledge.Targets)
+	require.Equal(t, all, event.Response.Targets)
 	require.Equal(t, uint64(12), event.Settings.Version)
-	require.Less(t, len(event.Knowledge.CompressedTargets), 60_000, "of some 350,000")
+	require.Less(t, len(event.Response.CompressedTargets), 60_000, "of some 350,000")
 }
 
 // Symptom: a host waits for ever for what it lacks. Sequence: the other takes the
--- a/core/steerer/admission.go
+++ b/core/steerer/admission.go
@@ -50,14 +50,14 @@
 func (s *Steerer) admissionDecision(route Route, service string, to *target) refusal {
 	v := s.service(service)
 	s.refreshCapacity(v)
-	a := v.room.admitter
+	a := v.capacity.admitter
 	a.RecordNewFlowRequest(route.Priority, s.processingTime(route, v), s.now)
 	fits := a.HasPeerReports() && a.AdmitRatio(route.Priority) >= 1
-	nothingLeft := a.HasPeerReports() && a.AdmitRatio(route.Priority) <= 0
+	noCapacityLeft := a.HasPeerReports() && a.AdmitRatio(route.Priority) <= 0
 	switch {
-	case nothingLeft && a.MayShutOut():
+	case noCapacityLeft && a.MayShutOut():
 		return refusedNoCapacity // Higher priorities need the full capacity.
-	case !route.Kind.retryable() && !nothingLeft:
+	case !route.Kind.retryable() && !noCapacityLeft:
 		if a.HasPeerReports() && a.Congested() && !a.Admit(route.Priority) {
 			return refusedNoCapacity
 		}
@@ -90,9 +90,9 @@
 // slots.
 func (s *Steerer) queuedAtComparableTargets(v *service, to *target) int {
 	waiting := 0
-	most := slowerFactor * s.slowdown(to)
+	maxSlowdown := slowerFactor * s.slowdown(to)
 	for _, t := range v.queuingTargets {
-		if s.slowdown(t) <= most {
+		if s.slowdown(t) <= maxSlowdown {
 			waiting += t.queue.Len()
 		}
 	}
@@ -103,13 +103,13 @@
 // to the decision.
 func (s *Steerer) refuseForCapacity(p *Packet, route Route, service string, why refusal) {
 	v := s.service(service)
-	a := v.room.admitter
+	a := v.capacity.admitter
 	if why == refusedOverload {
-		s.counts.add(RefusedOverload)
-		s.refuseFlow(p, "overload", field("route", route.Name), field("service", service), field("waiting", formatInt(v.paced)))
+		s.counters.add(RefusedOverload)
+		s.refuseFlow(p, "overload", field("route", route.Name), field("service", service), field("waiting", formatInt(v.queued)))
 		return
 	}
-	s.counts.add(RefusedNoCapacity)
+	s.counters.add(RefusedNoCapacity)
 	s.refuseFlow(p, "noRoom", field("route", route.Name), field("service", service), field("priority", formatInt(route.Priority)),
 		field("zone", s.config.AvailabilityZone), field("room", formatSlots(a.Capacity())), field("demand", formatSlots(a.Demand().Total())),
 		field("share", fmt.Sprintf("%.2f", a.AdmitRatio(route.Priority))), field("demandAgeMillis", formatMillis(a.OldestReportAge(s.now))))
@@ -130,6 +130,6 @@
 	if !f.route.Kind.retryable() {
 		priority = 0 // It can't be queued at this host either.
 	}
-	v.room.admitter.RecordOpenFlowRequest(priority, s.processingTime(f.route, v), s.now)
+	v.capacity.admitter.RecordOpenFlowRequest(priority, s.processingTime(f.route, v), s.now)
 	s.refreshCapacity(v)
 }
--- a/core/steerer/admission_test.go
+++ b/core/steerer/admission_test.go
@@ -15,8 +15,8 @@
 
 // ledgerDemand is reported demand for the ledger, by encoded priority in thousandths of a
 // slot.
-func ledgerDemand(asked ...messenger.PriorityDemand) []messenger.ServiceDemand {
-	return []messenger.ServiceDemand{{Service: "ledger", ByPriority: asked}}
+func ledgerDemand(entries ...messenger.PriorityDemand) []messenger.ServiceDemand {
+	return []messenger.ServiceDemand{{Service: "ledger", ByPriority: entries}}
 }
 
 // urgentOverload is demand that leaves no capacity for new flows of priority 2: new flows of
@@ -180,8 +180,8 @@
 	}
 	congest(f, 21_000)
 	delayResponses(f, 22_000)
-	crowd := ledgerDemand(messenger.PriorityDemand{Priority: 1, MilliSlots: 40_000})
-	deliverReport(f, "a2", &messenger.Report{AvailabilityZone: "a", Demands: crowd})
+	demand := ledgerDemand(messenger.PriorityDemand{Priority: 1, MilliSlots: 40_000})
+	deliverReport(f, "a2", &messenger.Report{AvailabilityZone: "a", Demands: demand})
 	require.Equal(t, 1, f.hosts["a1"].steerer.Snapshot().Overloaded)
 	require.False(t, opens(f.caller(1, checkRoute)))
 	require.Contains(t, lastRefusal(f), "reason=noRoom")
@@ -219,7 +219,7 @@
 	for range 4 {
 		requestAll(f, "a1", slow, 2*time.Second)
 	}
-	require.Greater(t, statusOf(f, "a1", failingTarget).Slowness, 1.5*statusOf(f, "a1", "i-10000002").Slowness)
+	require.Greater(t, statusOf(f, "a1", failingTarget).Slowdown, 1.5*statusOf(f, "a1", "i-10000002").Slowdown)
 	require.Equal(t, 1, f.hosts["a1"].steerer.Snapshot().Congested)
 	for _, one := range slow {
 		one.sendRequest("a1") // They fill the host's window of requests in flight.
@@ -244,8 +244,8 @@
 			f.step(25 * time.Millisecond)
 		}
 	}
-	asked := 20 / 0.025 * 0.1 // Slots: requests per second times processing time.
-	require.InDelta(t, asked, f.hosts["a1"].steerer.Snapshot().Demand, 0.3*asked)
+	expected := 20 / 0.025 * 0.1 // Slots: requests per second times processing time.
+	require.InDelta(t, expected, f.hosts["a1"].steerer.Snapshot().Demand, 0.3*expected)
 }
 
 // Guards against the only host of a zone admitting all flows while hosts of other zones
--- a/core/steerer/bench_test.go
+++ b/core/steerer/bench_test.go
@@ -68,7 +68,7 @@
 
 // A flow in the flow table takes less memory than the daemon's memory budget assumes.
 func TestFlowsTakeLittleMemory(t *testing.T) {
-	const flows, most = 50_000, 512
+	const flows, maxBytesPerFlow = 50_000, 512
 	s := loneHost(150, flows)
 	f := &fleet{}
 	var before, after runtime.MemStats
@@ -83,7 +83,7 @@
 	runtime.ReadMemStats(&after)
 	each := int(after.HeapAlloc-before.HeapAlloc) / s.Snapshot().Flows
 	t.Logf("%d bytes a flow", each)
-	require.Less(t, each, most)
+	require.Less(t, each, maxBytesPerFlow)
 }
 
 // largestZone is the number of hosts in each of seven zones of the largest fleet that is
@@ -116,7 +116,7 @@
 	}
 }
 
-func sealedSize(t tester, e *steerer.SendReport) int {
+func encodedSize(t tester, e *steerer.SendReport) int {
 	data, err := encoder.New("a1", nil).Encode(e.Host, e.Report)
 	require.NoError(t, err)
 	return len(data)
--- a/core/steerer/capacity.go
+++ b/core/steerer/capacity.go
@@ -44,7 +44,7 @@
 // recordHandshakeTime records how long a flow took to open.
 func (s *Steerer) recordHandshakeTime(f *flow) {
 	if !f.openingResent {
-		s.service(f.target.Service).room.handshakeTime.add(s.now.Since(f.openingSentAt), false)
+		s.service(f.target.Service).capacity.handshakeTime.add(s.now.Since(f.openingSentAt), false)
 	}
 }
 
@@ -55,12 +55,12 @@
 // A route without enough samples counts like the service's other requests. If it counted as 0,
 // its callers would take capacity that is reserved for higher priorities.
 func (s *Steerer) processingTime(route Route, v *service) time.Duration {
-	w, ok := v.room.processingTimes[route.Name]
+	w, ok := v.capacity.processingTimes[route.Name]
 	switch {
 	case ok && w.known() && route.LatencyObjective > w.median:
 		return w.median
-	case v.room.overallProcessingTime.known():
-		return v.room.overallProcessingTime.median
+	case v.capacity.overallProcessingTime.known():
+		return v.capacity.overallProcessingTime.median
 	}
 	return 0
 }
@@ -73,20 +73,20 @@
 		return
 	}
 	v := s.service(f.target.Service)
-	a := v.room.admitter
+	a := v.capacity.admitter
 	if !u.implausiblyFast(took) {
-		v.room.recordProcessingTime(&f.route, took)
+		v.capacity.recordProcessingTime(&f.route, took)
 	}
-	spare := f.route.LatencyObjective - u.median
+	slack := f.route.LatencyObjective - u.median
 	switch {
 	case !u.known():
-	case spare <= 0:
+	case slack <= 0:
 	case u.implausiblyFast(took):
 		if a.Overloaded() {
 			a.RecordWait(1) // A full target has refused the request.
 		}
 	default:
-		a.RecordWait(float64(took-u.median) / float64(spare))
+		a.RecordWait(float64(took-u.median) / float64(slack))
 	}
 }
 
@@ -109,7 +109,7 @@
 // forgetProcessingTimes drops the processing times of routes that are not in the settings.
 func (s *Steerer) forgetProcessingTimes(settings *Settings) {
 	for _, v := range s.services {
-		maps.DeleteFunc(v.room.processingTimes, func(name string, _ *medianEstimator) bool {
+		maps.DeleteFunc(v.capacity.processingTimes, func(name string, _ *medianEstimator) bool {
 			_, listed := settings.routeByName(name)
 			return !listed
 		})
@@ -118,29 +118,29 @@
 
 // refreshCapacity recomputes the view of a service's capacity if it is due.
 func (s *Steerer) refreshCapacity(v *service) {
-	if !v.room.refreshDeadline.Passed(s.now) {
+	if !v.capacity.refreshDeadline.Passed(s.now) {
 		return
 	}
-	v.room.refreshDeadline = s.now.Add(capacityRefreshInterval)
-	a := v.room.admitter
-	reach := s.currentVisibility()
-	view := admitter.ServiceState{Capacity: s.reachableCapacity(v.name), ZoneHosts: 1 + reach.livePeers, HasPeerReports: reach.connected()}
-	if !a.Assess(s.now, view) {
+	v.capacity.refreshDeadline = s.now.Add(capacityRefreshInterval)
+	a := v.capacity.admitter
+	visibility := s.currentVisibility()
+	state := admitter.ServiceState{Capacity: s.reachableCapacity(v.name), ZoneHosts: 1 + visibility.livePeers, HasPeerReports: visibility.connected()}
+	if !a.Assess(s.now, state) {
 		return
 	}
 	event := "serviceFits"
 	if a.Overloaded() {
 		event = "serviceShort"
 	}
-	s.log(event, field("service", v.name), field("room", formatSlots(a.Capacity())), field("slots", formatSlots(view.Capacity)),
-		field("demand", formatSlots(a.Demand().Total())), field("wait", fmt.Sprintf("%.2f", a.MeanWait())), field("zoneHosts", formatInt(view.ZoneHosts)))
+	s.log(event, field("service", v.name), field("room", formatSlots(a.Capacity())), field("slots", formatSlots(state.Capacity)),
+		field("demand", formatSlots(a.Demand().Total())), field("wait", fmt.Sprintf("%.2f", a.MeanWait())), field("zoneHosts", formatInt(state.ZoneHosts)))
 }
 
-// capacityTick refreshes the capacity of services that may become overloaded. That of the
+// refreshCapacities refreshes the capacity of services that may become overloaded. That of the
 // others is refreshed by requests and reports.
-func (s *Steerer) capacityTick() {
+func (s *Steerer) refreshCapacities() {
 	for _, name := range s.sortedServices() {
-		if v := s.services[name]; v.room.admitter.ShouldReport() || v.room.admitter.Overloaded() {
+		if v := s.services[name]; v.capacity.admitter.ShouldReport() || v.capacity.admitter.Overloaded() {
 			s.refreshCapacity(v)
 		}
 	}
@@ -160,16 +160,16 @@
 // reachableCapacity is the capacity of a service's targets that this host considers alive, in
 // slots of baseline speed.
 func (s *Steerer) reachableCapacity(service string) float64 {
-	var room microSlots
+	var capacity microSlots
 	views := s.evaluateZones(&placement{service: service})
-	reach := s.currentVisibility()
+	visibility := s.currentVisibility()
 	for zone, slots := range s.updateSlotTotals(service).byZone {
 		view := &views[zone]
-		if !view.evacuated && !view.suspect && !reach.zoneSilent(s.targets.zones[zone]) {
-			room += slots
+		if !view.evacuated && !view.suspect && !visibility.zoneSilent(s.targets.zones[zone]) {
+			capacity += slots
 		}
 	}
-	return float64(room) / float64(oneSlot)
+	return float64(capacity) / float64(oneSlot)
 }
 
 // peerVisibility is which hosts and zones have sent reports, as of some time before deadline.
@@ -206,24 +206,24 @@
 // currentVisibility returns which hosts and zones have sent reports, and recomputes it if it
 // is due.
 func (s *Steerer) currentVisibility() *peerVisibility {
-	r := &s.reach
+	r := &s.visibility
 	if !r.deadline.Passed(s.now) {
 		return r
 	}
-	own := s.config.AvailabilityZone
+	localZone := s.config.AvailabilityZone
 	*r = peerVisibility{deadline: s.now.Add(capacityRefreshInterval), knownZones: map[string]bool{}, recentZones: map[string]bool{}}
-	r.zoneHasPeers = len(s.peers.zones.hosts(own)) > 0
+	r.zoneHasPeers = len(s.peers.zones.hosts(localZone)) > 0
 	r.livePeers = s.countAlive().sameZone
 	for _, p := range s.peers.recent {
-		r.peerHeard = r.peerHeard || (p.zone == own && p.reportedRecently(s.now))
+		r.peerHeard = r.peerHeard || (p.zone == localZone && p.reportedRecently(s.now))
 	}
-	for zone, heard := range s.peers.zones.lastReport {
-		silent := s.now.Since(heard)
-		if zone == own || silent > peerRetention {
+	for zone, lastReport := range s.peers.zones.lastReport {
+		sinceReport := s.now.Since(lastReport)
+		if zone == localZone || sinceReport > peerRetention {
 			continue
 		}
 		r.knownZones[zone] = true
-		if silent < zoneReportTTL {
+		if sinceReport < zoneReportTTL {
 			r.recentZones[zone] = true
 		}
 	}
@@ -234,14 +234,14 @@
 func (s *Steerer) addCapacity(snapshot *Snapshot) {
 	highestLoad := 0.0
 	for _, v := range s.services {
-		a := v.room.admitter
+		a := v.capacity.admitter
 		if a.Overloaded() {
 			snapshot.Overloaded++
 		}
-		demand, room := a.Demand().Total(), a.Capacity()
-		if demand > highestLoad*room {
-			highestLoad = demand / max(room, 1)
-			snapshot.Demand, snapshot.Capacity = demand, room
+		demand, capacity := a.Demand().Total(), a.Capacity()
+		if demand > highestLoad*capacity {
+			highestLoad = demand / max(capacity, 1)
+			snapshot.Demand, snapshot.Capacity = demand, capacity
 		}
 	}
 }
--- a/core/steerer/capacity_internal_test.go
+++ b/core/steerer/capacity_internal_test.go
@@ -15,9 +15,9 @@
 	for n := range 100 {
 		route := Route{Name: fmt.Sprintf("r%d", n), LatencyObjective: time.Second}
 		s.applySettings(NewSettings(uint64(n+1), []Route{route}, []Service{{Name: "ledger"}}, 15*time.Second), nil, "platform")
-		s.service("ledger").room.recordProcessingTime(&route, 50*time.Millisecond)
+		s.service("ledger").capacity.recordProcessingTime(&route, 50*time.Millisecond)
 	}
-	require.Len(t, s.services["ledger"].room.processingTimes, 1)
+	require.Len(t, s.services["ledger"].capacity.processingTimes, 1)
 	s.applySettings(NewSettings(200, nil, []Service{{Name: "ledger"}}, 15*time.Second), nil, "platform")
-	require.Empty(t, s.services["ledger"].room.processingTimes)
+	require.Empty(t, s.services["ledger"].capacity.processingTimes)
 }
--- a/core/steerer/changes.go
+++ b/core/steerer/changes.go
@@ -47,7 +47,7 @@
 
 // insert places a change behind those that have been sent as often.
 func (c *pendingChanges) insert(entry pendingChange) {
-	index, _ := slices.BinarySearchFunc(*c, entry.timesSent+1, func(other pendingChange, told int) int { return other.timesSent - told })
+	index, _ := slices.BinarySearchFunc(*c, entry.timesSent+1, func(other pendingChange, timesSent int) int { return other.timesSent - timesSent })
 	*c = slices.Insert(*c, index, entry)
 }
 
--- a/core/steerer/cold.go
+++ b/core/steerer/cold.go
@@ -12,8 +12,8 @@
 	if !t.warmUpDeadline.Passed(s.now) {
 		return true
 	}
-	lifted, ok := s.evacuator.EndedAt(t.AvailabilityZone)
-	return ok && !lifted.Add(s.settings.service(t.Service).WarmUp).Passed(s.now)
+	endedAt, ok := s.evacuator.EndedAt(t.AvailabilityZone)
+	return ok && !endedAt.Add(s.settings.service(t.Service).WarmUp).Passed(s.now)
 }
 
 // coldFlowLimit is the rate limit for new flows to a cold target of a service.
@@ -32,11 +32,11 @@
 	if !s.isCold(t) {
 		return true
 	}
-	bound := s.coldFlowLimit(t.Service)
-	if !bound.Limited() {
+	limit := s.coldFlowLimit(t.Service)
+	if !limit.Limited() {
 		return true
 	}
-	return !s.leaving.started && t.AvailabilityZone == s.config.AvailabilityZone && s.warmer.Admits(t.ID, bound, s.now)
+	return !s.shutdown.started && t.AvailabilityZone == s.config.AvailabilityZone && s.warmer.Admits(t.ID, limit, s.now)
 }
 
 // recordColdFlow records that a new flow goes to a target, if the target is cold.
@@ -49,10 +49,10 @@
 // updateWarmerHosts passes the other hosts of the local zone that are not shutting down to the
 // warmer.
 func (s *Steerer) updateWarmerHosts() {
-	if s.peers.zoneEpoch == s.peers.zones.generation {
+	if s.peers.warmerGeneration == s.peers.zones.generation {
 		return
 	}
-	s.peers.zoneEpoch = s.peers.zones.generation
+	s.peers.warmerGeneration = s.peers.zones.generation
 	var others []string
 	for _, p := range s.peers.zones.hosts(s.config.AvailabilityZone) {
 		if !p.shuttingDown {
--- a/core/steerer/connection_limits.go
+++ b/core/steerer/connection_limits.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// constrainedShare is the fraction of its connection limit above which a service is
+	// constrainedFraction is the fraction of its connection limit above which a service is
 	// constrained: its flows are counted and balanced. Random placement alone never fills a
 	// target while the other targets of its service are two thirds empty.
-	constrainedShare = 1.0 / 3
-	// unconstrainedShare is the fraction below which a service is no longer constrained.
-	unconstrainedShare = 1.0 / 4
+	constrainedFraction = 1.0 / 3
+	// unconstrainedFraction is the fraction below which a service is no longer constrained.
+	unconstrainedFraction = 1.0 / 4
 	// connectionCheckInterval is the interval between checks of which services are
 	// constrained.
 	connectionCheckInterval = reportInterval
 	// unconstrainedMargin times this host's share of the flows has to be below
-	// unconstrainedShare for the targets of a service not to be scanned. The margin allows
+	// unconstrainedFraction for the targets of a service not to be scanned. The margin allows
 	// for the flow counts that are rounded up at each target.
 	unconstrainedMargin = 2
 	// growthChecks is the number of checks over which unreported flows of other hosts are
@@ -108,11 +108,11 @@
 	if t.AvailabilityZone == s.config.AvailabilityZone {
 		return v.localUnreported
 	}
-	away := s.connections.remoteZoneFlows[zoneService{t.AvailabilityZone, v.name}]
-	if away.deadline.Passed(s.now) {
+	remote := s.connections.remoteZoneFlows[zoneService{t.AvailabilityZone, v.name}]
+	if remote.deadline.Passed(s.now) {
 		return limiter.UnreportedEstimate{}
 	}
-	return limiter.UnreportedEstimate{Min: away.mean}
+	return limiter.UnreportedEstimate{Min: remote.mean}
 }
 
 // connectionConstraint is how the connection limit of a service restricts a placement.
@@ -191,21 +191,21 @@
 	if service.MaxConnections <= 0 {
 		return // sweepConnectionState removes its state.
 	}
-	known := s.connections.constrained[service.Name]
+	previous := s.connections.constrained[service.Name]
 	v := constrainedService{name: service.Name, limit: service.MaxConnections}
 	s.classifyRoutes(&v)
-	if known == nil && s.clearlyUnconstrained(service) {
+	if previous == nil && s.clearlyUnconstrained(service) {
 		return
 	}
-	s.estimateLocalUnreported(&v, known)
-	own, localFlows, localCapacity := 0, 0, 0
+	s.estimateLocalUnreported(&v, previous)
+	local, localFlows, localCapacity := 0, 0, 0
 	for _, t := range s.targets.candidates(service.Name) {
 		if s.excludedAsMissing(t) {
 			continue
 		}
 		b := s.estimateFlows(t, &v)
 		flows := b.Total()
-		own += b.Local
+		local += b.Local
 		v.flows += flows
 		v.capacity += v.limit
 		if t.AvailabilityZone == s.config.AvailabilityZone {
@@ -215,15 +215,15 @@
 	}
 	// Callers are spread evenly over the hosts, so each host has about as many flows as
 	// this one.
-	v.flows = max(v.flows, own*(1+s.alivePeers()))
+	v.flows = max(v.flows, local*(1+s.alivePeers()))
 	v.localMeanFlows = localFlows * v.limit / max(localCapacity, 1)
-	threshold := constrainedShare
-	if known != nil {
-		threshold = unconstrainedShare
+	threshold := constrainedFraction
+	if previous != nil {
+		threshold = unconstrainedFraction
 	}
-	tight := float64(v.flows) > threshold*float64(v.capacity) || float64(localFlows) > threshold*float64(localCapacity)
-	s.setConstrained(&v, tight, known != nil)
-	if tight {
+	constrained := float64(v.flows) > threshold*float64(v.capacity) || float64(localFlows) > threshold*float64(localCapacity)
+	s.setConstrained(&v, constrained, previous != nil)
+	if constrained {
 		s.updateFullTargets(&v)
 	}
 }
@@ -239,13 +239,13 @@
 	if s.connections.limiter.HasReports() || len(s.connections.remoteZoneFlows) > 0 {
 		return false
 	}
-	own := 0
-	for _, use := range s.connections.routeUsage[service.Name] {
-		own += use.openFlows
+	local := 0
+	for _, usage := range s.connections.routeUsage[service.Name] {
+		local += usage.openFlows
 	}
 	all, sameZone := len(s.targets.byService[service.Name]), len(s.targets.localCandidates(service.Name))
 	unconstrained := func(hosts, targets int) bool {
-		return float64(unconstrainedMargin*own*hosts) <= unconstrainedShare*float64(targets*service.MaxConnections)
+		return float64(unconstrainedMargin*local*hosts) <= unconstrainedFraction*float64(targets*service.MaxConnections)
 	}
 	return unconstrained(1+s.alivePeers(), all) && unconstrained(s.aliveInZone(), sameZone)
 }
@@ -254,13 +254,13 @@
 // reports. before is the state at the last check; nil if the service was not constrained
 // then.
 func (s *Steerer) estimateLocalUnreported(v, before *constrainedService) {
-	own, reported, net, targets, reporters := 0, 0, 0, 0, 0
+	local, reported, net, targets, reporters := 0, 0, 0, 0, 0
 	for _, t := range s.targets.candidates(v.name) {
 		if t.AvailabilityZone != s.config.AvailabilityZone || s.excludedAsMissing(t) {
 			continue
 		}
 		one := s.connections.limiter.Target(uint32(t.tag))
-		own += one.Local()
+		local += one.Local()
 		reported += one.Reported()
 		net += one.NetOpened()
 		reporters += s.connections.limiter.Reporters(one)
@@ -271,21 +271,21 @@
 	}
 	v.localNetHistory = append(slices.Clone(v.localNetHistory), net)
 	v.localUnreported = limiter.UnreportedEstimate{
-		PerHost: s.connections.limiter.PerHost(own, reported, targets, reporters),
+		PerHost: s.connections.limiter.PerHost(local, reported, targets, reporters),
 		Growth:  float64(max(net-v.localNetHistory[0], 0)) / float64(max(targets, 1)),
 	}
 }
 
 // setConstrained records whether a service is constrained, and logs a change.
-func (s *Steerer) setConstrained(v *constrainedService, tight, was bool) {
-	if !tight {
+func (s *Steerer) setConstrained(v *constrainedService, constrained, was bool) {
+	if !constrained {
 		delete(s.connections.constrained, v.name)
 	} else {
 		s.connections.constrained[v.name] = v
 	}
-	if tight != was {
+	if constrained != was {
 		event := "connectionsPlenty"
-		if tight {
+		if constrained {
 			event = "connectionsTight"
 		}
 		s.log(event, field("service", v.name), field("flows", formatInt(v.flows)), field("places", formatInt(v.capacity)), field("bound", formatInt(v.limit)))
@@ -296,13 +296,13 @@
 func (s *Steerer) updateFullTargets(v *constrainedService) {
 	for _, t := range s.targets.candidates(v.name) {
 		b := s.estimateFlows(t, v)
-		room := v.limit - probeReserve - b.Total()
+		available := v.limit - probeReserve - b.Total()
 		switch {
-		case !t.believedFull && room <= 0:
-			t.believedFull = true
+		case !t.estimatedFull && available <= 0:
+			t.estimatedFull = true
 			s.logConnections("targetFull", t, v, b)
-		case t.believedFull && room > int(priorityReserveShare*float64(v.limit)):
-			t.believedFull = false
+		case t.estimatedFull && available > int(priorityReserveFraction*float64(v.limit)):
+			t.estimatedFull = false
 			s.logConnections("targetHasRoom", t, v, b)
 		}
 	}
--- a/core/steerer/connection_limits_test.go
+++ b/core/steerer/connection_limits_test.go
@@ -36,30 +36,30 @@
 
 // newLimitedFleet starts hosts in up to three zones, in front of the six default targets of
 // the ledger service.
-func newLimitedFleet(t tester, bound int, hostsByZone ...int) *limitedFleet {
+func newLimitedFleet(t tester, limit int, hostsByZone ...int) *limitedFleet {
 	s := &limitedFleet{fleet: newFleet(t, hostsByZone...), held: map[string]int{}}
-	s.publish(2, bound)
+	s.publish(2, limit)
 	return s
 }
 
 // publish changes the connection limit of the targets. The check route has a higher
 // priority than the read route.
-func (s *limitedFleet) publish(version uint64, bound int) {
-	s.limit = bound
+func (s *limitedFleet) publish(version uint64, limit int) {
+	s.limit = limit
 	routes := routes()
 	routes[0].Priority = 1
-	s.settings = steerer.NewSettings(version, routes, []steerer.Service{{Name: "ledger", HealthPath: "/healthz", MaxConnections: bound}}, 15*time.Second)
+	s.settings = steerer.NewSettings(version, routes, []steerer.Service{{Name: "ledger", HealthPath: "/healthz", MaxConnections: limit}}, 15*time.Second)
 	s.step(4 * time.Second)
 }
 
 // openFlow lets a caller open a flow through a host, with up to two retransmissions of its
 // opening packet. It reports whether the flow was established.
-func (s *limitedFleet) openFlow(host string, urgent bool) bool {
+func (s *limitedFleet) openFlow(host string, highPriority bool) bool {
 	s.t.Helper()
 	s.nextCaller++
 	s.attempts++
 	route := readRoute
-	if urgent {
+	if highPriority {
 		route = checkRoute
 	}
 	c := s.caller(s.nextCaller, route)
@@ -187,10 +187,10 @@
 		s.step(steerer.TickInterval)
 	}
 	s.keepFlowsActive()
-	asked := map[string]bool{"i-10000001": true}
+	hasRequest := map[string]bool{"i-10000001": true}
 	for _, v := range s.openFlows {
-		if !asked[v.target] {
-			asked[v.target] = true
+		if !hasRequest[v.target] {
+			hasRequest[v.target] = true
 			v.sendRequest(v.host)
 		}
 	}
@@ -333,8 +333,8 @@
 		s.step(steerer.TickInterval)
 	}
 	s.step(time.Second)
-	free := 6*19 - len(s.openFlows)
-	require.Less(t, free, 6*20/10, "the first host uses what the second has no callers for")
+	available := 6*19 - len(s.openFlows)
+	require.Less(t, available, 6*20/10, "the first host uses what the second has no callers for")
 	s.refused = 0
 	probes := s.probes
 	for range 20 {
@@ -342,7 +342,7 @@
 		s.openFlow("a2", true)
 		s.step(steerer.TickInterval)
 	}
-	require.GreaterOrEqual(t, s.refused, 20-free)
+	require.GreaterOrEqual(t, s.refused, 20-available)
 	require.Zero(t, s.retransmissions)
 	require.Equal(t, probes, s.probes, "nobody has to try what is full")
 }
@@ -426,7 +426,7 @@
 	s.step(2 * time.Second)
 	require.Zero(t, s.countLogged("a1", "connectionsTight"))
 	for _, status := range s.hosts["a1"].steerer.TargetStatuses() {
-		require.Zero(t, status.ConnectionsBound)
+		require.Zero(t, status.ConnectionLimit)
 	}
 }
 
@@ -439,7 +439,7 @@
 	sum := 0
 	for _, status := range s.hosts["a1"].steerer.TargetStatuses() {
 		if status.Service == "ledger" {
-			require.Equal(t, 20, status.ConnectionsBound)
+			require.Equal(t, 20, status.ConnectionLimit)
 			require.NotEmpty(t, status.AvoidReason)
 			sum += status.Connections
 		}
@@ -455,10 +455,10 @@
 // longer be recognized as short-lived.
 func TestShortLivedFlowsAreAdmittedBesideLongLivedFlows(t *testing.T) {
 	s := newLimitedFleet(t, 20, 1)
-	brief, served := 0, 0
+	attempts, served := 0, 0
 	for n := range 200 {
 		s.openFlow("a1", true)
-		brief++
+		attempts++
 		if s.openFlow("a1", false) {
 			served++
 			if n%7 == 0 {
@@ -472,7 +472,7 @@
 		}
 	}
 	require.Positive(t, s.refused, "all is asked for")
-	require.Equal(t, brief, served)
+	require.Equal(t, attempts, served)
 
 	s.publish(3, 10)
 	for n := range 150 {
--- a/core/steerer/connection_reservations.go
+++ b/core/steerer/connection_reservations.go
@@ -12,20 +12,20 @@
 	// probeReserve is the number of connections left free at each target for probes and for
 	// routes with short-lived flows.
 	probeReserve = 1
-	// priorityReserveShare is the fraction of a target's connections that is reserved, at
+	// priorityReserveFraction is the fraction of a target's connections that is reserved, at
 	// each priority level, for flows of higher priority: as many as are opened until a
 	// host's report arrives.
-	priorityReserveShare = 0.05
+	priorityReserveFraction = 0.05
 	// shortLivedLimit is the lifetime, from the opening packet, up to which a flow counts
 	// as short-lived: that of a request or two, and far less than the idle time of
 	// long-lived flows.
 	shortLivedLimit = 2 * time.Second
-	// shortLivedShare is the fraction of a route's flows above which all of them count as
+	// shortLivedFraction is the fraction of a route's flows above which all of them count as
 	// short-lived.
-	shortLivedShare = 0.5
-	// shortLivedReserveShare is the fraction of short-lived flows among the requested ones
+	shortLivedFraction = 0.5
+	// shortLivedReserveFraction is the fraction of short-lived flows among the requested ones
 	// above which connections are reserved for them.
-	shortLivedReserveShare = 0.1
+	shortLivedReserveFraction = 0.1
 	// routeUsageDecay is the fraction of a route's counts that is kept from one check to
 	// the next, so that they reflect the last seconds.
 	routeUsageDecay = 0.95
@@ -78,10 +78,10 @@
 		f.connectionCount.RemoveDiscovered(s.now)
 	}
 	f.connectionCount = nil
-	use := s.usageOf(f.target.Service, &f.route)
-	use.openFlows = max(use.openFlows-1, 0) // Flows may be older than the connection limit, if it has just been set.
+	usage := s.usageOf(f.target.Service, &f.route)
+	usage.openFlows = max(usage.openFlows-1, 0) // Flows may be older than the connection limit, if it has just been set.
 	if f.established && s.now.Since(f.openingSentAt) < shortLivedLimit {
-		use.shortLivedFlows++
+		usage.shortLivedFlows++
 	}
 }
 
@@ -96,13 +96,13 @@
 		routes = map[string]*routeUsage{}
 		s.connections.routeUsage[service] = routes
 	}
-	use := routes[route.Name]
-	if use == nil {
-		use = &routeUsage{}
-		routes[route.Name] = use
+	usage := routes[route.Name]
+	if usage == nil {
+		usage = &routeUsage{}
+		routes[route.Name] = usage
 	}
-	use.priority = route.Priority
-	return use
+	usage.priority = route.Priority
+	return usage
 }
 
 // limitFor returns the connection limit that applies to the flows of a route.
@@ -122,7 +122,7 @@
 	for at := 0; at < len(v.longLivedPriorities) && v.longLivedPriorities[at] < route.Priority; at++ {
 		rank++
 	}
-	step := int(priorityReserveShare*float64(v.limit) + 0.5)
+	step := int(priorityReserveFraction*float64(v.limit) + 0.5)
 	return limiter.FlowLimit{MaxFlows: v.limit, Reserved: min(probeReserve+rank*step, max(v.limit/maxReserveDivisor, probeReserve), v.limit-1)}
 }
 
@@ -130,33 +130,35 @@
 // flows, by the flows of this host's callers.
 func (s *Steerer) classifyRoutes(v *constrainedService) {
 	v.shortLivedRoutes = map[string]bool{}
-	asked, brief := 0.0, 0.0
-	uses := s.connections.routeUsage[v.name]
-	for _, route := range slices.Sorted(maps.Keys(uses)) {
-		use := uses[route]
-		if use.unused() {
-			delete(uses, route)
+	requested, shortLived := 0.0, 0.0
+	usages := s.connections.routeUsage[v.name]
+	for _, route := range slices.Sorted(maps.Keys(usages)) {
+		usage := usages[route]
+		if usage.unused() {
+			delete(usages, route)
 			continue
 		}
-		asked += use.requestedFlows
+		requested += usage.requestedFlows
 		switch {
-		case use.shortLived():
+		case usage.shortLived():
 			v.shortLivedRoutes[route] = true
-			brief += use.requestedFlows
-		case !slices.Contains(v.longLivedPriorities, use.priority):
-			v.longLivedPriorities = append(v.longLivedPriorities, use.priority)
+			shortLived += usage.requestedFlows
+		case !slices.Contains(v.longLivedPriorities, usage.priority):
+			v.longLivedPriorities = append(v.longLivedPriorities, usage.priority)
 		}
-		use.requestedFlows *= routeUsageDecay
-		use.establishedFlows *= routeUsageDecay
-		use.shortLivedFlows *= routeUsageDecay
+		usage.requestedFlows *= routeUsageDecay
+		usage.establishedFlows *= routeUsageDecay
+		usage.shortLivedFlows *= routeUsageDecay
 	}
 	slices.Sort(v.longLivedPriorities)
-	v.reserveForShortLived = brief > shortLivedReserveShare*asked
+	v.reserveForShortLived = shortLived > shortLivedReserveFraction*requested
 }
 
 // shortLived reports whether most of a route's flows end soon. The result does not change
 // while none is established, since both counts decay alike.
-func (u *routeUsage) shortLived() bool { return u.shortLivedFlows > shortLivedShare*u.establishedFlows }
+func (u *routeUsage) shortLived() bool {
+	return u.shortLivedFlows > shortLivedFraction*u.establishedFlows
+}
 
 // unused reports whether a route's callers have not used a service recently.
 func (u *routeUsage) unused() bool { return u.openFlows == 0 && u.requestedFlows < 1 }
--- a/core/steerer/counters.go
+++ b/core/steerer/counters.go
@@ -136,12 +136,12 @@
 
 // Snapshot returns the current numbers.
 func (s *Steerer) Snapshot() Snapshot {
-	snapshot := Snapshot{Counters: s.counts, Flows: len(s.flows), Targets: len(s.targets.byID), Peers: len(s.peers.byName), Live: s.alivePeers(), Version: s.version()}
-	snapshot.SettingsAge = age(s.now, s.reading.settings.confirmed)
-	snapshot.TargetsAge = age(s.now, s.reading.targets.confirmed)
+	snapshot := Snapshot{Counters: s.counters, Flows: len(s.flows), Targets: len(s.targets.byID), Peers: len(s.peers.byName), Live: s.alivePeers(), Version: s.version()}
+	snapshot.SettingsAge = age(s.now, s.platformReads.settings.confirmed)
+	snapshot.TargetsAge = age(s.now, s.platformReads.targets.confirmed)
 	snapshot.Ready = s.Ready()
-	snapshot.Era = s.reading.era
-	snapshot.Queued = s.paced
+	snapshot.Era = s.platformReads.era
+	snapshot.Queued = s.queued
 	snapshot.Callers = s.throttler.CallerCount()
 	snapshot.Evacuated = len(s.evacuator.Zones())
 	for _, v := range s.services {
@@ -169,8 +169,8 @@
 }
 
 // Each calls a function with the name and value of each counter.
-func (c *Counters) Each(do func(name string, value uint64)) {
+func (c *Counters) Each(visit func(name string, value uint64)) {
 	for counter, value := range c {
-		do(Counter(counter).String(), value)
+		visit(Counter(counter).String(), value)
 	}
 }
--- a/core/steerer/demand.go
+++ b/core/steerer/demand.go
@@ -16,7 +16,7 @@
 // addDemands adds to a report the demand for services that may become overloaded.
 func (s *Steerer) addDemands(r *messenger.Report, to *peer) {
 	for _, name := range s.sortedServices() {
-		a := s.services[name].room.admitter
+		a := s.services[name].capacity.admitter
 		if !a.ShouldReport() {
 			continue
 		}
@@ -56,12 +56,12 @@
 // decodeDemand decodes demand from a report.
 func decodeDemand(encoded messenger.ServiceDemand) admitter.Demand {
 	var demand admitter.Demand
-	for _, asked := range encoded.ByPriority {
-		slots := float64(asked.MilliSlots) / milliSlots
-		if asked.Priority < 0 {
-			demand.Open[min(openFlowLevel(asked.Priority), admitter.PriorityLevels-1)] += slots
+	for _, entry := range encoded.ByPriority {
+		slots := float64(entry.MilliSlots) / milliSlots
+		if entry.Priority < 0 {
+			demand.Open[min(openFlowLevel(entry.Priority), admitter.PriorityLevels-1)] += slots
 		} else {
-			demand.New[min(asked.Priority, admitter.PriorityLevels-1)] += slots
+			demand.New[min(entry.Priority, admitter.PriorityLevels-1)] += slots
 		}
 	}
 	return demand
@@ -83,9 +83,9 @@
 		}
 		v := s.service(reported.Service)
 		if sameZone {
-			v.room.admitter.ApplyHostReport(from.name, decodeDemand(reported), s.now)
+			v.capacity.admitter.ApplyHostReport(from.name, decodeDemand(reported), s.now)
 		} else {
-			v.room.admitter.ApplyZoneReport(from.zone, decodeDemand(reported), s.now)
+			v.capacity.admitter.ApplyZoneReport(from.zone, decodeDemand(reported), s.now)
 		}
 		s.refreshCapacity(v)
 	}
--- a/core/steerer/estimates.go
+++ b/core/steerer/estimates.go
@@ -58,10 +58,10 @@
 // is none.
 func (s *Steerer) zoneSlowdown(service, zone string) *estimator.Zone {
 	key := serviceZone{service, zone}
-	z, ok := s.estimating.zones[key]
+	z, ok := s.slowdowns.zones[key]
 	if !ok {
 		z = &estimator.Zone{}
-		s.estimating.zones[key] = z
+		s.slowdowns.zones[key] = z
 	}
 	return z
 }
@@ -69,7 +69,7 @@
 // zoneLogSlowdown is the log slowdown (log2 of latency over baseline) of a service in a zone;
 // 0 without an estimate.
 func (s *Steerer) zoneLogSlowdown(service, zone string) float64 {
-	if z, ok := s.estimating.zones[serviceZone{service, zone}]; ok {
+	if z, ok := s.slowdowns.zones[serviceZone{service, zone}]; ok {
 		return z.LogSlowdown()
 	}
 	return 0
@@ -94,13 +94,13 @@
 // slow links would make their target count as slow, which shows as a target that is avoided
 // though it responds as soon as it has the full request.
 func (s *Steerer) setExpectedResponse(key flowKey, f *flow) {
-	f.expectedLatency, f.assumedExcess, f.lastData = 0, 0, s.now
+	f.expectedLatency, f.assumedLogSlowdown, f.lastData = 0, 0, s.now
 	u, ok := s.baselines[f.route.Name]
 	if !ok || !u.known() {
 		return
 	}
 	f.expectedLatency = time.Duration(float64(u.fromRequestEnd.median) * estimator.QueueingFactor(f.target.inFlight(), f.target.Slots))
-	s.estimating.overdue = append(s.estimating.overdue, flowTimer{key: key, since: s.now, deadline: f.overdueAt()})
+	s.slowdowns.overdue = append(s.slowdowns.overdue, flowTimer{key: key, since: s.now, deadline: f.overdueAt()})
 }
 
 // overdueAt is the time from which the wait of a request counts as evidence about its target.
@@ -118,26 +118,26 @@
 // its first response, which shows as callers that all wait at one target while other targets
 // are idle.
 func (s *Steerer) checkOverdue() {
-	overdue := s.estimating.overdue
+	overdue := s.slowdowns.overdue
 	kept := overdue[:0]
-	for _, check := range overdue {
-		f := s.flows[check.key]
-		if f == nil || !f.awaitingResponse || f.requestStartedAt != check.since {
+	for _, timer := range overdue {
+		f := s.flows[timer.key]
+		if f == nil || !f.awaitingResponse || f.requestStartedAt != timer.since {
 			continue
 		}
 		if from := f.overdueAt(); !from.Passed(s.now) {
-			check.deadline = from // The caller has sent more data.
+			timer.deadline = from // The caller has sent more data.
 		}
-		if check.deadline.Passed(s.now) && s.silenceIsEvidence() {
+		if timer.deadline.Passed(s.now) && s.silenceIsEvidence() {
 			waited := s.now.Since(f.lastData)
 			s.recordLatency(f, waited)
-			check.deadline = s.now.Add(waited)
+			timer.deadline = s.now.Add(waited)
 		}
-		if f.route.Timeout <= 0 || !check.since.Add(f.route.Timeout).Passed(s.now) {
-			kept = append(kept, check)
+		if f.route.Timeout <= 0 || !timer.since.Add(f.route.Timeout).Passed(s.now) {
+			kept = append(kept, timer)
 		}
 	}
-	s.estimating.overdue = kept
+	s.slowdowns.overdue = kept
 }
 
 // recordLatency updates the estimates of a target and its zone from the time that a request
@@ -149,14 +149,14 @@
 		return
 	}
 	z := s.zoneSlowdown(t.Service, t.AvailabilityZone)
-	excess := estimator.LogSlowdown(took, f.expectedLatency, 1)
-	if f.assumedExcess != 0 {
-		z.ReplaceSample(f.assumedExcess, excess, s.now)
-		t.slowdownEstimate.ReplaceSample(f.assumedExcess-z.LogSlowdown(), excess-z.LogSlowdown(), s.now)
+	logSlowdown := estimator.LogSlowdown(took, f.expectedLatency, 1)
+	if f.assumedLogSlowdown != 0 {
+		z.ReplaceSample(f.assumedLogSlowdown, logSlowdown, s.now)
+		t.slowdownEstimate.ReplaceSample(f.assumedLogSlowdown-z.LogSlowdown(), logSlowdown-z.LogSlowdown(), s.now)
 	} else {
-		t.slowdownEstimate.Observe(z.Observe(excess, s.now), s.now)
+		t.slowdownEstimate.Observe(z.Observe(logSlowdown, s.now), s.now)
 	}
-	f.assumedExcess = excess
+	f.assumedLogSlowdown = logSlowdown
 	s.refreshEstimate(t, "own")
 }
 
@@ -165,7 +165,7 @@
 func (s *Steerer) refreshEstimate(t *target, cause string) {
 	if !t.slowdownTracked {
 		t.slowdownTracked = true
-		s.estimating.active = append(s.estimating.active, t)
+		s.slowdowns.active = append(s.slowdowns.active, t)
 	}
 	if !t.slowdownEstimate.Refresh(s.now) {
 		return
@@ -174,24 +174,24 @@
 	event := "targetQuickAgain"
 	if t.slowdownEstimate.Slow() {
 		event = "targetSlow"
-		s.counts.add(TargetSlow)
+		s.counters.add(TargetSlow)
 		t.slowdownEstimate.ScheduleTrial(s.aliveInZone(), s.random.Float64(), s.now)
 	}
-	all, own := t.slowdownEstimate.Samples()
+	all, local := t.slowdownEstimate.Samples()
 	s.log(event, field("target", t.ID), field("service", t.Service), field("zone", t.AvailabilityZone),
 		field("times", fmt.Sprintf("%.2f", estimator.Slowdown(t.slowdownEstimate.MeanLogSlowdown()))), field("samples", fmt.Sprintf("%.1f", all)),
-		field("own", fmt.Sprintf("%.1f", own)), field("cause", cause))
+		field("own", fmt.Sprintf("%.1f", local)), field("cause", cause))
 }
 
 // estimatesTick checks for overdue requests and drops expired estimates.
 func (s *Steerer) estimatesTick() {
 	s.checkOverdue()
-	maps.DeleteFunc(s.estimating.zones, func(_ serviceZone, z *estimator.Zone) bool {
+	maps.DeleteFunc(s.slowdowns.zones, func(_ serviceZone, z *estimator.Zone) bool {
 		z.Refresh(s.now)
 		return z.NoData()
 	})
-	kept := s.estimating.active[:0]
-	for _, t := range s.estimating.active {
+	kept := s.slowdowns.active[:0]
+	for _, t := range s.slowdowns.active {
 		s.refreshEstimate(t, "age")
 		if t.slowdownEstimate.NoData() {
 			t.slowdownTracked = false
@@ -199,8 +199,8 @@
 		}
 		kept = append(kept, t)
 	}
-	clear(s.estimating.active[len(kept):])
-	s.estimating.active = kept
+	clear(s.slowdowns.active[len(kept):])
+	s.slowdowns.active = kept
 }
 
 // pickTrialTarget picks a slow target for a new flow, so that its recovery is noticed; nil if
@@ -214,16 +214,16 @@
 // There are no trials while requests of the service are queued at this host: some may wait for
 // the slow target, and the new flow would be refused because of them though fast targets are
 // idle.
-func (s *Steerer) pickTrialTarget(c placement, views []zoneView, crowd *connectionConstraint) *target {
-	if c.avoid != nil || s.service(c.service).paced > 0 || !s.service(c.service).trials.Allow() {
+func (s *Steerer) pickTrialTarget(c placement, views []zoneView, constraint *connectionConstraint) *target {
+	if c.avoid != nil || s.service(c.service).queued > 0 || !s.service(c.service).trials.Allow() {
 		return nil
 	}
 	var due *target
-	for _, t := range s.estimating.active {
+	for _, t := range s.slowdowns.active {
 		if t.Service != c.service || !t.slowdownEstimate.TrialDue(s.now) || !s.trialAllowed(t, views) {
 			continue
 		}
-		if _, room := s.connectionLoad(t, crowd); !room {
+		if _, available := s.connectionLoad(t, constraint); !available {
 			continue
 		}
 		if due == nil || t.slowdownEstimate.NextTrial() < due.slowdownEstimate.NextTrial() {
@@ -232,11 +232,11 @@
 	}
 	if due != nil {
 		due.slowdownEstimate.ScheduleTrial(s.aliveInZone(), s.random.Float64(), s.now)
-		s.counts.add(TrialFlow)
+		s.counters.add(TrialFlow)
 		return due
 	}
 	for i := range views {
-		views[i].slowness = 0
+		views[i].logSlowdown = 0
 	}
 	return nil
 }
@@ -267,21 +267,21 @@
 		u = &medianEstimator{fromRequestEnd: &medianEstimator{}}
 		s.baselines[f.route.Name] = u
 	}
-	pressed := s.congested(f.target.Service)
+	congested := s.congested(f.target.Service)
 	fastFailure := u.implausiblyFast(took)
-	if fastFailure && !pressed {
+	if fastFailure && !congested {
 		f.target.failures.Observe(s.now)
-		s.counts.add(FastFailure)
+		s.counters.add(FastFailure)
 		s.log("answerTooQuick", field("target", f.target.ID), field("route", f.route.Name),
 			field("tookMillis", formatMillis(took)), field("usualMillis", formatMillis(u.median)))
 	}
-	worked := s.now.Since(f.lastData)
+	latency := s.now.Since(f.lastData)
 	if !fastFailure {
-		s.recordLatency(f, worked)
+		s.recordLatency(f, latency)
 	}
-	doubtful := pressed || s.targetOrZoneSlow(f.target)
+	doubtful := congested || s.targetOrZoneSlow(f.target)
 	u.add(took, doubtful)
-	u.fromRequestEnd.add(worked, doubtful)
+	u.fromRequestEnd.add(latency, doubtful)
 }
 
 // targetOrZoneSlow reports whether a target or its zone is slow, so that its responses say
@@ -296,13 +296,13 @@
 // inSlowZone reports whether a target's zone is slower than another. If all zones are slow,
 // the service is overloaded or its requests have become more expensive.
 func (s *Steerer) inSlowZone(t *target) bool {
-	excess := s.zoneLogSlowdown(t.Service, t.AvailabilityZone)
-	if excess <= slowZoneLogSlowdown || excess > verySlowZoneLogSlowdown {
-		return excess > verySlowZoneLogSlowdown
+	logSlowdown := s.zoneLogSlowdown(t.Service, t.AvailabilityZone)
+	if logSlowdown <= slowZoneLogSlowdown || logSlowdown > verySlowZoneLogSlowdown {
+		return logSlowdown > verySlowZoneLogSlowdown
 	}
 	for _, name := range s.targets.zones {
-		other, ok := s.estimating.zones[serviceZone{t.Service, name}]
-		if ok && other.HasEnoughSamples() && other.LogSlowdown()+slowZoneLogSlowdown < excess {
+		other, ok := s.slowdowns.zones[serviceZone{t.Service, name}]
+		if ok && other.HasEnoughSamples() && other.LogSlowdown()+slowZoneLogSlowdown < logSlowdown {
 			return true
 		}
 	}
@@ -330,8 +330,8 @@
 func (s *Steerer) recentFastFailures(t *target) bool { return t.failures.SeenRecently(s.now) }
 
 // applySlowdownReports applies the slowdown estimates that another host of the zone reports.
-func (s *Steerer) applySlowdownReports(from *peer, slowdownReports []messenger.TargetSlowdown) {
-	for _, p := range slowdownReports[:min(len(slowdownReports), maxSlowdownReports)] {
+func (s *Steerer) applySlowdownReports(from *peer, reports []messenger.TargetSlowdown) {
+	for _, p := range reports[:min(len(reports), maxSlowdownReports)] {
 		if t, ok := s.reportedTarget(from, p.Tag); ok {
 			t.slowdownEstimate.ApplyReport(from.name, estimator.SlowdownReport{LogSlowdownEighths: p.LogSlowdownEighths, Samples: p.Samples}, s.now)
 			s.refreshEstimate(t, from.name)
@@ -346,22 +346,22 @@
 // reports as it takes to go through the list, each recipient would always get the same part of
 // it.
 func (s *Steerer) slowdownReports() []messenger.TargetSlowdown {
-	var slowdownReports []messenger.TargetSlowdown
-	active := s.estimating.active
-	if s.estimating.roundDeadline.Passed(s.now) {
-		s.estimating.reportStart = s.estimating.nextReportStart
-		s.estimating.roundDeadline = s.now.Add(reportInterval)
+	var reports []messenger.TargetSlowdown
+	active := s.slowdowns.active
+	if s.slowdowns.roundDeadline.Passed(s.now) {
+		s.slowdowns.reportStart = s.slowdowns.nextReportStart
+		s.slowdowns.roundDeadline = s.now.Add(reportInterval)
 	}
 	at := 0
-	for at < len(active) && len(slowdownReports) < maxSlowdownReports {
-		t := active[(s.estimating.reportStart+at)%len(active)]
+	for at < len(active) && len(reports) < maxSlowdownReports {
+		t := active[(s.slowdowns.reportStart+at)%len(active)]
 		at++
 		if p, ok := t.slowdownEstimate.Report(s.now); ok {
-			slowdownReports = append(slowdownReports, messenger.TargetSlowdown{Tag: uint32(t.tag), LogSlowdownEighths: p.LogSlowdownEighths, Samples: p.Samples})
+			reports = append(reports, messenger.TargetSlowdown{Tag: uint32(t.tag), LogSlowdownEighths: p.LogSlowdownEighths, Samples: p.Samples})
 		}
 	}
 	if len(active) > 0 {
-		s.estimating.nextReportStart = (s.estimating.reportStart + at) % len(active)
+		s.slowdowns.nextReportStart = (s.slowdowns.reportStart + at) % len(active)
 	}
-	return slowdownReports
+	return reports
 }
--- a/core/steerer/estimates_internal_test.go
+++ b/core/steerer/estimates_internal_test.go
@@ -19,10 +19,10 @@
 		s.zoneSlowdown(fmt.Sprintf("service-%d", n), "a").Observe(1, s.now)
 	}
 	s.estimatesTick()
-	require.Len(t, s.estimating.zones, 50, "of late")
+	require.Len(t, s.slowdowns.zones, 50, "of late")
 	s.now = s.now.Add(time.Minute)
 	s.estimatesTick()
-	require.Empty(t, s.estimating.zones)
+	require.Empty(t, s.slowdowns.zones)
 }
 
 // Guards against one service getting the trials of all: when the flows of two services
@@ -33,9 +33,9 @@
 	due := map[string]int{}
 	for range 64 {
 		for _, name := range []string{"intake", "ledger"} {
-			views := []zoneView{{slowness: 1}}
+			views := []zoneView{{logSlowdown: 1}}
 			s.pickTrialTarget(placement{service: name}, views, nil)
-			if views[0].slowness == 0 {
+			if views[0].logSlowdown == 0 {
 				due[name]++
 			}
 		}
@@ -55,7 +55,7 @@
 			one.slowdownEstimate.Observe(3, s.now)
 		}
 		one.slowdownEstimate.Refresh(s.now)
-		s.estimating.active = append(s.estimating.active, one)
+		s.slowdowns.active = append(s.slowdowns.active, one)
 	}
 	first := tagsOf(s.slowdownReports())
 	require.Len(t, first, maxSlowdownReports)
--- a/core/steerer/estimates_test.go
+++ b/core/steerer/estimates_test.go
@@ -60,7 +60,7 @@
 	makeTargetSlow(f, "a1", failingTarget)
 	require.LessOrEqual(t, countPlacements(f, "a1", failingTarget, 6000), 2, "trials")
 	status := statusOf(f, "a1", failingTarget)
-	require.Greater(t, status.Slowness, 2.0)
+	require.Greater(t, status.Slowdown, 2.0)
 	require.Contains(t, status.AvoidReason, "times as long as usual")
 	require.NotZero(t, countLogged(f, "a1", "targetSlow"))
 	require.Equal(t, 1, f.hosts["a1"].steerer.Snapshot().Slow)
@@ -73,8 +73,8 @@
 	learnBaseline(f, "a1", "a2")
 	makeTargetSlow(f, "a1", failingTarget)
 	f.step(300 * time.Millisecond)
-	require.Greater(t, statusOf(f, "a2", failingTarget).Slowness, 1.5)
-	require.InDelta(t, 1, statusOf(f, "b1", failingTarget).Slowness, 0, "other zones look for themselves")
+	require.Greater(t, statusOf(f, "a2", failingTarget).Slowdown, 1.5)
+	require.InDelta(t, 1, statusOf(f, "b1", failingTarget).Slowdown, 0, "other zones look for themselves")
 }
 
 // Guards against callers that wait at a hanging target: when a target accepts requests and
@@ -86,7 +86,7 @@
 		c.sendRequest("a1")
 	}
 	f.step(900 * time.Millisecond)
-	require.Greater(t, statusOf(f, "a1", failingTarget).Slowness, 1.5)
+	require.Greater(t, statusOf(f, "a1", failingTarget).Slowdown, 1.5)
 }
 
 // Guards against a paused host that makes its zone avoid working targets: when the host is
@@ -107,7 +107,7 @@
 		c.ackResponse("a1")
 	}
 	f.step(100 * time.Millisecond)
-	require.InDelta(t, 1, statusOf(f, "a1", failingTarget).Slowness, 0)
+	require.InDelta(t, 1, statusOf(f, "a1", failingTarget).Slowdown, 0)
 }
 
 // Guards against keeping callers in a zone whose targets all take ten times as long, while
@@ -115,10 +115,10 @@
 func TestSlowZoneSpillsOver(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	learnBaseline(f, "a1", "b1")
-	home := func(id string) bool { return f.targets[id].AvailabilityZone == "a" }
+	local := func(id string) bool { return f.targets[id].AvailabilityZone == "a" }
 	c := f.caller(1, checkRoute)
 	c.open("a1", 0)
-	require.True(t, home(c.target))
+	require.True(t, local(c.target))
 	var all []*caller
 	for i := range 3 {
 		all = append(all, openFlowsAt(f, "a1", fmt.Sprintf("i-1%07x", 2*i+1), 2000+1000*i, 3)...)
@@ -126,17 +126,17 @@
 	for range 4 {
 		requestAll(f, "a1", all, 500*time.Millisecond)
 	}
-	away := 0
+	crossZone := 0
 	for n := range 40 {
 		c := f.caller(20_000+n, checkRoute)
 		c.open("a1", 0)
-		if !home(c.target) {
-			away++
+		if !local(c.target) {
+			crossZone++
 		}
 		c.establish("a1")
 		c.close("a1")
 	}
-	require.Greater(t, away, 30)
+	require.Greater(t, crossZone, 30)
 }
 
 // Guards against refusing flows for overload that fast targets could serve: when some targets
@@ -183,11 +183,11 @@
 	f := newFleet(t, 1)
 	learnBaseline(f, "a1")
 	makeTargetSlow(f, "a1", failingTarget)
-	require.Greater(t, statusOf(f, "a1", failingTarget).Slowness, 2.0)
+	require.Greater(t, statusOf(f, "a1", failingTarget).Slowdown, 2.0)
 	for n := range 100 {
 		requestWithLatency(f, "a1", 10_000+n, 50*time.Millisecond)
 	}
-	require.InDelta(t, 1, statusOf(f, "a1", failingTarget).Slowness, 0)
+	require.InDelta(t, 1, statusOf(f, "a1", failingTarget).Slowdown, 0)
 	require.NotZero(t, countLogged(f, "a1", "targetQuickAgain"))
 	require.NotZero(t, countPlacements(f, "a1", failingTarget, 20_000))
 }
@@ -198,13 +198,13 @@
 	f := newFleet(t, 1)
 	learnBaseline(f, "a1")
 	makeTargetSlow(f, "a1", failingTarget)
-	require.Greater(t, statusOf(f, "a1", failingTarget).Slowness, 2.0)
+	require.Greater(t, statusOf(f, "a1", failingTarget).Slowdown, 2.0)
 	slow := countLogged(f, "a1", "targetQuickAgain")
 	f.restart(failingTarget)
 	f.step(time.Second)
 	require.Equal(t, 1, countLogged(f, "a1", "targetReborn"))
 	require.Equal(t, slow, countLogged(f, "a1", "targetQuickAgain"), "nothing was learned since")
-	require.InDelta(t, 1, statusOf(f, "a1", failingTarget).Slowness, 0)
+	require.InDelta(t, 1, statusOf(f, "a1", failingTarget).Slowdown, 0)
 }
 
 // Guards against a trial at a crashed target: when a slow target without open flows becomes
@@ -252,7 +252,7 @@
 		c.sendRequest("a1")
 	}
 	f.step(900 * time.Millisecond)
-	require.Greater(t, statusOf(f, "a1", failingTarget).Slowness, 1.5)
+	require.Greater(t, statusOf(f, "a1", failingTarget).Slowdown, 1.5)
 }
 
 // Guards against avoiding a healthy target: when callers upload over slow links, by chance to
@@ -300,7 +300,7 @@
 			c.sendPart("a1", 600)
 		}
 		f.step(pause)
-		require.InDelta(t, 1, statusOf(f, "a1", target).Slowness, 0.01)
+		require.InDelta(t, 1, statusOf(f, "a1", target).Slowdown, 0.01)
 	}
 	for _, c := range all {
 		c.sendPart("a1", 600)
@@ -309,5 +309,5 @@
 	for _, c := range all {
 		c.ackResponse("a1")
 	}
-	require.InDelta(t, 1, statusOf(f, "a1", target).Slowness, 0.01)
+	require.InDelta(t, 1, statusOf(f, "a1", target).Slowdown, 0.01)
 }
--- a/core/steerer/evacuation.go
+++ b/core/steerer/evacuation.go
@@ -60,7 +60,7 @@
 // arrived for longer than orders may take to propagate. An order still holds then, but not
 // for a flow that no other target could serve.
 func (s *Steerer) ordersStale() bool {
-	return age(s.now, s.reading.settings.confirmed) > s.settingsPropagationLimit()
+	return age(s.now, s.platformReads.settings.confirmed) > s.settingsPropagationLimit()
 }
 
 // allZonesEvacuated reports whether the orders leave no zone that has targets. In that case
--- a/core/steerer/evacuation_test.go
+++ b/core/steerer/evacuation_test.go
@@ -85,7 +85,7 @@
 
 // A target does not respond and its zone is evacuated. Guards against health checks that
 // ignore orders and go on although no flow waits for the target.
-func TestEvacuatedTargetsAreNotChecked(t *testing.T) {
+func TestEvacuatedTargetsAreNotProbed(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	c := f.caller(1, readRoute)
 	c.open("a1", 0)
@@ -234,7 +234,7 @@
 // Orders may have a shorter propagation limit than settings.
 func TestOrdersAreReadWithinPropagationLimit(t *testing.T) {
 	f := newFleet(t, 1)
-	f.evacuatedWithin = time.Second
+	f.evacuationPropagationLimit = time.Second
 	f.kill("a1")
 	f.start("a1")
 	f.step(2 * time.Second)
@@ -253,7 +253,7 @@
 		random := rand.New(rand.NewPCG(seed, 0))
 		f := newFleet(t, 3, 3, 3)
 		evacuatedAt := map[string]time.Duration{}
-		calmSince := map[string]time.Duration{} // Since when a host has run with all links up.
+		connectedSince := map[string]time.Duration{} // Since when a host has run with all links up.
 		clock := time.Duration(0)
 		for step := range 120 {
 			zone, name := zones[random.IntN(3)], f.names[random.IntN(len(f.names))]
@@ -271,13 +271,13 @@
 			case 2:
 				f.kill(name)
 				f.start(name)
-				calmSince[name] = clock
+				connectedSince[name] = clock
 			case 3:
 				f.deniedHosts[name] = !f.deniedHosts[name]
 			case 4:
 				f.splitZone(zone)
 				for _, one := range f.names {
-					calmSince[one] = clock + time.Second
+					connectedSince[one] = clock + time.Second
 				}
 				f.step(time.Second)
 				clock += time.Second
@@ -289,7 +289,7 @@
 				c := f.caller(1000+step*len(f.names)+i, checkRoute)
 				c.open(one, 0)
 				since, evacuated := evacuatedAt[f.targetZone(c.target)]
-				if evacuated && clock-since > within && clock-calmSince[one] > within && !f.deniedHosts[one] {
+				if evacuated && clock-since > within && clock-connectedSince[one] > within && !f.deniedHosts[one] {
 					require.Failf(t, "a new flow in an evacuated zone", "seed %d, step %d, host %s, target %s, evacuated for %v", seed, step, one, c.target, clock-since)
 				}
 			}
--- a/core/steerer/event.go
+++ b/core/steerer/event.go
@@ -161,12 +161,12 @@
 type SyncResponseReceived struct {
 	At   timekeeper.Instant
 	From string
-	// Knowledge is nil if Err is set. Settings and Document are those in the response, if
+	// Response is nil if Err is set. Settings and Document are those in the response, if
 	// any.
-	Knowledge *messenger.SyncResponse
-	Settings  *Settings
-	Document  []byte
-	Err       error
+	Response *messenger.SyncResponse
+	Settings *Settings
+	Document []byte
+	Err      error
 }
 
 // Tick marks the passing of time. It comes every TickInterval.
--- a/core/steerer/fixture_test.go
+++ b/core/steerer/fixture_test.go
@@ -41,19 +41,19 @@
 	era uint64
 	// orders are the platform's evacuation orders.
 	orders evacuator.Orders
-	// settingsWithin is the configured limit for the propagation of settings to hosts that
+	// settingsPropagationLimit is the configured limit for the propagation of settings to hosts that
 	// start; 3 s if 0. documentBytes is the size of the published document.
-	settingsWithin time.Duration
-	documentBytes  int
-	// drainingWithin is the same limit for draining targets.
-	drainingWithin time.Duration
-	// unansweredHosts are hosts whose sync requests get no response, inboundDelay is how late
+	settingsPropagationLimit time.Duration
+	documentBytes            int
+	// drainingPropagationLimit is the same limit for draining targets.
+	drainingPropagationLimit time.Duration
+	// hostsWithoutSyncResponses are hosts whose sync requests get no response, inboundDelay is how late
 	// hosts process what they receive.
-	unansweredHosts map[string]bool
-	inboundDelay    map[string]time.Duration
-	// evacuatedWithin and regions are in the configuration of hosts that start.
-	evacuatedWithin time.Duration
-	regions         map[string]string
+	hostsWithoutSyncResponses map[string]bool
+	inboundDelay              map[string]time.Duration
+	// evacuationPropagationLimit and regions are in the configuration of hosts that start.
+	evacuationPropagationLimit time.Duration
+	regions                    map[string]string
 	// quotas are in the configuration of hosts that start.
 	quotas []throttler.Quota
 	// listings holds what the platform listed at each position that it has returned.
@@ -75,16 +75,16 @@
 	targetsReadTime  time.Duration
 	// reportDelay is how long a report is in transit; linkDelay if 0.
 	reportDelay time.Duration
-	// answerDelay is how long a host takes to respond to a sync request; linkDelay if 0.
-	answerDelay time.Duration
+	// syncResponseDelay is how long a host takes to respond to a sync request; linkDelay if 0.
+	syncResponseDelay time.Duration
 	// pendingSyncRequests counts the sync requests of each host that have no response yet,
 	// peakPendingSyncRequests is the most that any host had at once.
 	pendingSyncRequests     map[string]int
 	peakPendingSyncRequests int
-	// maxConcurrentAnswers limits the sync requests that a host responds to at once; 0 is no
+	// maxConcurrentSyncResponses limits the sync requests that a host responds to at once; 0 is no
 	// limit.
-	maxConcurrentAnswers int
-	probes               int
+	maxConcurrentSyncResponses int
+	probes                     int
 	// reports counts the reports that hosts sent each other, crossZoneReports those that went
 	// to another zone.
 	reports          int
@@ -92,9 +92,9 @@
 	// reportBytes counts the bytes of encoded reports that hosts sent each other; -1 disables
 	// the count.
 	reportBytes int
-	// answerBytes counts the bytes of target lists in sync responses while reportBytes is
+	// syncResponseBytes counts the bytes of target lists in sync responses while reportBytes is
 	// counted.
-	answerBytes int
+	syncResponseBytes int
 }
 
 type host struct {
@@ -106,8 +106,8 @@
 	resets  []steerer.ResetFlow
 	logs    []steerer.WriteLog
 	ended   bool
-	// activeAnswers counts the sync requests that the host is responding to.
-	activeAnswers int
+	// activeSyncResponses counts the sync requests that the host is responding to.
+	activeSyncResponses int
 	// maxFlows is the size of the host's flow table; 10,000 if 0.
 	maxFlows int
 	// linkBytesPerSecond is the capacity of the host's link; 0 is unknown.
@@ -256,8 +256,8 @@
 	h.steerer = steerer.New(steerer.Config{
 		Self: name, Address: h.address, AvailabilityZone: name[:1], Seeds: seeds,
 		Incarnation: h.starts, Seed: h.starts, MaxFlows: h.maxFlows, LinkBytesPerSecond: h.linkBytesPerSecond, Start: f.now,
-		SettingsPropagationLimit: cmp.Or(f.settingsWithin, 3*time.Second), DrainingPropagationLimit: cmp.Or(f.drainingWithin, 3*time.Second),
-		EvacuationPropagationLimit: f.evacuatedWithin, Regions: f.regions, ColdBurstFactor: 1.5, ColdBurstAllowance: 5, Quotas: f.quotas,
+		SettingsPropagationLimit: cmp.Or(f.settingsPropagationLimit, 3*time.Second), DrainingPropagationLimit: cmp.Or(f.drainingPropagationLimit, 3*time.Second),
+		EvacuationPropagationLimit: f.evacuationPropagationLimit, Regions: f.regions, ColdBurstFactor: 1.5, ColdBurstAllowance: 5, Quotas: f.quotas,
 	})
 	f.reduce(name, &steerer.Tick{})
 }
@@ -339,7 +339,7 @@
 
 func idOf(number steerer.TargetNumber) string { return fmt.Sprintf("i-%x", uint64(number)) }
 
-func (f *fleet) platformAnswers(name string) bool { return !f.down && !f.deniedHosts[name] }
+func (f *fleet) platformResponds(name string) bool { return !f.down && !f.deniedHosts[name] }
 
 // countRead counts a read of the platform by a host.
 func (f *fleet) countRead(name string, mayBeStale bool) {
@@ -360,18 +360,18 @@
 func (f *fleet) readSettings(name string, options steerer.ReadOptions) {
 	f.countRead(name, options.MayBeStale)
 	event := &steerer.SettingsRead{Started: f.now, MayBeStale: options.MayBeStale, Err: errPlatformDown}
-	if f.platformAnswers(name) {
+	if f.platformResponds(name) {
 		orders := f.orders.WithRevision(f.revision)
-		orders.Position.Era = f.answerEra(options)
+		orders.Position.Era = f.responseEra(options)
 		event.Published = steerer.Published{Settings: f.settings, Document: f.document(), Orders: orders}
 		event.Err = nil
 	}
 	f.schedule(max(linkDelay, f.settingsReadTime)+f.inboundDelay[name], func() { f.reduce(name, event) })
 }
 
-// answerEra is the era of a platform response: the platform's own, or, if it reports none, the
+// responseEra is the era of a platform response: the platform's own, or, if it reports none, the
 // one that the reader knows.
-func (f *fleet) answerEra(options steerer.ReadOptions) uint64 {
+func (f *fleet) responseEra(options steerer.ReadOptions) uint64 {
 	if f.era == 0 {
 		return options.Era
 	}
@@ -381,7 +381,7 @@
 func (f *fleet) readTargets(name string, options steerer.ReadOptions) {
 	f.countRead(name, options.MayBeStale)
 	event := &steerer.TargetsRead{Started: f.now, MayBeStale: options.MayBeStale, Err: errPlatformDown}
-	if f.platformAnswers(name) {
+	if f.platformResponds(name) {
 		event.Err, event.List = nil, f.changesSince(options)
 	}
 	f.schedule(max(linkDelay, f.targetsReadTime), func() { f.reduce(name, event) })
@@ -396,7 +396,7 @@
 // changesSince returns the changes since a position that the platform has returned before, or
 // the full list.
 func (f *fleet) changesSince(options steerer.ReadOptions) steerer.TargetList {
-	list := steerer.TargetList{Position: sequencer.At(f.answerEra(options), f.revision)}
+	list := steerer.TargetList{Position: sequencer.At(f.responseEra(options), f.revision)}
 	previous, known := f.listings[options.Since]
 	if known && options.Since.Era == list.Position.Era {
 		list.Since = options.Since
@@ -444,7 +444,7 @@
 func (f *fleet) sendReport(name string, e *steerer.SendReport) {
 	report := *e.Report
 	if f.reportBytes >= 0 {
-		f.reportBytes += sealedSize(f.t, e)
+		f.reportBytes += encodedSize(f.t, e)
 	}
 	f.reports++
 	for _, other := range f.names {
@@ -463,21 +463,21 @@
 	f.peakPendingSyncRequests = max(f.peakPendingSyncRequests, f.pendingSyncRequests[name])
 	other := f.hosts[e.Host]
 	event := &steerer.SyncResponseReceived{From: e.Host, Err: errPlatformDown}
-	busy := f.maxConcurrentAnswers > 0 && other.activeAnswers == f.maxConcurrentAnswers
-	took := max(linkDelay, f.answerDelay) + f.inboundDelay[name]
+	busy := f.maxConcurrentSyncResponses > 0 && other.activeSyncResponses == f.maxConcurrentSyncResponses
+	took := max(linkDelay, f.syncResponseDelay) + f.inboundDelay[name]
 	switch {
-	case f.unansweredHosts[name]:
+	case f.hostsWithoutSyncResponses[name]:
 		took = e.Timeout
 	case other.running && !busy && !f.cutLinks[[2]string{name, e.Host}]:
-		other.activeAnswers++
-		f.schedule(50*time.Millisecond, func() { other.activeAnswers-- })
+		other.activeSyncResponses++
+		f.schedule(50*time.Millisecond, func() { other.activeSyncResponses-- })
 		event.Err = nil
-		event.Knowledge = other.steerer.SyncResponse(e.Request)
+		event.Response = other.steerer.SyncResponse(e.Request)
 		if f.reportBytes >= 0 {
-			f.answerBytes += compressedSize(f.t, event.Knowledge.Targets)
+			f.syncResponseBytes += compressedSize(f.t, event.Response.Targets)
 		}
-		if event.Knowledge.CompressedSettings != nil {
-			event.Document, event.Settings = event.Knowledge.CompressedSettings, f.settings
+		if event.Response.CompressedSettings != nil {
+			event.Document, event.Settings = event.Response.CompressedSettings, f.settings
 		}
 	}
 	f.schedule(took, func() {
--- a/core/steerer/fleet_load_test.go
+++ b/core/steerer/fleet_load_test.go
@@ -15,7 +15,7 @@
 // link.
 func TestOnlyOneSyncRequestIsInFlight(t *testing.T) {
 	f := newFleet(t, 6, 6)
-	f.answerDelay = time.Second
+	f.syncResponseDelay = time.Second
 	for _, name := range f.names[1:] {
 		f.deniedHosts[name] = true
 	}
@@ -35,7 +35,7 @@
 func TestHostsFetchChangesFromOtherHosts(t *testing.T) {
 	f := newFleet(t, 10, 10, 10)
 	f.step(2 * time.Second)
-	f.answerDelay = 500 * time.Millisecond
+	f.syncResponseDelay = 500 * time.Millisecond
 	f.settings = newSettings(2, routes()[:2])
 	reads := f.reads
 	f.step(2500 * time.Millisecond)
@@ -116,7 +116,7 @@
 	f.kill("a1")
 	f.start("a1")
 	f.step(time.Second)
-	read := openOn(f, "a1", silentTarget, 0, true)
+	read := openOn(f, "a1", unresponsiveTarget, 0, true)
 	f.step(3 * time.Second)
 	f.reduce("a1", &steerer.Tick{TransfersReceived: int(rate * steerer.TickInterval.Seconds())})
 	stallRequest(f, read)
--- a/core/steerer/flow.go
+++ b/core/steerer/flow.go
@@ -70,21 +70,21 @@
 	// bufferedRequest is the first packet of the request in flight, if it is kept. In a
 	// half-open flow it is the opening packet, if the service is constrained.
 	bufferedRequest []byte
-	// paced is the flow's request that is queued at this host; pacedFor is how long the
+	// queued is the flow's request that is queued at this host; queuedFor is how long the
 	// last one was queued. inFlightAt is the service in whose inFlight the forwarded
 	// request is counted.
-	paced      *queuedRequest
-	pacedFor   time.Duration
+	queued     *queuedRequest
+	queuedFor  time.Duration
 	inFlightAt *service
 	// lastData is when new data of the request in flight was last forwarded.
 	lastData timekeeper.Instant
 	// expectedLatency is how long the response should take from the end of the request; 0
 	// if unknown.
 	expectedLatency time.Duration
-	// assumedExcess is the log slowdown (log2) of the request in flight so far; see
+	// assumedLogSlowdown is the log slowdown (log2) of the request in flight so far; see
 	// estimator.LogSlowdown. It was reported to the estimator while the response was
 	// overdue; 0 if nothing was.
-	assumedExcess float64
+	assumedLogSlowdown float64
 	// unconfirmedBytes counts the bytes forwarded since the target last made progress.
 	unconfirmedBytes uint32
 	lastPacket       timekeeper.Instant
@@ -113,12 +113,12 @@
 // expire removes the timers whose deadline has passed and calls onExpired with each.
 func (c *flowTimers) expire(now timekeeper.Instant, onExpired func(flowTimer)) {
 	done := 0
-	for _, check := range *c {
-		if !check.deadline.Passed(now) {
+	for _, timer := range *c {
+		if !timer.deadline.Passed(now) {
 			break
 		}
 		done++
-		onExpired(check)
+		onExpired(timer)
 	}
 	*c = (*c)[:copy(*c, (*c)[done:])]
 }
@@ -127,7 +127,7 @@
 // counted for a flow that is not in the table, since the count would never be undone.
 func (s *Steerer) rememberFlow(key flowKey, f *flow) bool {
 	if s.flowTableFull() {
-		s.counts.add(FlowTableFull)
+		s.counters.add(FlowTableFull)
 		return false
 	}
 	s.flows[key] = f
@@ -217,11 +217,11 @@
 		if !f.established && f.openingSentAt.Add(openingAbandonTimeout).Passed(s.now) {
 			s.uncountConnection(f)
 		}
-		keep := idle
+		retention := idle
 		if f.closed {
-			keep = closedFlowRetention
+			retention = closedFlowRetention
 		}
-		if f.lastPacket.Add(keep).Passed(s.now) {
+		if f.lastPacket.Add(retention).Passed(s.now) {
 			s.forgetFlow(key, f)
 		}
 	}
--- a/core/steerer/flow_reports.go
+++ b/core/steerer/flow_reports.go
@@ -36,8 +36,8 @@
 	}
 	var tags []uint32
 	for _, t := range s.targets.ordered() {
-		near := to.zone == s.config.AvailabilityZone || to.zone == t.AvailabilityZone
-		if near && s.connections.constrained[t.Service] != nil && !s.excludedAsMissing(t) {
+		relevant := to.zone == s.config.AvailabilityZone || to.zone == t.AvailabilityZone
+		if relevant && s.connections.constrained[t.Service] != nil && !s.excludedAsMissing(t) {
 			tags = append(tags, uint32(t.tag))
 		}
 	}
@@ -123,11 +123,11 @@
 		}
 	}
 	s.connections.lastFlowReport = s.now
-	word := limiter.Report{
+	report := limiter.Report{
 		Incarnation: r.Incarnation,
 		SameZone:    p.zone == s.config.AvailabilityZone,
 		Flows:       flows,
 		Partial:     len(r.OpenFlows) >= maxReportedFlows,
 	}
-	s.connections.limiter.ApplyReport(p.name, word, s.now)
+	s.connections.limiter.ApplyReport(p.name, report, s.now)
 }
--- a/core/steerer/flow_reports_internal_test.go
+++ b/core/steerer/flow_reports_internal_test.go
@@ -149,7 +149,7 @@
 		one.slowdownEstimate.Refresh(s.now)
 	}
 	require.True(t, one.slowdownEstimate.TrialDue(s.now))
-	s.estimating.active = append(s.estimating.active, one)
+	s.slowdowns.active = append(s.slowdowns.active, one)
 	v := &constrainedService{name: "ledger", limit: 4}
 	s.connections.constrained["ledger"] = v
 	c := placement{service: "ledger", route: Route{Name: "reads"}}
--- a/core/steerer/forwarding.go
+++ b/core/steerer/forwarding.go
@@ -9,7 +9,7 @@
 		s.dropStale(p)
 		return
 	}
-	s.leaving.lastPacket = s.now
+	s.shutdown.lastPacket = s.now
 	s.recordLinkBytes(len(p.Data)+packetOverheadBytes, 0)
 	if !s.canRoute() {
 		if !s.forwardByTag(p) {
@@ -134,7 +134,7 @@
 	}
 	s.recordBulkFlow(f, p)
 	s.recordEstablished(f, to, p)
-	if f.paced != nil && s.queuePacket(f, p) {
+	if f.queued != nil && s.queuePacket(f, p) {
 		return
 	}
 	if s.observeData(key, f, p) {
@@ -208,7 +208,7 @@
 	if s.enqueue(key, f, p) {
 		return true
 	}
-	f.pacedFor = 0
+	f.queuedFor = 0
 	s.beginRequest(key, f, p.Data)
 	return false
 }
@@ -219,7 +219,7 @@
 		return
 	}
 	took := s.now.Since(f.requestStartedAt)
-	s.emit(&ObserveLatency{Route: f.route, Latency: took + f.pacedFor})
+	s.emit(&ObserveLatency{Route: f.route, Latency: took + f.queuedFor})
 	s.observeLoad(f, took)
 	s.recordQueueingDelay(f, took)
 	s.recordResponse(f, took)
@@ -233,19 +233,19 @@
 // other action could be wrong: another target does not have the flow, and a reset breaks
 // the flow if the target is alive. The caller retransmits the packet.
 func (s *Steerer) dropUnknownTag(p *Packet) {
-	s.counts.add(DropUnknownTag)
+	s.counters.add(DropUnknownTag)
 	s.log("packetDropped", field("flow", p.Caller.String()), field("reason", "unknownTarget"), field("tag", p.Tag.String()), field("targetsAgeMillis", s.targetsAge()))
 }
 
 // refuseFlow tells a caller at once that its flow cannot be opened. No request has run.
 func (s *Steerer) refuseFlow(p *Packet, reason string, inputs ...Field) {
-	s.counts.add(Refused)
+	s.counters.add(Refused)
 	s.emit(&ResetFlow{Caller: p.Caller, Service: p.Service})
 	s.log("flowRefused", append([]Field{field("flow", p.Caller.String()), field("service", p.Service.String()), field("reason", reason)}, inputs...)...)
 }
 
 func (s *Steerer) resetFlow(p *Packet, f *flow, to *target, reason string) {
-	s.counts.add(FlowReset)
+	s.counters.add(FlowReset)
 	s.emit(&ResetFlow{Caller: p.Caller, Service: p.Service, Sequence: p.Acknowledged})
 	fields := []Field{field("flow", p.Caller.String()), field("reason", reason), field("target", to.ID)}
 	if f != nil {
@@ -257,6 +257,6 @@
 func (s *Steerer) logPlacement(p *Packet, f *flow, to *target) {
 	s.log("flowPlaced",
 		field("flow", p.Caller.String()), field("route", f.route.Name), field("copy", formatUint(uint64(p.Acknowledged))),
-		field("target", to.ID), field("busy", formatInt(to.pendingRequests)), field("peersBusy", formatInt(to.peersBusy)),
+		field("target", to.ID), field("busy", formatInt(to.pendingRequests)), field("peersBusy", formatInt(to.peersInFlight)),
 		field("flows", formatInt(to.flows)), field("version", formatUint(s.settings.Version)), field("targetsAgeMillis", s.targetsAge()))
 }
--- a/core/steerer/forwarding_test.go
+++ b/core/steerer/forwarding_test.go
@@ -150,7 +150,7 @@
 // Guards against retransmissions and late responses while hosts are replaced: when a host
 // is asked to shut down, the fabric hands it packets until it has failed two readiness
 // checks, so the process must not exit at the signal.
-func TestLeavingHostForwardsUntilFabricStopsSendingPackets(t *testing.T) {
+func TestShuttingDownHostForwardsUntilFabricStopsSendingPackets(t *testing.T) {
 	f := newFleet(t, 2)
 	c := f.caller(1, readRoute)
 	c.open("a1", 0)
--- a/core/steerer/fuzz_test.go
+++ b/core/steerer/fuzz_test.go
@@ -79,7 +79,7 @@
 	lastTargetID int
 	// services holds the services that each route was ever allowed to use.
 	services     map[string]string
-	dead         map[string]bool
+	crashed      map[string]bool
 	drainedSince map[string]timekeeper.Instant
 	// malformed holds the targets whose entries were replaced by malformed ones.
 	malformed []steerer.Target
@@ -93,7 +93,7 @@
 func newModel(t *rapid.T) *model {
 	f := newFleet(t, 2, 2, 1)
 	return &model{
-		f: f, services: map[string]string{}, dead: map[string]bool{}, drainedSince: map[string]timekeeper.Instant{},
+		f: f, services: map[string]string{}, crashed: map[string]bool{}, drainedSince: map[string]timekeeper.Instant{},
 		versions: map[string]uint64{}, checked: map[string]int{}, resets: map[string]int{},
 	}
 }
@@ -122,13 +122,13 @@
 	c := m.f.caller(m.lastCaller, routes()[at].Address)
 	name := m.host(t)
 	c.open(name, 0)
-	if c.target == "" || m.dead[c.target] {
+	if c.target == "" || m.crashed[c.target] {
 		return // The flow does not open; its caller retries.
 	}
 	require.Equal(t, route.service, m.serviceOf(c.target), "flow %d", m.lastCaller)
 	if since, ok := m.drainedSince[c.target]; ok {
-		calm := m.f.now.Since(m.lastDisturbance) > 4*time.Second
-		require.False(t, calm && m.f.now.Since(since) > 3*time.Second, "flow %d went to %s, which drains", m.lastCaller, c.target)
+		undisturbed := m.f.now.Since(m.lastDisturbance) > 4*time.Second
+		require.False(t, undisturbed && m.f.now.Since(since) > 3*time.Second, "flow %d went to %s, which drains", m.lastCaller, c.target)
 	}
 	c.establish(name)
 	m.flows = append(m.flows, &oracleFlow{caller: c, kind: route.kind})
@@ -155,7 +155,7 @@
 		name := m.host(t)
 		m.sendAndCheck(t, name, c.sendRequest)
 		m.f.step(time.Duration(rapid.IntRange(0, 1).Draw(t, "ticks")) * steerer.TickInterval)
-		if !m.dead[c.target] && !c.stateLost {
+		if !m.crashed[c.target] && !c.stateLost {
 			c.ackResponse(name)
 		}
 	}
@@ -243,7 +243,7 @@
 	id := m.target(t)
 	old := m.f.targets[id]
 	m.f.probeOutcomes[id] = rapid.SampledFrom([]steerer.ProbeOutcome{steerer.ProbeConnectTimeout, steerer.ProbeRefused, steerer.ProbeWrongTarget}).Draw(t, "outcome")
-	m.dead[id] = true
+	m.crashed[id] = true
 	m.f.remove(id)
 	if rapid.Bool().Draw(t, "reused") {
 		service := "ledger"
@@ -360,7 +360,7 @@
 		return
 	}
 	c := m.flows[at]
-	require.True(t, m.dead[c.target] || c.stateLost, "%s reset a flow of %s, which lives", name, c.target)
+	require.True(t, m.crashed[c.target] || c.stateLost, "%s reset a flow of %s, which lives", name, c.target)
 	require.Equal(t, steerer.KindIdempotent, c.kind, "%s reset a flow that may have run", name)
 	m.flows = slices.Delete(m.flows, at, at+1)
 }
--- a/core/steerer/health.go
+++ b/core/steerer/health.go
@@ -122,16 +122,16 @@
 }
 
 // probe probes a target that may be unresponsive, unless it was probed recently.
-func (s *Steerer) probe(t *target, patience time.Duration) {
+func (s *Steerer) probe(t *target, timeout time.Duration) {
 	h := &t.health
 	if h.probing || !h.probeDeadline.Passed(s.now) {
 		return
 	}
 	h.probing = true
-	h.probeTimeout = patience
+	h.probeTimeout = timeout
 	h.probeDeadline = s.now.Add(minProbeInterval)
-	s.counts.add(ProbeSent)
-	s.emit(&Probe{Target: t.ID, Incarnation: t.Incarnation, Address: t.Address, Path: s.settings.healthPath(t.Service), Timeout: patience})
+	s.counters.add(ProbeSent)
+	s.emit(&Probe{Target: t.ID, Incarnation: t.Incarnation, Address: t.Address, Path: s.settings.healthPath(t.Service), Timeout: timeout})
 }
 
 // probeCompleted handles the outcome of a probe.
@@ -176,9 +176,9 @@
 	if h.lastProgress.Add(e.Took) > s.now {
 		return // A flow has made progress while the probe was in flight.
 	}
-	short := h.probeTimeout < diagnoser.MaxResponseTimeout
+	shortProbe := h.probeTimeout < diagnoser.MaxResponseTimeout
 	s.recordZoneSilence(t)
-	if e.Outcome == ProbeConnectTimeout && short {
+	if e.Outcome == ProbeConnectTimeout && shortProbe {
 		s.probe(t, diagnoser.MaxResponseTimeout) // Only a long probe is conclusive.
 		return
 	}
@@ -203,9 +203,9 @@
 func (s *Steerer) recordZoneSilence(found *target) {
 	h := &found.health
 	h.probeDeadline = s.now
-	known := s.diagnoser.ZoneSuspect(found.AvailabilityZone, s.now)
+	alreadySuspect := s.diagnoser.ZoneSuspect(found.AvailabilityZone, s.now)
 	s.diagnoser.ObserveUnresponsive(found.AvailabilityZone, h.suspectSince, s.now)
-	if known || !s.diagnoser.ZoneSuspect(found.AvailabilityZone, s.now) {
+	if alreadySuspect || !s.diagnoser.ZoneSuspect(found.AvailabilityZone, s.now) {
 		return
 	}
 	s.log("zoneSilent", field("zone", found.AvailabilityZone), field("target", found.ID), field("sinceMillis", formatAge(s.now, h.suspectSince)))
@@ -222,7 +222,7 @@
 func (s *Steerer) resetWaitingFlows(t *target) {
 	for _, key := range s.flowsTo(t) {
 		f := s.flows[key]
-		if !f.awaitingResponse && f.paced == nil || !f.route.Kind.retryable() {
+		if !f.awaitingResponse && f.queued == nil || !f.route.Kind.retryable() {
 			continue
 		}
 		p := Packet{Caller: key.caller, Service: key.service, Acknowledged: f.acknowledged}
--- a/core/steerer/held_packets.go
+++ b/core/steerer/held_packets.go
@@ -55,11 +55,11 @@
 // retransmission replaces the packet that it repeats: both at once would look like an
 // unresponsive target.
 func (s *Steerer) holdPacket(p *Packet) {
-	kept := *p
-	kept.Data = slices.Clone(p.Data)
+	held := *p
+	held.Data = slices.Clone(p.Data)
 	for i := range s.heldPackets {
 		if s.heldPackets[i].packet.retransmits(p) {
-			s.heldPackets[i].packet = kept
+			s.heldPackets[i].packet = held
 			return
 		}
 	}
@@ -67,7 +67,7 @@
 		s.dropUnroutable(p, "tooMany")
 		return
 	}
-	s.heldPackets = append(s.heldPackets, heldPacket{packet: kept, deadline: s.now.Add(heldPacketTimeout)})
+	s.heldPackets = append(s.heldPackets, heldPacket{packet: held, deadline: s.now.Add(heldPacketTimeout)})
 }
 
 // releaseHeldPackets forwards held packets as soon as this host is ready, and drops those
@@ -99,7 +99,7 @@
 // dropUnroutable drops a packet that this host cannot forward yet. Its caller retransmits
 // it.
 func (s *Steerer) dropUnroutable(p *Packet, reason string) {
-	s.counts.add(DropNotReady)
+	s.counters.add(DropNotReady)
 	s.log("packetDropped", field("flow", p.Caller.String()), field("reason", reason),
 		field("version", formatUint(s.version())), field("targetsAgeMillis", s.targetsAge()))
 }
--- a/core/steerer/large_bench_test.go
+++ b/core/steerer/large_bench_test.go
@@ -71,7 +71,7 @@
 	fleet   largeFleet
 	targets []steerer.Target
 	steerer *steerer.Steerer
-	sealer  *encoder.MessageCodec
+	codec   *encoder.MessageCodec
 	now     timekeeper.Instant
 	// sameZone and crossZone hold one report from each other host of the local zone and of
 	// other zones.
@@ -90,7 +90,7 @@
 }
 
 func newLargeHost(l largeFleet) *largeHost {
-	h := &largeHost{fleet: l, targets: l.list(), now: timekeeper.Instant(2 * time.Second), revision: 1, sealer: encoder.New("a0", nil)}
+	h := &largeHost{fleet: l, targets: l.list(), now: timekeeper.Instant(2 * time.Second), revision: 1, codec: encoder.New("a0", nil)}
 	h.steerer = steerer.New(steerer.Config{
 		Self: "a0", Address: netip.MustParseAddrPort("10.1.0.1:7000"), AvailabilityZone: "a", MaxFlows: 100_000,
 		SettingsPropagationLimit: 5 * time.Second, DrainingPropagationLimit: 5 * time.Second, LinkBytesPerSecond: 1_250_000, Start: timekeeper.Instant(time.Second),
@@ -297,12 +297,12 @@
 
 func (h *largeHost) benchSeconds(b *testing.B, changes int) {
 	f := &fleet{}
-	sealed := [2]int{}
+	encodedBytes := [2]int{}
 	reports := [2]int{}
 	for b.Loop() {
 		h.runSecond(f, 20, changes)
 		for _, e := range h.sent {
-			data, err := h.sealer.Encode(e.Host, e.Report)
+			data, err := h.codec.Encode(e.Host, e.Report)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -310,12 +310,12 @@
 			if e.Report.ReceiverZoneHosts != 0 {
 				kind = 1
 			}
-			sealed[kind] += len(data)
+			encodedBytes[kind] += len(data)
 			reports[kind]++
 		}
 		h.sent = h.sent[:0]
 	}
-	b.ReportMetric(float64(sealed[0])/float64(max(reports[0], 1)), "B/near")
-	b.ReportMetric(float64(sealed[1])/float64(max(reports[1], 1)), "B/far")
+	b.ReportMetric(float64(encodedBytes[0])/float64(max(reports[0], 1)), "B/near")
+	b.ReportMetric(float64(encodedBytes[1])/float64(max(reports[1], 1)), "B/far")
 	b.ReportMetric(float64(reports[0]+reports[1])/float64(b.N), "reports")
 }
--- a/core/steerer/malformed.go
+++ b/core/steerer/malformed.go
@@ -20,7 +20,7 @@
 	for _, entry := range entries {
 		t, known := s.targets.byID[entry.ID]
 		if !s.loggedMalformed[entry.Digest] {
-			s.counts.add(TargetMalformed)
+			s.counters.add(TargetMalformed)
 			s.log("targetMalformed", field("target", entry.ID), field("error", entry.Err.Error()),
 				field("known", formatBool(known)), field("revision", seen.String()))
 		}
@@ -36,11 +36,11 @@
 
 // retainMalformed returns the logged entries that are still in a full list.
 func (s *Steerer) retainMalformed(entries []MalformedTarget) map[uint64]bool {
-	still := map[uint64]bool{}
+	retained := map[uint64]bool{}
 	for _, entry := range entries {
 		if s.loggedMalformed[entry.Digest] {
-			still[entry.Digest] = true
+			retained[entry.Digest] = true
 		}
 	}
-	return still
+	return retained
 }
--- a/core/steerer/median.go
+++ b/core/steerer/median.go
@@ -47,10 +47,10 @@
 //
 // Without this, when a host starts during a load peak, its first response is a queued one,
 // and later samples do not correct the estimate for minutes.
-func (u *medianEstimator) add(took time.Duration, doubtful bool) {
+func (u *medianEstimator) add(took time.Duration, distorted bool) {
 	u.samples++
 	step := 1 + max(medianStep, 1/float64(u.samples))
-	if doubtful && u.known() {
+	if distorted && u.known() {
 		step = 1 + distortedMedianStep
 	}
 	switch {
--- a/core/steerer/missing.go
+++ b/core/steerer/missing.go
@@ -25,7 +25,7 @@
 // target nor resets the flows of callers that wait for it. The symptom is flows that get no
 // response to any request, with a log line for each dropped packet on one host only.
 func (s *Steerer) needsMissingTargets() bool {
-	return !s.asking.missingTargetsKnown && s.canRoute() && !s.config.Start.Add(missingTargetsSyncWindow).Passed(s.now)
+	return !s.peerSync.missingTargetsKnown && s.canRoute() && !s.config.Start.Add(missingTargetsSyncWindow).Passed(s.now)
 }
 
 // pickMissingTargetsPeer picks one of the hosts that were running before this one; nil if
@@ -48,15 +48,15 @@
 
 // missingTargetStates lists the missing targets, those that went missing last first.
 func (s *Steerer) missingTargetStates() []messenger.TargetState {
-	var gone []*target
-	for _, t := range s.targets.gone {
+	var missing []*target
+	for _, t := range s.targets.missing {
 		if t.missing {
-			gone = append(gone, t)
+			missing = append(missing, t)
 		}
 	}
-	slices.SortStableFunc(gone, func(x, y *target) int { return cmp.Compare(y.missingSince, x.missingSince) })
+	slices.SortStableFunc(missing, func(x, y *target) int { return cmp.Compare(y.missingSince, x.missingSince) })
 	var states []messenger.TargetState
-	for _, t := range gone[:min(len(gone), maxMissingTargetsSent)] {
+	for _, t := range missing[:min(len(missing), maxMissingTargetsSent)] {
 		states = append(states, s.targetState(t))
 	}
 	return states
@@ -64,22 +64,22 @@
 
 // applyMissingTargets records targets that were missing before this host started. Information
 // from another era is overridden by any from the current one.
-func (s *Steerer) applyMissingTargets(k *messenger.SyncResponse, from string) {
-	s.asking.missingTargetsKnown = true
-	for _, state := range k.MissingTargets {
+func (s *Steerer) applyMissingTargets(response *messenger.SyncResponse, from string) {
+	s.peerSync.missingTargetsKnown = true
+	for _, state := range response.MissingTargets {
 		number, valid := ParseTargetNumber(state.ID)
 		if _, known := s.targets.byID[state.ID]; known || !valid {
 			continue
 		}
 		seen := sequencer.At(s.targetsPosition.Era, 0)
-		if k.TargetsEra == seen.Era {
+		if response.TargetsEra == seen.Era {
 			seen = seen.WithRevision(state.Revision)
 		}
 		t, _ := s.targets.upsert(targetFromState(state, number))
 		t.missing = true
 		s.targets.recordState(t, seen)
-		s.targets.markGone(t)
+		s.targets.markMissing(t)
 		t.missingSince = s.now
 	}
-	s.log("goneTargetsKnown", field("targets", formatInt(len(k.MissingTargets))), field("from", from))
+	s.log("goneTargetsKnown", field("targets", formatInt(len(response.MissingTargets))), field("from", from))
 }
--- a/core/steerer/missing_test.go
+++ b/core/steerer/missing_test.go
@@ -11,10 +11,10 @@
 // crashAndDelist makes a target unresponsive and removes it from the list while a read is
 // open at it, and returns the read.
 func crashAndDelist(f *fleet) *caller {
-	read := openOn(f, "a1", silentTarget, 0, true)
-	f.probeOutcomes[silentTarget] = steerer.ProbeConnectTimeout
+	read := openOn(f, "a1", unresponsiveTarget, 0, true)
+	f.probeOutcomes[unresponsiveTarget] = steerer.ProbeConnectTimeout
 	f.step(time.Second)
-	f.remove(silentTarget)
+	f.remove(unresponsiveTarget)
 	f.step(4 * time.Second)
 	return read
 }
@@ -38,7 +38,7 @@
 
 	fresh := f.caller(900, readRoute)
 	fresh.open("a2", 0)
-	require.NotEqual(t, silentTarget, fresh.target, "it gets no new flows")
+	require.NotEqual(t, unresponsiveTarget, fresh.target, "it gets no new flows")
 }
 
 // All hosts start at once, so none knows of missing targets. Guards against a request that
--- a/core/steerer/path.go
+++ b/core/steerer/path.go
@@ -21,9 +21,9 @@
 	// handshakes happen every second.
 	slowHandshakeHold = 2 * time.Second
 	// linkLoadWindow is the window over which the bytes on the host's link are counted, and
-	// busyLinkShare the fraction of the link's capacity in it above which the link is busy.
-	linkLoadWindow = 100 * time.Millisecond
-	busyLinkShare  = 0.5
+	// busyLinkFraction the fraction of the link's capacity in it above which the link is busy.
+	linkLoadWindow   = 100 * time.Millisecond
+	busyLinkFraction = 0.5
 	// maxHarmlessQueueDelay is the queueing delay in the link up to which the path does not
 	// count as slow: as long as a slow handshake. A queue holds at most one window of each
 	// bulk flow.
@@ -31,10 +31,10 @@
 	// bulkPacketBytes is the size from which a packet belongs to a large request; large
 	// requests are sent in full packets.
 	bulkPacketBytes = 1000
-	// bulkTransferShare is the fraction of the link's capacity above which reads of the
+	// bulkTransferFraction is the fraction of the link's capacity above which reads of the
 	// platform and responses between hosts delay the packets of flows: such a transfer
 	// takes all capacity that the flows leave.
-	bulkTransferShare = 0.3
+	bulkTransferFraction = 0.3
 	// fullLinkHold is how long a full link marks the path as slow: longer than a caller's
 	// first retransmission timeout and the probe that follows.
 	fullLinkHold = 600 * time.Millisecond
@@ -96,7 +96,7 @@
 	p.receivedBytes += received
 	p.sentBytes += sent
 	rate := float64(s.config.LinkBytesPerSecond)
-	if float64(max(p.receivedBytes, p.sentBytes)) <= rate*linkLoadWindow.Seconds()*busyLinkShare {
+	if float64(max(p.receivedBytes, p.sentBytes)) <= rate*linkLoadWindow.Seconds()*busyLinkFraction {
 		return
 	}
 	queueDelay := time.Duration(float64(p.bulkFlows*windowBytes) / rate * float64(time.Second))
@@ -113,7 +113,7 @@
 // their flows are reset.
 func (s *Steerer) recordTransfers(received, sent int) {
 	rate := float64(s.config.LinkBytesPerSecond)
-	if rate > 0 && float64(max(received, sent)) > rate*TickInterval.Seconds()*bulkTransferShare {
+	if rate > 0 && float64(max(received, sent)) > rate*TickInterval.Seconds()*bulkTransferFraction {
 		s.markPathSlow("transfer", TickInterval, fullLinkHold)
 	}
 }
--- a/core/steerer/path_test.go
+++ b/core/steerer/path_test.go
@@ -8,12 +8,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-const silentTarget = "i-10000001"
+const unresponsiveTarget = "i-10000001"
 
 // stallRequest lets a caller retransmit a request once while the probe of its target times
 // out.
 func stallRequest(f *fleet, read *caller) {
-	f.probeOutcomes[silentTarget] = steerer.ProbeConnectTimeout
+	f.probeOutcomes[unresponsiveTarget] = steerer.ProbeConnectTimeout
 	read.sendRequest("a1")
 	f.step(200 * time.Millisecond)
 	read.retransmit("a1")
@@ -26,7 +26,7 @@
 // must not make the target unreachable.
 func TestSlowPathDoesNotMakeTargetsUnreachable(t *testing.T) {
 	f := newFleet(t, 1)
-	read := openOn(f, "a1", silentTarget, 0, true)
+	read := openOn(f, "a1", unresponsiveTarget, 0, true)
 	f.step(3 * time.Second)
 	late := f.caller(900, readRoute)
 	late.open("a1", 0)
@@ -45,7 +45,7 @@
 // target becomes unresponsive, the ordinary handshake time must not make the path slow.
 func TestDistantCallersDoNotMakeThePathSlow(t *testing.T) {
 	f := newFleet(t, 1)
-	read := openOn(f, "a1", silentTarget, 0, true)
+	read := openOn(f, "a1", unresponsiveTarget, 0, true)
 	f.kill("a1")
 	f.start("a1") // It has seen no handshake yet.
 	f.step(time.Second)
@@ -73,12 +73,12 @@
 	f.kill("a1")
 	f.start("a1")
 	f.step(time.Second)
-	read := openOn(f, "a1", silentTarget, 0, true)
+	read := openOn(f, "a1", unresponsiveTarget, 0, true)
 	upload := f.caller(900, uploadRoute)
 	upload.open("a1", 0)
 	upload.establish("a1")
 	f.step(3 * time.Second)
-	f.probeOutcomes[silentTarget] = steerer.ProbeConnectTimeout
+	f.probeOutcomes[unresponsiveTarget] = steerer.ProbeConnectTimeout
 	read.sendRequest("a1")
 	f.step(150 * time.Millisecond)
 	for range packets {
@@ -118,7 +118,7 @@
 // flow at another target, the time from the first opening packet is no handshake time.
 func TestResentOpeningsDoNotMakeThePathSlow(t *testing.T) {
 	f := newFleet(t, 1)
-	read := openOn(f, "a1", silentTarget, 0, true)
+	read := openOn(f, "a1", unresponsiveTarget, 0, true)
 	f.step(3 * time.Second)
 	fresh := f.caller(900, readRoute)
 	fresh.open("a1", 0)
--- a/core/steerer/pause.go
+++ b/core/steerer/pause.go
@@ -69,6 +69,6 @@
 }
 
 func (s *Steerer) dropStale(p *Packet) {
-	s.counts.add(DropStale)
+	s.counters.add(DropStale)
 	s.log("packetDropped", field("flow", p.Caller.String()), field("reason", "stale"))
 }
--- a/core/steerer/peers.go
+++ b/core/steerer/peers.go
@@ -90,8 +90,8 @@
 	flowsCursor int
 	// hash is the hash of the name, which orders hosts whose links are equal.
 	hash uint64
-	// busy counts the host's requests in flight by the target's tag.
-	busy map[uint32]uint16
+	// requestsInFlight counts the host's requests in flight by the target's tag.
+	requestsInFlight map[uint32]uint16
 	// inRecent and inLoaded are set while the host is in peers.recent and peers.loaded.
 	inRecent bool
 	inLoaded bool
@@ -116,8 +116,8 @@
 	loaded []*peer
 	// sweepDeadline is when to look next for hosts that have timed out.
 	sweepDeadline timekeeper.Instant
-	// zoneEpoch is the generation of zones when the warmer was last given the hosts.
-	zoneEpoch uint64
+	// warmerGeneration is the generation of zones when the warmer was last given the hosts.
+	warmerGeneration uint64
 	// reportNow requests a report at once.
 	reportNow bool
 	changes   pendingChanges
@@ -175,9 +175,9 @@
 		return // The regular reports reach all hosts in time.
 	}
 	var next []*peer
-	silence := s.aliveTimeout()
+	timeout := s.aliveTimeout()
 	for _, p := range s.peers.ordered() {
-		if p.presumedAlive(s.now, silence) && !s.readsBefore(p) {
+		if p.presumedAlive(s.now, timeout) && !s.readsBefore(p) {
 			next = append(next, p)
 		}
 	}
@@ -203,8 +203,8 @@
 
 // presumedAlive reports whether a host has reported recently to this host or, according to
 // reports, to any other.
-func (p *peer) presumedAlive(now timekeeper.Instant, silence time.Duration) bool {
-	return p.lastAlive != 0 && !p.shuttingDown && now.Since(p.lastAlive) < silence
+func (p *peer) presumedAlive(now timekeeper.Instant, timeout time.Duration) bool {
+	return p.lastAlive != 0 && !p.shuttingDown && now.Since(p.lastAlive) < timeout
 }
 
 // aliveCounts holds the numbers of hosts presumed alive. They are valid until deadline.
@@ -228,9 +228,9 @@
 	if len(s.peers.byName) > smallFleetSize {
 		l.deadline = s.now.Add(reportInterval)
 	}
-	silence, lost := s.aliveTimeout(), s.lostZones()
+	timeout, lost := s.aliveTimeout(), s.lostZones()
 	for _, p := range s.peers.ordered() {
-		if !p.presumedAlive(s.now, silence) || lost[p.zone] {
+		if !p.presumedAlive(s.now, timeout) || lost[p.zone] {
 			continue
 		}
 		l.all++
@@ -337,7 +337,7 @@
 		return !p.inRecent
 	})
 	s.peers.loaded = slices.DeleteFunc(s.peers.loaded, func(p *peer) bool {
-		if len(p.busy) > 0 && s.now.Since(p.lastReport) <= peerLoadRetention {
+		if len(p.requestsInFlight) > 0 && s.now.Since(p.lastReport) <= peerLoadRetention {
 			return false
 		}
 		s.applyPeerLoad(p, nil)
--- a/core/steerer/peersync.go
+++ b/core/steerer/peersync.go
@@ -56,8 +56,8 @@
 
 // recordNewerSettings records that another host has newer settings.
 func (s *Steerer) recordNewerSettings() {
-	if s.asking.settingsBehindSince == 0 {
-		s.asking.settingsBehindSince = s.now
+	if s.peerSync.settingsBehindSince == 0 {
+		s.peerSync.settingsBehindSince = s.now
 	}
 }
 
@@ -72,7 +72,7 @@
 // link for longer than syncInterval, and several that arrive at once would all be late.
 func (s *Steerer) syncTick() {
 	s.readIfPeersDoNotSync()
-	if s.awaitingFirstReads() || s.asking.inFlight || !s.asking.nextRequest.Passed(s.now) {
+	if s.awaitingFirstReads() || s.peerSync.inFlight || !s.peerSync.nextRequest.Passed(s.now) {
 		return
 	}
 	p := s.syncPeer()
@@ -82,8 +82,8 @@
 	if p == nil {
 		return
 	}
-	s.asking.inFlight = true
-	s.asking.nextRequest = s.now.Add(syncInterval)
+	s.peerSync.inFlight = true
+	s.peerSync.nextRequest = s.now.Add(syncInterval)
 	request := &messenger.SyncRequest{
 		SettingsNewerThan: s.version(), IncludeTargets: s.needsTargets(), IncludeMissing: s.needsMissingTargets(),
 		TargetsSince: s.targetsPosition.Revision, TargetsSinceEra: s.targetsPosition.Era,
@@ -109,7 +109,7 @@
 // awaitingFirstReads reports whether the first reads after this host's start may still
 // complete in time to avoid a sync request.
 func (s *Steerer) awaitingFirstReads() bool {
-	reading := s.reading.settings.reading || s.reading.targets.reading
+	reading := s.platformReads.settings.inFlight || s.platformReads.targets.inFlight
 	return reading && !s.config.Start.Add(firstReadGrace).Passed(s.now)
 }
 
@@ -119,12 +119,12 @@
 // If it did so earlier, the whole fleet would read the document, of a few hundred KB, from
 // the platform after each change, although other hosts have it compressed and closer.
 func (s *Steerer) readIfPeersDoNotSync() {
-	a := &s.asking
+	a := &s.peerSync
 	if a.settingsBehindSince == 0 {
 		return
 	}
 	if a.settingsBehindSince.Add(s.settingsSyncTimeout()).Passed(s.now) {
-		s.reading.settings.urgent = true
+		s.platformReads.settings.urgent = true
 		a.settingsBehindSince = s.now
 	}
 }
@@ -193,7 +193,7 @@
 	case !p.reportedRecently(s.now) || !p.position.Known():
 		return false
 	case s.inEndedEra():
-		return p.position.Era == s.reading.era
+		return p.position.Era == s.platformReads.era
 	case p.version != newest:
 		return false
 	}
@@ -204,7 +204,7 @@
 // that this host has not reached. A later position restarts the time only once the earlier
 // one is reached, because there is always a later one while targets change continuously.
 func (s *Steerer) trackAwaitedPosition(newest sequencer.Position) {
-	a := &s.asking
+	a := &s.peerSync
 	reached := a.awaitedSince != 0 && !s.targetsPosition.Before(a.awaitedPosition)
 	switch {
 	case !s.targetsPosition.Before(newest):
@@ -217,7 +217,7 @@
 
 // needsTargets reports whether to request targets from other hosts.
 func (s *Steerer) needsTargets() bool {
-	behind := s.asking.awaitedSince != 0 && s.asking.awaitedSince.Add(targetsLagTolerance).Passed(s.now)
+	behind := s.peerSync.awaitedSince != 0 && s.peerSync.awaitedSince.Add(targetsLagTolerance).Passed(s.now)
 	return !s.targetsPosition.Known() || s.inEndedEra() || behind
 }
 
@@ -232,85 +232,85 @@
 // handleSyncResponse applies the state that another host has sent. State that this host
 // learned itself in the meantime is kept if it is newer.
 func (s *Steerer) handleSyncResponse(e *SyncResponseReceived) {
-	s.asking.inFlight = false
+	s.peerSync.inFlight = false
 	if e.Err != nil {
-		pause := time.Duration(float64(syncRetryDelay) * (0.5 + s.random.Float64()))
-		s.asking.nextRequest = s.now.Add(pause)
+		delay := time.Duration(float64(syncRetryDelay) * (0.5 + s.random.Float64()))
+		s.peerSync.nextRequest = s.now.Add(delay)
 		s.log("hostNotAnswering", field("peer", e.From), field("error", e.Err.Error()))
 		return
 	}
-	k := e.Knowledge
-	if k.MissingComplete {
-		s.applyMissingTargets(k, e.From)
+	response := e.Response
+	if response.MissingComplete {
+		s.applyMissingTargets(response, e.From)
 	}
 	if e.Settings != nil {
 		s.applySettings(e.Settings, e.Document, e.From)
 	}
-	if k.SettingsRevision == s.version() && k.SettingsRevision != 0 {
-		s.applyConfirmation(&s.reading.settings, reportedRead{k.SettingsReadNumber, k.SettingsEra, k.SettingsAge}, e.From)
+	if response.SettingsRevision == s.version() && response.SettingsRevision != 0 {
+		s.applyConfirmation(&s.platformReads.settings, reportedRead{response.SettingsReadNumber, response.SettingsEra, response.SettingsAge}, e.From)
 	}
-	if k.TargetsRevision != 0 {
-		s.applyPeerTargets(k, e.From)
+	if response.TargetsRevision != 0 {
+		s.applyPeerTargets(response, e.From)
 	}
 }
 
 // applyPeerTargets applies the targets that another host knows. A response from a later era
 // than this host's targets is a full list, because changes never span eras. A response from
 // an ended era is used only if this host has no targets.
-func (s *Steerer) applyPeerTargets(k *messenger.SyncResponse, from string) {
-	position := sequencer.At(k.TargetsEra, k.TargetsRevision)
-	if position.Era < s.reading.era && s.targetsPosition.Known() {
+func (s *Steerer) applyPeerTargets(response *messenger.SyncResponse, from string) {
+	position := sequencer.At(response.TargetsEra, response.TargetsRevision)
+	if position.Era < s.platformReads.era && s.targetsPosition.Known() {
 		return
 	}
 	s.recordEra(position.Era, from)
-	listed := make(map[string]bool, len(k.Targets))
-	for _, state := range k.Targets {
+	listed := make(map[string]bool, len(response.Targets))
+	for _, state := range response.Targets {
 		listed[state.ID] = !state.Missing
-		s.applyTargetState(state, k.TargetsEra, from)
+		s.applyTargetState(state, response.TargetsEra, from)
 	}
 	if position.Before(s.targetsPosition) {
 		return
 	}
 	switch {
-	case k.Scope == messenger.ScopeFull, !position.ContinuesFrom(s.targetsPosition):
+	case response.Scope == messenger.ScopeFull, !position.ContinuesFrom(s.targetsPosition):
 		s.completeTargetList(listed, position, from)
-	case k.Scope == messenger.ScopeDelta:
+	case response.Scope == messenger.ScopeDelta:
 		s.targetsPosition = position
 	default:
 		return // The response may be incomplete; a later read fills the gap.
 	}
-	s.applyConfirmation(&s.reading.targets, reportedRead{k.TargetsReadNumber, k.TargetsEra, k.TargetsAge}, from)
+	s.applyConfirmation(&s.platformReads.targets, reportedRead{response.TargetsReadNumber, response.TargetsEra, response.TargetsAge}, from)
 }
 
 // SyncResponse builds the response to another host's sync request. The document is not
 // compressed yet.
 func (s *Steerer) SyncResponse(request *messenger.SyncRequest) *messenger.SyncResponse {
-	k := &messenger.SyncResponse{
+	response := &messenger.SyncResponse{
 		SettingsRevision:   s.version(),
-		SettingsAge:        age(s.now, s.reading.settings.confirmed),
-		SettingsReadNumber: s.reading.settings.confirmedRead,
-		SettingsEra:        s.reading.settings.era,
+		SettingsAge:        age(s.now, s.platformReads.settings.confirmed),
+		SettingsReadNumber: s.platformReads.settings.confirmedRead,
+		SettingsEra:        s.platformReads.settings.era,
 		TargetsEra:         s.targetsPosition.Era,
 	}
-	if k.SettingsRevision > request.SettingsNewerThan {
-		k.CompressedSettings = s.document
+	if response.SettingsRevision > request.SettingsNewerThan {
+		response.CompressedSettings = s.document
 	}
 	if request.IncludeMissing {
-		k.MissingTargets = s.missingTargetStates()
-		k.MissingComplete = true
+		response.MissingTargets = s.missingTargetStates()
+		response.MissingComplete = true
 	}
 	if !request.IncludeTargets {
-		return k
+		return response
 	}
-	k.TargetsRevision = s.targetsPosition.Revision
-	k.TargetsAge = age(s.now, s.reading.targets.confirmed)
-	k.TargetsReadNumber = s.reading.targets.confirmedRead
+	response.TargetsRevision = s.targetsPosition.Revision
+	response.TargetsAge = age(s.now, s.platformReads.targets.confirmed)
+	response.TargetsReadNumber = s.platformReads.targets.confirmedRead
 	var targets []*target
-	targets, k.Scope = s.targetsSince(sequencer.At(request.TargetsSinceEra, request.TargetsSince))
+	targets, response.Scope = s.targetsSince(sequencer.At(request.TargetsSinceEra, request.TargetsSince))
 	for _, t := range targets {
-		k.Targets = append(k.Targets, s.targetState(t))
+		response.Targets = append(response.Targets, s.targetState(t))
 	}
-	return k
+	return response
 }
 
 // targetsSince lists the targets to send to a host that knows all up to a position.
--- a/core/steerer/peersync_test.go
+++ b/core/steerer/peersync_test.go
@@ -31,5 +31,5 @@
 	}
 	h.syncRequestPending = false
 	at := h.syncRequests[len(h.syncRequests)-1]
-	h.steerer.Reduce(&steerer.SyncResponseReceived{At: h.now, From: at.Host, Knowledge: &messenger.SyncResponse{SettingsRevision: 1, Scope: messenger.ScopeDelta, TargetsRevision: h.revision - 1}})
+	h.steerer.Reduce(&steerer.SyncResponseReceived{At: h.now, From: at.Host, Response: &messenger.SyncResponse{SettingsRevision: 1, Scope: messenger.ScopeDelta, TargetsRevision: h.revision - 1}})
 }
--- a/core/steerer/peerzones.go
+++ b/core/steerer/peerzones.go
@@ -27,10 +27,10 @@
 func (z *peerZones) hosts(zone string) []*peer { return z.byZone[zone] }
 
 // countAlive counts the hosts of a zone that are presumed alive, given a timeout.
-func (z *peerZones) countAlive(zone string, now timekeeper.Instant, silence time.Duration) int {
+func (z *peerZones) countAlive(zone string, now timekeeper.Instant, timeout time.Duration) int {
 	count := 0
 	for _, p := range z.hosts(zone) {
-		if p.presumedAlive(now, silence) {
+		if p.presumedAlive(now, timeout) {
 			count++
 		}
 	}
--- a/core/steerer/platformread.go
+++ b/core/steerer/platformread.go
@@ -66,10 +66,10 @@
 	// index of the entry to overwrite next.
 	recentReads    [maxRecentReads]recentRead
 	nextRecentRead int
-	// staleAt is when a first response arrived that may have been seconds old.
-	staleAt timekeeper.Instant
-	reading bool
-	backoff time.Duration
+	// staleReadAt is when a first response arrived that may have been seconds old.
+	staleReadAt timekeeper.Instant
+	inFlight    bool
+	backoff     time.Duration
 	// retryDeadline is when the next read may start after a failed one.
 	retryDeadline timekeeper.Instant
 	// urgent requests a read regardless of the age.
@@ -154,44 +154,44 @@
 // due reports whether to read a source now. State that may be stale is assumed to have the
 // age at which the first reader reads again, so that this host reads again at once and the
 // others learn of it.
-func (src *source) due(now timekeeper.Instant, patience, firstPatience time.Duration) bool {
-	if src.reading || !src.retryDeadline.Passed(now) {
+func (src *source) due(now timekeeper.Instant, maxAge, firstReaderMaxAge time.Duration) bool {
+	if src.inFlight || !src.retryDeadline.Passed(now) {
 		return false
 	}
 	switch {
 	case src.urgent:
 		return true
 	case src.confirmed != 0:
-		return now.Since(src.confirmed) > patience
-	case src.staleAt != 0:
-		return now.Since(src.staleAt)+firstPatience > patience
+		return now.Since(src.confirmed) > maxAge
+	case src.staleReadAt != 0:
+		return now.Since(src.staleReadAt)+firstReaderMaxAge > maxAge
 	}
 	return true
 }
 
 // neverRead reports whether nothing was ever learned of a source.
-func (src *source) neverRead() bool { return src.confirmed == 0 && src.staleAt == 0 }
+func (src *source) neverRead() bool { return src.confirmed == 0 && src.staleReadAt == 0 }
 
 func (src *source) begin() {
-	src.reading = true
+	src.inFlight = true
 	src.urgent = false
 }
 
 // fail records that a read has failed. The jitter, from 0 to 1, keeps hosts that lost the
 // platform at the same time from reading again at the same time.
-func (src *source) fail(now timekeeper.Instant, fleetPause time.Duration, jitter float64) {
-	src.reading = false
+func (src *source) fail(now timekeeper.Instant, fleetRetryDelay time.Duration, jitter float64) {
+	src.inFlight = false
 	src.backoff = min(max(2*src.backoff, minReadBackoff), maxReadBackoff)
-	src.retryDeadline = now.Add(time.Duration(float64(max(src.backoff, fleetPause)) * (0.5 + jitter)))
+	src.retryDeadline = now.Add(time.Duration(float64(max(src.backoff, fleetRetryDelay)) * (0.5 + jitter)))
 }
 
 // succeed records that a read has succeeded.
 func (src *source) succeed(now timekeeper.Instant, mayBeStale bool, c confirmation) {
-	src.reading = false
+	src.inFlight = false
 	src.backoff = 0
 	src.retryDeadline = 0
 	if mayBeStale {
-		src.staleAt = now
+		src.staleReadAt = now
 		return
 	}
 	src.confirm(c, fromPlatform)
@@ -206,21 +206,21 @@
 // reports. A host that receives no update, because readers crashed, were partitioned or have
 // their reads denied by the platform, reads for itself.
 func (s *Steerer) readTick() {
-	settings, targets := &s.reading.settings, &s.reading.targets
+	settings, targets := &s.platformReads.settings, &s.platformReads.targets
 	if !s.due(targets, 0, s.config.DrainingPropagationLimit, 0) && !s.due(settings, 0, s.settingsPropagationLimit(), s.transferTime()) {
 		return // Not even the first in rank would read now, and computing a rank visits all hosts.
 	}
 	rank := s.rank()
 	if s.due(targets, rank, s.config.DrainingPropagationLimit, 0) {
 		targets.begin()
-		s.counts.add(TargetsReads)
+		s.counters.add(TargetsReads)
 		mayBeStale := targets.neverRead() && !s.targetsPosition.Known()
-		s.emit(&ReadTargets{ReadOptions{MayBeStale: mayBeStale, Since: s.targetsPosition, Era: s.reading.era}})
+		s.emit(&ReadTargets{ReadOptions{MayBeStale: mayBeStale, Since: s.targetsPosition, Era: s.platformReads.era}})
 	}
 	if s.due(settings, rank, s.settingsPropagationLimit(), s.transferTime()) && !s.settingsWaitForTargets() {
 		settings.begin()
-		s.counts.add(SettingsReads)
-		s.emit(&ReadSettings{ReadOptions{MayBeStale: settings.neverRead(), Era: s.reading.era}})
+		s.counters.add(SettingsReads)
+		s.emit(&ReadSettings{ReadOptions{MayBeStale: settings.neverRead(), Era: s.platformReads.era}})
 	}
 }
 
@@ -228,7 +228,7 @@
 // of the targets. Open flows, most of the traffic, need the targets only, and share the link,
 // and the platform's, with a document that may be far larger.
 func (s *Steerer) settingsWaitForTargets() bool {
-	return s.reading.settings.neverRead() && s.reading.targets.reading && !s.config.Start.Add(targetsReadHeadStart).Passed(s.now)
+	return s.platformReads.settings.neverRead() && s.platformReads.targets.inFlight && !s.config.Start.Add(targetsReadHeadStart).Passed(s.now)
 }
 
 // due reports whether to read a source now, given the time limit for its changes and the time
@@ -300,9 +300,9 @@
 	if err == nil {
 		return
 	}
-	s.counts.add(ReadsFailed)
-	if s.reading.failedSince == 0 {
-		s.reading.failedSince = s.now
+	s.counters.add(ReadsFailed)
+	if s.platformReads.failedSince == 0 {
+		s.platformReads.failedSince = s.now
 		s.log("platformLost", field("by", sourceName), field("error", err.Error()))
 	}
 }
@@ -310,7 +310,7 @@
 // platformRecovered ends an outage of the platform: it has responded to this host, or to one
 // that reports to it.
 func (s *Steerer) platformRecovered(by string) {
-	r := &s.reading
+	r := &s.platformReads
 	s.log("platformRegained", field("by", by), field("lostMillis", formatMillis(s.now.Since(r.failedSince))))
 	r.failedSince = 0
 	r.recoveredAt = s.now
@@ -325,14 +325,14 @@
 		src.fail(s.now, s.fleetRetryDelay(), s.random.Float64())
 		return false
 	}
-	if position.Era < s.reading.era {
+	if position.Era < s.platformReads.era {
 		src.fail(s.now, s.fleetRetryDelay(), s.random.Float64())
-		s.counts.add(ReadsFailed)
-		s.log("readSuperseded", field("position", position.String()), field("era", formatUint(s.reading.era)))
+		s.counters.add(ReadsFailed)
+		s.log("readSuperseded", field("position", position.String()), field("era", formatUint(s.platformReads.era)))
 		return false
 	}
 	s.recordEra(position.Era, fromPlatform)
-	if s.reading.failedSince != 0 {
+	if s.platformReads.failedSince != 0 {
 		s.platformRecovered(sourceName)
 	}
 	src.succeed(s.now, mayBeStale, confirmation{s.random.Uint64(), position.Era, started})
@@ -342,7 +342,7 @@
 // handleSettingsRead completes a read of what operators publish. A read that failed may still
 // have returned their evacuation orders.
 func (s *Steerer) handleSettingsRead(e *SettingsRead) {
-	accepted := s.finishRead(&s.reading.settings, "settings", e.Started, e.MayBeStale, e.Published.Orders.Position, e.Err)
+	accepted := s.finishRead(&s.platformReads.settings, "settings", e.Started, e.MayBeStale, e.Published.Orders.Position, e.Err)
 	if accepted || e.Err != nil {
 		orders := e.Published.Orders
 		orders.Position = guaranteedPosition(orders.Position, e.MayBeStale)
@@ -376,7 +376,7 @@
 
 // announceRead reports a read to the next readers, once for reads that started together.
 func (s *Steerer) announceRead(mayBeStale bool) {
-	if !mayBeStale && !s.reading.settings.reading && !s.reading.targets.reading {
+	if !mayBeStale && !s.platformReads.settings.inFlight && !s.platformReads.targets.inFlight {
 		s.reportToNextReaders()
 	}
 }
@@ -386,7 +386,7 @@
 	if s.settings != nil && settings.Version <= s.settings.Version {
 		return
 	}
-	settings = settings.keepUnreadableRoutes(s.settings)
+	settings = settings.withMalformedRoutesFrom(s.settings)
 	if s.settings != nil {
 		for _, route := range s.settings.Routes {
 			if _, ok := settings.RouteAt(route.Address); !ok {
@@ -405,7 +405,7 @@
 	s.settings = settings
 	s.document = document
 	s.settingsFrom = from
-	s.asking.settingsBehindSince = 0
+	s.peerSync.settingsBehindSince = 0
 	s.log("settingsAdopted", field("version", formatUint(settings.Version)), field("routes", formatInt(len(settings.Routes))), field("from", from))
 	for _, fault := range settings.RouteProblems {
 		s.log("routeMalformed", field("route", fault.Route), field("error", fault.Err.Error()), field("version", formatUint(settings.Version)))
@@ -415,8 +415,8 @@
 
 // handleTargetsRead completes a read of the targets.
 func (s *Steerer) handleTargetsRead(e *TargetsRead) {
-	accepted := s.finishRead(&s.reading.targets, "targets", e.Started, e.MayBeStale, e.List.Position, e.Err)
-	if s.reading.settings.neverRead() {
+	accepted := s.finishRead(&s.platformReads.targets, "targets", e.Started, e.MayBeStale, e.List.Position, e.Err)
+	if s.platformReads.settings.neverRead() {
 		s.readTick() // The settings have waited for the targets.
 	}
 	if !accepted {
--- a/core/steerer/platformread_test.go
+++ b/core/steerer/platformread_test.go
@@ -261,7 +261,7 @@
 	for _, name := range f.names[1:] {
 		f.start(name)
 	}
-	f.maxConcurrentAnswers = 1 // Limit of concurrent sync responses per host.
+	f.maxConcurrentSyncResponses = 1 // Limit of concurrent sync responses per host.
 	started := f.now
 	for slices.ContainsFunc(f.names, func(name string) bool { return !f.hosts[name].steerer.Ready() }) {
 		f.step(steerer.TickInterval)
@@ -327,8 +327,8 @@
 // is slow to process any input, has them within all of it.
 func TestSettingsReachSlowLinksInTime(t *testing.T) {
 	f := newFleet(t, 5, 5, 5, 4, 4)
-	f.settingsWithin, f.documentBytes, f.settingsReadTime = 6*time.Second, 300_000, 1600*time.Millisecond
-	f.maxConcurrentAnswers, f.answerDelay = 1, 200*time.Millisecond
+	f.settingsPropagationLimit, f.documentBytes, f.settingsReadTime = 6*time.Second, 300_000, 1600*time.Millisecond
+	f.maxConcurrentSyncResponses, f.syncResponseDelay = 1, 200*time.Millisecond
 	for _, name := range f.names {
 		f.kill(name)
 		f.hosts[name].linkBytesPerSecond = 250_000
@@ -337,7 +337,7 @@
 	f.step(15 * time.Second)
 	for version := uint64(2); version < 94; version++ {
 		deaf := f.names[int(version)%len(f.names)]
-		f.unansweredHosts, f.inboundDelay = map[string]bool{deaf: true}, map[string]time.Duration{deaf: 100 * time.Millisecond}
+		f.hostsWithoutSyncResponses, f.inboundDelay = map[string]bool{deaf: true}, map[string]time.Duration{deaf: 100 * time.Millisecond}
 		f.settings = newSettings(version, routes())
 		took := map[string]time.Duration{}
 		for clock := time.Duration(0); len(took) < len(f.names); clock += steerer.TickInterval {
@@ -350,7 +350,7 @@
 			f.step(steerer.TickInterval)
 		}
 		for _, name := range f.names {
-			if !f.unansweredHosts[name] {
+			if !f.hostsWithoutSyncResponses[name] {
 				require.LessOrEqual(t, took[name], 4*time.Second, name)
 			}
 		}
--- a/core/steerer/queueing.go
+++ b/core/steerer/queueing.go
@@ -25,8 +25,8 @@
 	flow    *flow
 	service *service
 	// packets are the request's packets as received from the caller.
-	packets [][]byte
-	arrived timekeeper.Instant
+	packets  [][]byte
+	queuedAt timekeeper.Instant
 }
 
 // mayQueue reports whether a request that begins on an open flow may be queued here.
@@ -38,7 +38,7 @@
 	if !f.route.Kind.retryable() || f.route.Timeout <= 0 {
 		return false
 	}
-	if s.leaving.started || f.target.health.unreachable() || s.paced >= maxQueuedRequests {
+	if s.shutdown.started || f.target.health.unreachable() || s.queued >= maxQueuedRequests {
 		return false
 	}
 	return v.load.Congested() && (f.target.queue.Len() > 0 || !v.load.HasCapacity(v.inFlight))
@@ -50,14 +50,14 @@
 	if !s.mayQueue(f, v) {
 		return false
 	}
-	f.paced = &queuedRequest{key: key, flow: f, service: v, packets: [][]byte{slices.Clone(p.Data)}, arrived: s.now}
+	f.queued = &queuedRequest{key: key, flow: f, service: v, packets: [][]byte{slices.Clone(p.Data)}, queuedAt: s.now}
 	if f.target.queue.Len() == 0 {
 		v.queuingTargets = append(v.queuingTargets, f.target)
 	}
-	f.target.queue.Add(f.paced, s.now, s.queueLimits(f.route))
-	v.paced++
-	s.paced++
-	s.counts.add(RequestQueued)
+	f.target.queue.Add(f.queued, s.now, s.queueLimits(f.route))
+	v.queued++
+	s.queued++
+	s.counters.add(RequestQueued)
 	return true
 }
 
@@ -77,13 +77,13 @@
 	switch {
 	case p.Flags.Has(FlagReset):
 		return false // The caller has closed the flow and expects no response.
-	case p.Flags.Has(FlagEnd) || len(f.paced.packets) == maxQueuedPackets:
-		s.forwardQueued(f.paced, "more")
+	case p.Flags.Has(FlagEnd) || len(f.queued.packets) == maxQueuedPackets:
+		s.forwardQueued(f.queued, "more")
 		return false
 	}
 	if end := p.Sequence + p.Length; sequenceAfter(end, f.sentEnd) {
 		f.sentEnd = end
-		f.paced.packets = append(f.paced.packets, slices.Clone(p.Data))
+		f.queued.packets = append(f.queued.packets, slices.Clone(p.Data))
 	}
 	return true
 }
@@ -97,9 +97,9 @@
 		s.resetFlow(&p, f, f.target, "routeRemoved")
 		return
 	}
-	f.pacedFor = s.now.Since(r.arrived)
+	f.queuedFor = s.now.Since(r.queuedAt)
 	s.log("requestPaced", field("flow", r.key.caller.String()), field("route", f.route.Name), field("target", f.target.ID),
-		field("heldMillis", formatMillis(f.pacedFor)), field("reason", reason), field("underWay", formatInt(r.service.inFlight)),
+		field("heldMillis", formatMillis(f.queuedFor)), field("reason", reason), field("underWay", formatInt(r.service.inFlight)),
 		field("window", fmt.Sprintf("%.1f", r.service.load.Window())), field("pressure", fmt.Sprintf("%.2f", r.service.load.Pressure())))
 	s.beginRequest(r.key, f, r.packets[0])
 	for _, data := range r.packets {
@@ -109,18 +109,18 @@
 
 // discardQueued drops the queued request of a flow, if there is one.
 func (s *Steerer) discardQueued(f *flow) {
-	if f.paced != nil {
+	if f.queued != nil {
 		s.dequeue(f)
 	}
 }
 
 // dequeue removes a flow's request from the queue of its target.
 func (s *Steerer) dequeue(f *flow) {
-	r, t := f.paced, f.target
+	r, t := f.queued, f.target
 	t.queue.Remove(r)
-	f.paced = nil
-	r.service.paced--
-	s.paced--
+	f.queued = nil
+	r.service.queued--
+	s.queued--
 	if t.queue.Len() == 0 {
 		r.service.queuingTargets = slices.DeleteFunc(r.service.queuingTargets, func(other *target) bool { return other == t })
 	}
@@ -136,7 +136,7 @@
 // forwardWithinWindow forwards queued requests of a service while its window has capacity,
 // those for the least loaded targets first.
 func (s *Steerer) forwardWithinWindow(v *service) {
-	for v.paced > 0 && v.load.HasCapacity(v.inFlight) {
+	for v.queued > 0 && v.load.HasCapacity(v.inFlight) {
 		r := s.nextToForward(v)
 		if r == nil {
 			return
@@ -170,7 +170,7 @@
 // queueTick forwards queued requests that are overdue, and those for which there is capacity.
 func (s *Steerer) queueTick() {
 	s.expireInFlight()
-	if s.paced == 0 {
+	if s.queued == 0 {
 		return
 	}
 	for _, name := range s.servicesWithQueue() {
@@ -189,7 +189,7 @@
 func (s *Steerer) servicesWithQueue() []string {
 	var names []string
 	for name, v := range s.services {
-		if v.paced > 0 {
+		if v.queued > 0 {
 			names = append(names, name)
 		}
 	}
--- a/core/steerer/queueing_test.go
+++ b/core/steerer/queueing_test.go
@@ -121,7 +121,7 @@
 // Guards against forwarding a request twice, or taking its target for unresponsive: when a
 // read is queued and its caller retransmits the packet, the retransmission must not overtake
 // the queued one.
-func TestRetransmitsOfAQueuedRequestAreNotForwarded(t *testing.T) {
+func TestRetransmissionsOfAQueuedRequestAreNotForwarded(t *testing.T) {
 	f, c, checks := hostWithQueuedRead(t)
 	before := len(f.hosts["a1"].sent)
 	f.step(200 * time.Millisecond)
@@ -176,7 +176,7 @@
 
 // Guards against callers that wait for a host that has exited: when SIGTERM arrives while
 // reads are queued, the host must forward them before it exits.
-func TestLeavingHostForwardsQueuedRequests(t *testing.T) {
+func TestHostForwardsQueuedRequestsOnShutdown(t *testing.T) {
 	f, c, _ := hostWithQueuedRead(t)
 	f.reduce("a1", &steerer.Shutdown{})
 	require.Zero(t, queuedRequests(f))
--- a/core/steerer/redispatch.go
+++ b/core/steerer/redispatch.go
@@ -74,12 +74,12 @@
 		return
 	}
 	var keys, notAccepted []flowKey
-	for _, check := range s.overdueOpenings {
-		f := s.flows[check.key]
-		if f != nil && f.target == t && !f.established && f.bufferedRequest != nil && f.openingSentAt == check.since {
-			keys = append(keys, check.key)
+	for _, timer := range s.overdueOpenings {
+		f := s.flows[timer.key]
+		if f != nil && f.target == t && !f.established && f.bufferedRequest != nil && f.openingSentAt == timer.since {
+			keys = append(keys, timer.key)
 			if f.certainlyNotAccepted() {
-				notAccepted = append(notAccepted, check.key)
+				notAccepted = append(notAccepted, timer.key)
 			}
 		}
 	}
@@ -110,16 +110,16 @@
 func (s *Steerer) redispatchQueued() {
 	c := &s.connections
 	for len(c.redispatchQueue) > 0 && c.redispatchesThisTick < maxRedispatchesPerTick {
-		check := c.redispatchQueue[0]
+		timer := c.redispatchQueue[0]
 		c.redispatchQueue = c.redispatchQueue[1:]
-		f := s.flows[check.key]
+		f := s.flows[timer.key]
 		if f == nil {
 			continue
 		}
 		f.queuedForRedispatch = false
-		if !f.established && f.bufferedRequest != nil && f.openingSentAt == check.since {
+		if !f.established && f.bufferedRequest != nil && f.openingSentAt == timer.since {
 			c.redispatchesThisTick++
-			s.redispatch(check.key, f)
+			s.redispatch(timer.key, f)
 		}
 	}
 }
@@ -153,7 +153,7 @@
 	if to == nil || to == f.target {
 		return // The caller retransmits, and is refused if there is still no other target.
 	}
-	s.counts.add(FlowRedispatched)
+	s.counters.add(FlowRedispatched)
 	s.log("flowSentOn", field("flow", key.caller.String()), field("from", f.target.ID), field("target", to.ID), field("waitedMillis", formatMillis(s.now.Since(f.openingSentAt))))
 	s.recordColdFlow(to)
 	s.moveFlow(f, to)
@@ -175,16 +175,16 @@
 
 // refuseAllFull refuses a flow because all targets are full.
 func (s *Steerer) refuseAllFull(p *Packet, c *placement) {
-	s.counts.add(RefusedFull)
+	s.counters.add(RefusedFull)
 	v := s.connections.constrained[c.service]
-	bound := v.limitFor(&c.route)
+	limit := v.limitFor(&c.route)
 	s.refuseFlow(p, "connections", field("service", c.service), field("priority", formatInt(c.route.Priority)), field("flows", formatInt(v.flows)), field("places", formatInt(v.capacity)),
-		field("bound", formatInt(bound.MaxFlows)), field("reserved", formatInt(bound.Reserved)), field("toldAgeMillis", formatAge(s.now, s.connections.lastFlowReport)))
+		field("bound", formatInt(limit.MaxFlows)), field("reserved", formatInt(limit.Reserved)), field("toldAgeMillis", formatAge(s.now, s.connections.lastFlowReport)))
 }
 
 // connectionsAt returns the estimated number of flows at a target and its connection limit;
 // both 0 if its service is not constrained.
-func (s *Steerer) connectionsAt(t *target) (flows, bound int) {
+func (s *Steerer) connectionsAt(t *target) (flows, limit int) {
 	v := s.connections.constrained[t.Service]
 	if v == nil {
 		return 0, 0
--- a/core/steerer/release_test.go
+++ b/core/steerer/release_test.go
@@ -30,7 +30,7 @@
 		f.addTarget(fmt.Sprintf("i-%08x", 0x30000000+n), "ledger", string(rune('a'+n%5)))
 	}
 	f.step(10 * time.Second)
-	f.reportBytes, f.answerBytes, f.syncRequests = 0, 0, 0
+	f.reportBytes, f.syncResponseBytes, f.syncRequests = 0, 0, 0
 	const ticks = int(time.Second / steerer.TickInterval)
 	done := 0
 	for tick := range ticks {
@@ -68,7 +68,7 @@
 func (f *fleet) trafficSummary(since timekeeper.Instant) string {
 	seconds := f.now.Since(since).Seconds() * float64(len(f.names))
 	return fmt.Sprintf("%.0f B/s of reports, %.0f B/s of answers, %.2f questions a second and host",
-		float64(f.reportBytes)/seconds, float64(f.answerBytes)/seconds, float64(f.syncRequests)/seconds)
+		float64(f.reportBytes)/seconds, float64(f.syncResponseBytes)/seconds, float64(f.syncRequests)/seconds)
 }
 
 // compressedSize is the size of a list of targets in bytes as sent in a sync response.
--- a/core/steerer/reports.go
+++ b/core/steerer/reports.go
@@ -48,8 +48,8 @@
 	s.compareTargets(r, p.name)
 	// It may have no state yet. In a large fleet a host that has state needs no immediate
 	// reply from each host that it reports to for the first time.
-	knowsNothing := r.SettingsRevision == 0 || r.TargetsRevision == 0
-	if firstReport && (knowsNothing || len(s.peers.byName) <= smallFleetSize || s.needsFlowReport(p)) {
+	lacksState := r.SettingsRevision == 0 || r.TargetsRevision == 0
+	if firstReport && (lacksState || len(s.peers.byName) <= smallFleetSize || s.needsFlowReport(p)) {
 		p.nextReport = 0
 		s.reportIfDue(p)
 	}
@@ -58,23 +58,23 @@
 
 // applyPeerLoad replaces a host's reported requests in flight. Only load that was added may
 // be subtracted later, because a target may not have been known when its load was reported.
-func (s *Steerer) applyPeerLoad(p *peer, busy map[uint32]uint16) {
-	for tag, n := range p.busy {
+func (s *Steerer) applyPeerLoad(p *peer, inFlight map[uint32]uint16) {
+	for tag, n := range p.requestsInFlight {
 		if t, ok := s.targets.byTag[Tag(tag)]; ok {
-			t.peersBusy = max(t.peersBusy-int(n), 0)
+			t.peersInFlight = max(t.peersInFlight-int(n), 0)
 		}
 	}
-	clear(p.busy)
-	if p.busy == nil && len(busy) > 0 {
-		p.busy = make(map[uint32]uint16, len(busy))
+	clear(p.requestsInFlight)
+	if p.requestsInFlight == nil && len(inFlight) > 0 {
+		p.requestsInFlight = make(map[uint32]uint16, len(inFlight))
 	}
-	for tag, n := range busy {
+	for tag, n := range inFlight {
 		if t, ok := s.reportedTarget(p, tag); ok {
-			t.peersBusy += int(n)
-			p.busy[tag] = n
+			t.peersInFlight += int(n)
+			p.requestsInFlight[tag] = n
 		}
 	}
-	if len(p.busy) > 0 && !p.inLoaded {
+	if len(p.requestsInFlight) > 0 && !p.inLoaded {
 		p.inLoaded = true
 		s.peers.loaded = append(s.peers.loaded, p)
 	}
@@ -97,7 +97,7 @@
 	case r.SettingsRevision > s.version():
 		s.recordNewerSettings()
 	case r.SettingsRevision == s.version() && r.SettingsRevision != 0:
-		s.applyConfirmation(&s.reading.settings, reportedRead{r.SettingsReadNumber, r.SettingsEra, r.SettingsAge}, from)
+		s.applyConfirmation(&s.platformReads.settings, reportedRead{r.SettingsReadNumber, r.SettingsEra, r.SettingsAge}, from)
 	}
 }
 
@@ -112,7 +112,7 @@
 	}
 	position := sequencer.At(r.TargetsEra, r.TargetsRevision)
 	if position.Known() && s.hasAllUpTo(position, r.TargetsDigest) {
-		s.applyConfirmation(&s.reading.targets, reportedRead{r.TargetsReadNumber, r.TargetsEra, r.TargetsAge}, from)
+		s.applyConfirmation(&s.platformReads.targets, reportedRead{r.TargetsReadNumber, r.TargetsEra, r.TargetsAge}, from)
 		s.advanceTo(position, from)
 	}
 }
@@ -123,8 +123,8 @@
 	if position.Era == s.targetsPosition.Era && !s.targetsPosition.Before(position) {
 		return true
 	}
-	ownDigest, known := s.targets.digestAt(position)
-	return (known && ownDigest == digest) || s.targets.digest() == digest
+	localDigest, known := s.targets.digestAt(position)
+	return (known && localDigest == digest) || s.targets.digest() == digest
 }
 
 // advanceTo records that another host has the same list of targets as of a position.
@@ -151,11 +151,11 @@
 // of it would make the state that the restore has undone look current, and no host would read
 // the new history until they have.
 func (s *Steerer) applyConfirmation(src *source, r reportedRead, from string) {
-	if r.age >= unknownAge || r.era < s.reading.era {
+	if r.age >= unknownAge || r.era < s.platformReads.era {
 		return
 	}
 	src.confirm(confirmation{r.read, r.era, s.now.Add(-r.age)}, from)
-	if failed := s.reading.failedSince; failed != 0 && src.confirmed > failed {
+	if failed := s.platformReads.failedSince; failed != 0 && src.confirmed > failed {
 		s.platformRecovered("peer")
 	}
 }
@@ -204,22 +204,22 @@
 
 // reportToNext reports to the next hosts of a queue, which it refills in random order with
 // the matching hosts when it is empty. It returns how many reports were sent.
-func (s *Steerer) reportToNext(order *[]*peer, count int, include func(*peer) bool) int {
+func (s *Steerer) reportToNext(queue *[]*peer, count int, include func(*peer) bool) int {
 	sent := 0
 	for range s.peers.sorted {
 		if sent == count {
 			break
 		}
-		if len(*order) == 0 {
-			*order = slices.DeleteFunc(slices.Clone(s.peers.ordered()), func(p *peer) bool { return !include(p) })
-			s.random.Shuffle(len(*order), func(i, j int) { (*order)[i], (*order)[j] = (*order)[j], (*order)[i] })
+		if len(*queue) == 0 {
+			*queue = slices.DeleteFunc(slices.Clone(s.peers.ordered()), func(p *peer) bool { return !include(p) })
+			s.random.Shuffle(len(*queue), func(i, j int) { (*queue)[i], (*queue)[j] = (*queue)[j], (*queue)[i] })
 		}
-		if len(*order) == 0 {
+		if len(*queue) == 0 {
 			break
 		}
-		last := len(*order) - 1
-		next := (*order)[last]
-		*order = (*order)[:last]
+		last := len(*queue) - 1
+		next := (*queue)[last]
+		*queue = (*queue)[:last]
 		if next.shuttingDown || s.peers.byName[next.name] != next {
 			continue
 		}
@@ -246,7 +246,7 @@
 }
 
 func (s *Steerer) sendReport(p *peer) {
-	s.counts.add(ReportsSent)
+	s.counters.add(ReportsSent)
 	s.emit(&SendReport{Host: p.name, Address: p.address, Report: s.buildReport(p)})
 }
 
@@ -280,14 +280,14 @@
 		Incarnation:        s.config.Incarnation,
 		Uptime:             s.now.Since(s.config.Start),
 		LinkBytesPerSecond: s.config.LinkBytesPerSecond,
-		Leaving:            s.leaving.started,
-		SettingsAge:        age(s.now, s.reading.settings.confirmed),
-		SettingsReadNumber: s.reading.settings.confirmedRead,
-		SettingsEra:        s.reading.settings.era,
+		Leaving:            s.shutdown.started,
+		SettingsAge:        age(s.now, s.platformReads.settings.confirmed),
+		SettingsReadNumber: s.platformReads.settings.confirmedRead,
+		SettingsEra:        s.platformReads.settings.era,
 		TargetsRevision:    s.targetsPosition.Revision,
 		TargetsEra:         s.targetsPosition.Era,
-		TargetsAge:         age(s.now, s.reading.targets.confirmed),
-		TargetsReadNumber:  s.reading.targets.confirmedRead,
+		TargetsAge:         age(s.now, s.platformReads.targets.confirmed),
+		TargetsReadNumber:  s.platformReads.targets.confirmedRead,
 		TargetsDigest:      s.targetsDigest(),
 		SettingsRevision:   s.version(),
 		OrdersRevision:     s.evacuator.Orders().Position.Revision,
@@ -302,7 +302,7 @@
 	}
 	if to.zone == s.config.AvailabilityZone {
 		observations := s.observeTargets()
-		r.InFlight, r.FastFailing, r.Unresponsive = observations.busy, observations.fastFailing, observations.silent
+		r.InFlight, r.FastFailing, r.Unresponsive = observations.inFlight, observations.fastFailing, observations.unresponsive
 		r.Slowdowns = s.slowdownReports()
 	} else {
 		r.ReceiverZoneHosts = len(s.peers.zones.hosts(to.zone))
@@ -330,7 +330,7 @@
 	if len(all) == 0 {
 		return
 	}
-	silence := s.aliveTimeout()
+	timeout := s.aliveTimeout()
 	start := s.random.IntN(len(all))
 	eligible := func(*peer) bool { return true }
 	if !to.hasState() && slices.ContainsFunc(all, (*peer).hasState) {
@@ -339,7 +339,7 @@
 	for i := range all {
 		p := all[(start+i)%len(all)]
 		s.peers.visits++
-		if p.name == to.name || !p.presumedAlive(s.now, silence) || !eligible(p) {
+		if p.name == to.name || !p.presumedAlive(s.now, timeout) || !eligible(p) {
 			continue
 		}
 		r.Hosts = append(r.Hosts, messenger.HostHint{Name: p.name, Address: p.address})
@@ -361,15 +361,15 @@
 
 // applyGossip records the hosts that a report names.
 func (s *Steerer) applyGossip(r *messenger.Report) {
-	for i, hint := range r.Hosts {
-		if hint.Name == s.config.Self {
+	for i, host := range r.Hosts {
+		if host.Name == s.config.Self {
 			continue
 		}
 		age := time.Duration(0)
 		if i < len(r.HostAgeTenths) {
 			age = time.Duration(r.HostAgeTenths[i]) * gossipAgeUnit
 		}
-		p := s.upsertPeer(hint.Name, hint.Address, age)
+		p := s.upsertPeer(host.Name, host.Address, age)
 		if p.linkBytesPerSecond == 0 && i < len(r.HostLinkBytesPerSecond) {
 			p.linkBytesPerSecond = r.HostLinkBytesPerSecond[i]
 		}
@@ -381,11 +381,11 @@
 
 // targetObservations is what a host reports of the targets to the others of its zone.
 type targetObservations struct {
-	// busy counts requests in flight by the target's tag. fastFailing and silent are the tags
+	// inFlight counts requests in flight by the target's tag. fastFailing and silent are the tags
 	// of targets that recently failed implausibly fast, or were unresponsive.
-	busy        map[uint32]uint16
-	fastFailing []uint32
-	silent      []uint32
+	inFlight     map[uint32]uint16
+	fastFailing  []uint32
+	unresponsive []uint32
 	// valid is set once the values were computed for the current event.
 	valid bool
 }
@@ -396,16 +396,16 @@
 	if s.ownReport.valid {
 		return &s.ownReport
 	}
-	s.ownReport = targetObservations{busy: map[uint32]uint16{}, valid: true}
+	s.ownReport = targetObservations{inFlight: map[uint32]uint16{}, valid: true}
 	for _, t := range s.targetsInUse() {
 		if n := t.pendingRequests + t.halfOpen; n > 0 {
-			s.ownReport.busy[uint32(t.tag)] = uint16(min(n, 1<<16-1))
+			s.ownReport.inFlight[uint32(t.tag)] = uint16(min(n, 1<<16-1))
 		}
 		if s.recentFastFailures(t) && len(s.ownReport.fastFailing) < maxFastFailures {
 			s.ownReport.fastFailing = append(s.ownReport.fastFailing, uint32(t.tag))
 		}
-		if s.recentlyUnreachable(t) && len(s.ownReport.silent) < maxReportedUnresponsive {
-			s.ownReport.silent = append(s.ownReport.silent, uint32(t.tag))
+		if s.recentlyUnreachable(t) && len(s.ownReport.unresponsive) < maxReportedUnresponsive {
+			s.ownReport.unresponsive = append(s.ownReport.unresponsive, uint32(t.tag))
 		}
 	}
 	return &s.ownReport
--- a/core/steerer/reports_internal_test.go
+++ b/core/steerer/reports_internal_test.go
@@ -27,5 +27,5 @@
 	s.Reduce(&TargetsRead{At: at, Started: at, List: TargetList{Position: sequencer.At(0, 1), Targets: []Target{{ID: "i-7", Number: 7, Service: "ledger", Slots: 3}}}})
 	report("a3", 4)
 	report("a2", 0)
-	require.Equal(t, 4, s.targets.byID["i-7"].peersBusy)
+	require.Equal(t, 4, s.targets.byID["i-7"].peersInFlight)
 }
--- a/core/steerer/restore.go
+++ b/core/steerer/restore.go
@@ -12,33 +12,33 @@
 // recordEra records that the platform has reached an era, according to a read or another
 // host. The first era that this host learns of does not indicate a restore.
 func (s *Steerer) recordEra(era uint64, by string) {
-	previous := s.reading.era
+	previous := s.platformReads.era
 	if era <= previous {
 		return
 	}
-	s.reading.era = era
-	knowsNothing := !s.targetsPosition.Known() && s.settings == nil
-	if previous == 0 || knowsNothing {
+	s.platformReads.era = era
+	lacksState := !s.targetsPosition.Known() && s.settings == nil
+	if previous == 0 || lacksState {
 		return
 	}
-	s.counts.add(StoreRestored)
+	s.counters.add(StoreRestored)
 	s.log("storeRestored", field("fromEra", formatUint(previous)), field("toEra", formatUint(era)), field("by", by),
 		field("version", formatUint(s.version())), field("revision", s.targetsPosition.String()), field("targetsAgeMillis", s.targetsAge()))
 }
 
 // inEndedEra reports whether this host's targets belong to an era that has ended.
 func (s *Steerer) inEndedEra() bool {
-	return s.targetsPosition.Known() && s.targetsPosition.Era < s.reading.era
+	return s.targetsPosition.Known() && s.targetsPosition.Era < s.platformReads.era
 }
 
 // rereadAfterRestore makes a host that found a restore by a read of its own read the other
 // source again, too. The other hosts learn of it from this one.
 func (s *Steerer) rereadAfterRestore() {
 	if s.inEndedEra() {
-		s.reading.targets.urgent = true
+		s.platformReads.targets.urgent = true
 	}
-	if orders := s.evacuator.Orders().Position; orders.Known() && orders.Era < s.reading.era {
-		s.reading.settings.urgent = true
+	if orders := s.evacuator.Orders().Position; orders.Known() && orders.Era < s.platformReads.era {
+		s.platformReads.settings.urgent = true
 	}
 }
 
--- a/core/steerer/sampling.go
+++ b/core/steerer/sampling.go
@@ -52,8 +52,8 @@
 // own.
 func (v *zoneView) idleTargetLoad() float64 {
 	load := v.penalty()
-	if v.slowness > 0 {
-		load += min(estimator.Slowdown(v.slowness)-1, maxSlowdownPenalty)
+	if v.logSlowdown > 0 {
+		load += min(estimator.Slowdown(v.logSlowdown)-1, maxSlowdownPenalty)
 	}
 	return load
 }
--- a/core/steerer/scaling_test.go
+++ b/core/steerer/scaling_test.go
@@ -31,6 +31,6 @@
 	t.Logf("targets %d, %d; hosts %d, %d", smallTargets, largeTargets, smallHosts, largeHosts)
 	require.LessOrEqual(t, float64(largeTargets), 1.1*float64(smallTargets))
 	// All hosts are counted a few times a second, regardless of events.
-	const looks = 12
-	require.LessOrEqual(t, largeHosts-smallHosts, uint64(measuredSeconds*looks*(large.hosts-small.hosts)))
+	const countsPerSecond = 12
+	require.LessOrEqual(t, largeHosts-smallHosts, uint64(measuredSeconds*countsPerSecond*(large.hosts-small.hosts)))
 }
--- a/core/steerer/service_load.go
+++ b/core/steerer/service_load.go
@@ -23,13 +23,13 @@
 
 // service is the load of a service as seen by this host.
 type service struct {
-	name string
-	load pacer.Load
-	room capacityState
+	name     string
+	load     pacer.Load
+	capacity capacityState
 	// inFlight counts the requests that this host has forwarded; paced counts those queued
 	// at it.
 	inFlight int
-	paced    int
+	queued   int
 	trials   estimator.TrialLimiter
 	// queuingTargets holds the targets for which requests are queued, in the order in which
 	// the first request of each was queued.
@@ -39,7 +39,7 @@
 func (s *Steerer) service(name string) *service {
 	v, ok := s.services[name]
 	if !ok {
-		v = &service{name: name, room: capacityState{admitter: admitter.New(), processingTimes: map[string]*medianEstimator{}}}
+		v = &service{name: name, capacity: capacityState{admitter: admitter.New(), processingTimes: map[string]*medianEstimator{}}}
 		s.services[name] = v
 	}
 	return v
@@ -94,13 +94,13 @@
 		return
 	}
 	v := s.service(f.target.Service)
-	changed := v.load.RecordResponse(pacer.Response{Latency: took, QueueDelay: f.pacedFor, BaselineLatency: u.median, Objective: f.route.LatencyObjective, InFlight: v.inFlight})
+	changed := v.load.RecordResponse(pacer.Response{Latency: took, QueueDelay: f.queuedFor, BaselineLatency: u.median, Objective: f.route.LatencyObjective, InFlight: v.inFlight})
 	if changed {
 		event := "serviceCalm"
 		if v.load.Congested() {
 			event = "servicePressed"
 		}
 		s.log(event, field("service", v.name), field("pressure", fmt.Sprintf("%.2f", v.load.Pressure())),
-			field("underWay", formatInt(v.inFlight)), field("paced", formatInt(v.paced)), field("tookMillis", formatMillis(took)), field("usualMillis", formatMillis(u.median)))
+			field("underWay", formatInt(v.inFlight)), field("paced", formatInt(v.queued)), field("tookMillis", formatMillis(took)), field("usualMillis", formatMillis(u.median)))
 	}
 }
--- a/core/steerer/settings.go
+++ b/core/steerer/settings.go
@@ -67,18 +67,18 @@
 // pickService picks a service by a flow's hash, in proportion to the weights.
 func (r Route) pickService(hash uint64) string {
 	total := 0
-	for _, share := range r.TrafficSplit {
-		total += share.Weight
+	for _, entry := range r.TrafficSplit {
+		total += entry.Weight
 	}
 	if total <= 0 {
 		return r.TrafficSplit[0].Service
 	}
 	at := int(hash % uint64(total))
-	for _, share := range r.TrafficSplit {
-		if at < share.Weight {
-			return share.Service
+	for _, entry := range r.TrafficSplit {
+		if at < entry.Weight {
+			return entry.Service
 		}
-		at -= share.Weight
+		at -= entry.Weight
 	}
 	return r.TrafficSplit[0].Service
 }
@@ -115,9 +115,9 @@
 }
 
 // MarshalText formats the problem for operators.
-func (f RouteProblem) MarshalText() ([]byte, error) { return []byte(f.String()), nil }
+func (p RouteProblem) MarshalText() ([]byte, error) { return []byte(p.String()), nil }
 
-func (f RouteProblem) String() string { return fmt.Sprintf("route %q: %v", f.Route, f.Err) }
+func (p RouteProblem) String() string { return fmt.Sprintf("route %q: %v", p.Route, p.Err) }
 
 // WithRouteProblems returns a copy of the settings with a list of routes that could not be
 // parsed.
@@ -127,19 +127,19 @@
 	return &next
 }
 
-// keepUnreadableRoutes returns the settings with the earlier version of the routes that could
+// withMalformedRoutesFrom returns the settings with the earlier version of the routes that could
 // not be parsed.
 //
 // Without this, if operators publish a route in a form that this host does not support yet,
 // the host would treat the route as removed, refuse its new flows and reset its open ones,
 // though the operators only changed a detail.
-func (s *Settings) keepUnreadableRoutes(earlier *Settings) *Settings {
+func (s *Settings) withMalformedRoutesFrom(earlier *Settings) *Settings {
 	if earlier == nil || len(s.RouteProblems) == 0 {
 		return s
 	}
 	routes := slices.Clone(s.Routes)
-	for _, fault := range s.RouteProblems {
-		route, known := earlier.routeByName(fault.Route)
+	for _, problem := range s.RouteProblems {
+		route, known := earlier.routeByName(problem.Route)
 		if _, taken := s.RouteAt(route.Address); known && !taken {
 			routes = append(routes, route)
 		}
--- a/core/steerer/shutdown.go
+++ b/core/steerer/shutdown.go
@@ -35,12 +35,12 @@
 // Without this, a process that exits at the signal drops every packet that the fabric still
 // sends it, for about a second, which shows as retransmissions and late responses at callers.
 func (s *Steerer) beginShutdown() {
-	if s.leaving.started {
+	if s.shutdown.started {
 		return
 	}
-	s.leaving.started = true
-	s.leaving.earliest = s.now.Add(minShutdownDelay)
-	s.leaving.latest = s.now.Add(maxShutdownDelay)
+	s.shutdown.started = true
+	s.shutdown.earliest = s.now.Add(minShutdownDelay)
+	s.shutdown.latest = s.now.Add(maxShutdownDelay)
 	for _, t := range s.targetsInUse() {
 		s.forwardAllQueued(t, "leaving")
 	}
@@ -48,7 +48,7 @@
 }
 
 func (s *Steerer) shutdownTick() {
-	l := &s.leaving
+	l := &s.shutdown
 	if !l.started || l.ended || !l.earliest.Passed(s.now) {
 		return
 	}
--- a/core/steerer/slots.go
+++ b/core/steerer/slots.go
@@ -79,8 +79,8 @@
 // usableSlots is what a target contributes to the capacity of its service if its zone can be
 // used.
 func (s *Steerer) usableSlots(t *target) microSlots {
-	lost := t.health.unreachable() || t.health.suspect || t.reportedUnresponsive(s.now)
-	if t.Draining || s.excludedAsMissing(t) || lost {
+	unresponsive := t.health.unreachable() || t.health.suspect || t.reportedUnresponsive(s.now)
+	if t.Draining || s.excludedAsMissing(t) || unresponsive {
 		return 0
 	}
 	speed := 1 / t.slowdownWithinZone()
--- a/core/steerer/status.go
+++ b/core/steerer/status.go
@@ -36,22 +36,22 @@
 	// 0. AlivePeers is the number of other hosts that are presumed alive.
 	Rank       int `json:"rank"`
 	AlivePeers int `json:"live"`
-	// PlatformLost is set while the platform responds neither to this host nor to a host that
+	// PlatformDown is set while the platform responds neither to this host nor to a host that
 	// reports to it.
-	PlatformLost bool `json:"platformLost"`
+	PlatformDown bool `json:"platformLost"`
 }
 
 // SyncStatus returns this host's current status.
 func (s *Steerer) SyncStatus() SyncStatus {
-	settings, targets := &s.reading.settings, &s.reading.targets
+	settings, targets := &s.platformReads.settings, &s.platformReads.targets
 	return SyncStatus{
 		Host: s.config.Self, AvailabilityZone: s.config.AvailabilityZone,
 		Version: s.version(), SettingsFrom: s.settingsFrom,
 		SettingsAge: age(s.now, settings.confirmed), SettingsConfirmedBy: settings.confirmedBy,
-		Era: s.reading.era, OrdersRevision: s.evacuator.Orders().Position.Revision, Evacuated: s.evacuator.Zones(),
+		Era: s.platformReads.era, OrdersRevision: s.evacuator.Orders().Position.Revision, Evacuated: s.evacuator.Zones(),
 		Revision: s.targetsPosition.Revision, TargetsEra: s.targetsPosition.Era,
 		TargetsAge: age(s.now, targets.confirmed), TargetsConfirmedBy: targets.confirmedBy,
-		Rank: s.rank(), AlivePeers: s.alivePeers(), PlatformLost: s.reading.failedSince != 0,
+		Rank: s.rank(), AlivePeers: s.alivePeers(), PlatformDown: s.platformReads.failedSince != 0,
 	}
 }
 
@@ -63,18 +63,18 @@
 	Address          string `json:"address"`
 	Slots            int    `json:"slots"`
 	// Flows counts the flows through this host. Busy counts those of them that wait for a
-	// response or are half-open, PeersBusy those of the zone's other hosts.
-	Flows     int `json:"flows"`
-	Busy      int `json:"busy"`
-	PeersBusy int `json:"peersBusy"`
-	// Paced counts the requests that are queued at this host for the target.
-	Paced int `json:"paced"`
-	// Slowness is the target's time per request as a multiple of the baseline; 1 is normal.
-	Slowness float64 `json:"slowness"`
-	// Connections is the estimated number of flows at the target, ConnectionsBound its
+	// response or are half-open, PeersInFlight those of the zone's other hosts.
+	Flows         int `json:"flows"`
+	InFlight      int `json:"busy"`
+	PeersInFlight int `json:"peersBusy"`
+	// Queued counts the requests that are queued at this host for the target.
+	Queued int `json:"paced"`
+	// Slowdown is the target's time per request as a multiple of the baseline; 1 is normal.
+	Slowdown float64 `json:"slowness"`
+	// Connections is the estimated number of flows at the target, ConnectionLimit its
 	// connection limit. Both are 0 unless connections of its service are constrained.
-	Connections      int `json:"connections,omitempty"`
-	ConnectionsBound int `json:"connectionsBound,omitempty"`
+	Connections     int `json:"connections,omitempty"`
+	ConnectionLimit int `json:"connectionsBound,omitempty"`
 	// AvoidReason is why new flows avoid the target; empty if only its load counts.
 	AvoidReason string `json:"avoided,omitempty"`
 }
@@ -83,11 +83,11 @@
 func (s *Steerer) TargetStatuses() []TargetStatus {
 	list := make([]TargetStatus, 0, len(s.targets.byID))
 	for _, t := range s.targets.ordered() {
-		flows, bound := s.connectionsAt(t)
+		flows, limit := s.connectionsAt(t)
 		list = append(list, TargetStatus{
 			Target: t.ID, Service: t.Service, AvailabilityZone: t.AvailabilityZone, Address: t.Address.String(), Slots: t.Slots,
-			Flows: t.flows, Busy: t.pendingRequests + t.halfOpen, PeersBusy: t.peersBusy, Paced: t.queue.Len(), Slowness: s.slowdown(t), AvoidReason: s.avoidReason(t),
-			Connections: flows, ConnectionsBound: bound,
+			Flows: t.flows, InFlight: t.pendingRequests + t.halfOpen, PeersInFlight: t.peersInFlight, Queued: t.queue.Len(), Slowdown: s.slowdown(t), AvoidReason: s.avoidReason(t),
+			Connections: flows, ConnectionLimit: limit,
 		})
 	}
 	return list
@@ -111,7 +111,7 @@
 		return "no answer for " + formatAge(s.now, t.health.unreachableSince) + " ms, last probe " + t.health.lastOutcome.String()
 	case t.health.suspect:
 		return "suspect, last progress " + formatAge(s.now, t.health.lastProgress) + " ms ago"
-	case t.believedFull && s.connections.constrained[t.Service] != nil:
+	case t.estimatedFull && s.connections.constrained[t.Service] != nil:
 		return "at its connection limit"
 	case s.failsFast(t):
 		return "answers more quickly than it can work"
--- a/core/steerer/status_test.go
+++ b/core/steerer/status_test.go
@@ -56,5 +56,5 @@
 	require.Equal(t, 1, reader.Rank+other.Rank)
 	f.deniedHosts["a1"] = true
 	f.step(3 * time.Second)
-	require.True(t, f.hosts["a1"].steerer.SyncStatus().PlatformLost)
+	require.True(t, f.hosts["a1"].steerer.SyncStatus().PlatformDown)
 }
--- a/core/steerer/steerer.go
+++ b/core/steerer/steerer.go
@@ -112,30 +112,30 @@
 	awaitedOpenings flowTimers
 	overdueOpenings flowTimers
 	// heldPackets are packets that came before this host was ready.
-	heldPackets []heldPacket
-	reading     platformReads
-	asking      peerSync
-	peers       peers
-	pause       pause
-	path        path
+	heldPackets   []heldPacket
+	platformReads platformReads
+	peerSync      peerSync
+	peers         peers
+	pause         pause
+	path          path
 	// baselines holds the baseline latency of each route, by route name.
 	baselines map[string]*medianEstimator
 	// services holds the load of each service; paced counts the requests queued at this
 	// host; inFlight holds the timers of the forwarded requests, the oldest first.
-	services map[string]*service
-	reach    peerVisibility
-	paced    int
-	inFlight flowTimers
-	leaving  shutdown
-	// estimating holds the slowdown estimates of targets and zones.
-	estimating slowdownEstimates
+	services   map[string]*service
+	visibility peerVisibility
+	queued     int
+	inFlight   flowTimers
+	shutdown   shutdown
+	// slowdowns holds the slowdown estimates of targets and zones.
+	slowdowns slowdownEstimates
 	// connections holds the state of services whose targets have a connection limit.
 	connections connectionState
 
 	effects   []Effect
 	forwards  []ForwardPacket
 	zoneViews []zoneView
-	counts    Counters
+	counters  Counters
 	// ownReport caches what this host's reports say about targets; it is valid during one
 	// event.
 	ownReport targetObservations
@@ -146,23 +146,23 @@
 // New returns the steerer of a host that has just started, without any state.
 func New(config Config) *Steerer {
 	// Hosts that start at the same time with the same seed must not make the same choices.
-	own := xxhash.Sum64String(config.Self)
+	selfHash := xxhash.Sum64String(config.Self)
 	s := &Steerer{
 		config:        config,
 		now:           config.Start,
-		random:        rand.New(rand.NewPCG(config.Seed^own, config.Incarnation)),
+		random:        rand.New(rand.NewPCG(config.Seed^selfHash, config.Incarnation)),
 		removedRoutes: map[netip.AddrPort]bool{},
 
 		loggedMalformed: map[uint64]bool{},
 
 		targets:   newTargetTable(config.AvailabilityZone),
-		selfHash:  own,
+		selfHash:  selfHash,
 		flows:     map[flowKey]*flow{},
 		peers:     newPeers(),
 		baselines: map[string]*medianEstimator{},
 		services:  map[string]*service{},
 
-		estimating: slowdownEstimates{zones: map[serviceZone]*estimator.Zone{}},
+		slowdowns: slowdownEstimates{zones: map[serviceZone]*estimator.Zone{}},
 
 		evacuator: evacuator.New(),
 		warmer:    warmer.New(config.Self, config.Start),
@@ -173,7 +173,7 @@
 	}
 	s.pause.lastTick = config.Start
 	if config.Bootstrap && !slices.Contains(config.Seeds, config.Address) {
-		s.reading.delayUntil(config.Start.Add(fleetStartGrace))
+		s.platformReads.delayUntil(config.Start.Add(fleetStartGrace))
 	}
 	return s
 }
@@ -220,7 +220,7 @@
 	s.connectionTick()
 	s.checkOpenings()
 	s.estimatesTick()
-	s.capacityTick()
+	s.refreshCapacities()
 	s.queueTick()
 	s.expireFlows()
 	s.targetsTick()
@@ -246,5 +246,5 @@
 
 // Ready reports whether the host can place new flows and the fabric should hand it packets.
 func (s *Steerer) Ready() bool {
-	return s.canRoute() && !s.leaving.started && !s.waitsForZone()
+	return s.canRoute() && !s.shutdown.started && !s.waitsForZone()
 }
--- a/core/steerer/target.go
+++ b/core/steerer/target.go
@@ -82,8 +82,8 @@
 	countedSlots microSlots
 	slotsStale   bool
 	// inUse and gone report whether the target is in the table's lists of these names.
-	inUse bool
-	gone  bool
+	inUse     bool
+	inMissing bool
 	// seenPosition is the position in the platform's history at which the state was first
 	// read. Of two states reported by hosts, the one with the later position is valid.
 	seenPosition sequencer.Position
@@ -111,9 +111,9 @@
 	// inRecentChanges reports whether the target is among the recent changes sent in
 	// reports.
 	inRecentChanges bool
-	// peersBusy is the sum of the in-flight requests reported by the other hosts of the
+	// peersInFlight is the sum of the in-flight requests reported by the other hosts of the
 	// zone.
-	peersBusy int
+	peersInFlight int
 
 	// queue holds the requests for the target that are queued at this host.
 	queue pacer.Queue[*queuedRequest]
@@ -122,9 +122,9 @@
 	// unreachable is valid.
 	reportedUnresponsiveDeadline timekeeper.Instant
 
-	// believedFull reports whether the target was last estimated to be at its connection
+	// estimatedFull reports whether the target was last estimated to be at its connection
 	// limit.
-	believedFull bool
+	estimatedFull bool
 	// foundFullAt is when a probe last showed that it was full.
 	foundFullAt timekeeper.Instant
 
@@ -140,4 +140,4 @@
 
 // inFlight returns how many requests a target has in flight, as far as the hosts of the
 // zone know.
-func (t *target) inFlight() int { return t.pendingRequests + t.halfOpen + t.peersBusy }
+func (t *target) inFlight() int { return t.pendingRequests + t.halfOpen + t.peersInFlight }
--- a/core/steerer/target_restart.go
+++ b/core/steerer/target_restart.go
@@ -38,16 +38,16 @@
 		s.forgetFlow(key, f)
 	}
 	t.health = health{}
-	t.believedFull = false
+	t.estimatedFull = false
 	t.foundFullAt = 0
 	s.connections.limiter.Forget(uint32(t.tag))
 	t.reportedUnresponsiveDeadline = 0
 	t.failures = estimator.FastFailures{}
 	t.slowdownEstimate = estimator.Target{}
 	for _, p := range s.peers.loaded {
-		delete(p.busy, uint32(t.tag))
+		delete(p.requestsInFlight, uint32(t.tag))
 	}
-	t.peersBusy = 0
+	t.peersInFlight = 0
 }
 
 // resendRequest sends a request in flight again to a target that has restarted, or forwards
@@ -59,8 +59,8 @@
 // must not send the reset itself: the flow may have been opened at the new incarnation
 // before this host learned of it, and then a duplicate request packet is harmless.
 func (s *Steerer) resendRequest(f *flow, t *target) {
-	if f.paced != nil {
-		for _, data := range f.paced.packets {
+	if f.queued != nil {
+		for _, data := range f.queued.packets {
 			s.forward(t, 0, data)
 		}
 		return
--- a/core/steerer/target_restart_test.go
+++ b/core/steerer/target_restart_test.go
@@ -54,13 +54,13 @@
 		requestAt(f, "a1", restartedTarget, 1000*(n+1))
 	}
 	f.step(300 * time.Millisecond)
-	require.Equal(t, 5, statusOf(f, "a1", restartedTarget).Busy)
-	require.Equal(t, 5, statusOf(f, "a2", restartedTarget).PeersBusy)
+	require.Equal(t, 5, statusOf(f, "a1", restartedTarget).InFlight)
+	require.Equal(t, 5, statusOf(f, "a2", restartedTarget).PeersInFlight)
 	f.restart(restartedTarget)
 	f.step(1300 * time.Millisecond)
-	require.Zero(t, statusOf(f, "a1", restartedTarget).Busy)
+	require.Zero(t, statusOf(f, "a1", restartedTarget).InFlight)
 	require.Zero(t, statusOf(f, "a1", restartedTarget).Flows)
-	require.Zero(t, statusOf(f, "a2", restartedTarget).PeersBusy)
+	require.Zero(t, statusOf(f, "a2", restartedTarget).PeersInFlight)
 }
 
 // Guards against a caller waiting until its deadline: when its target has acknowledged a
@@ -132,11 +132,11 @@
 	}
 	f.reduce("a1", &steerer.ReportReceived{From: "a2", Report: report})
 	f.reduce("a1", &steerer.ReportReceived{From: "a2", Report: report})
-	require.Zero(t, statusOf(f, "a1", restartedTarget).PeersBusy)
+	require.Zero(t, statusOf(f, "a1", restartedTarget).PeersInFlight)
 	later := *report
 	later.TargetsRevision = f.revision
 	f.reduce("a1", &steerer.ReportReceived{From: "a2", Report: &later})
-	require.Equal(t, 7, statusOf(f, "a1", restartedTarget).PeersBusy)
+	require.Equal(t, 7, statusOf(f, "a1", restartedTarget).PeersInFlight)
 }
 
 // Guards against some hosts using a restarted target while others do not: when one host
@@ -154,7 +154,7 @@
 	clear(f.cutLinks)
 	f.step(2 * time.Second)
 	for _, name := range []string{"a1", "b1", "c1"} {
-		require.Zero(t, statusOf(f, name, restartedTarget).Busy, name)
+		require.Zero(t, statusOf(f, name, restartedTarget).InFlight, name)
 	}
 }
 
--- a/core/steerer/target_selection.go
+++ b/core/steerer/target_selection.go
@@ -62,27 +62,27 @@
 	evacuated  bool
 	lastResort bool
 	suspect    bool
-	// slowness is the log slowdown (log2) of the service in this zone compared with its
+	// logSlowdown is the log slowdown (log2) of the service in this zone compared with its
 	// baseline.
-	slowness float64
+	logSlowdown float64
 }
 
 // evaluateZones returns the view of every zone. It is computed once per placement, since a
 // placement compares many targets of each zone.
 func (s *Steerer) evaluateZones(c *placement) []zoneView {
 	s.zoneViews = s.zoneViews[:0]
-	obeys := len(s.evacuator.Zones()) > 0 && !s.partitioned()
-	outOfTouch := s.ordersStale()
-	nowhere := obeys && s.allZonesEvacuated()
+	ordersApply := len(s.evacuator.Zones()) > 0 && !s.partitioned()
+	stale := s.ordersStale()
+	allEvacuated := ordersApply && s.allZonesEvacuated()
 	for _, zone := range s.targets.zones {
-		evacuated := obeys && s.evacuator.Evacuates(zone)
-		lastResort := evacuated && (outOfTouch || (nowhere && s.evacuator.PossiblyStale(zone, s.now)))
+		evacuated := ordersApply && s.evacuator.Evacuates(zone)
+		lastResort := evacuated && (stale || (allEvacuated && s.evacuator.PossiblyStale(zone, s.now)))
 		s.zoneViews = append(s.zoneViews, zoneView{
-			inRegion:   len(c.route.Regions) == 0 || slices.Contains(c.route.Regions, s.config.Regions[zone]),
-			evacuated:  evacuated && !lastResort,
-			lastResort: lastResort,
-			suspect:    s.diagnoser.ZoneSuspect(zone, s.now),
-			slowness:   s.zoneLogSlowdown(c.service, zone),
+			inRegion:    len(c.route.Regions) == 0 || slices.Contains(c.route.Regions, s.config.Regions[zone]),
+			evacuated:   evacuated && !lastResort,
+			lastResort:  lastResort,
+			suspect:     s.diagnoser.ZoneSuspect(zone, s.now),
+			logSlowdown: s.zoneLogSlowdown(c.service, zone),
 		})
 	}
 	return s.zoneViews
@@ -204,8 +204,8 @@
 	if s.isCold(t) {
 		load = (load + 1/float64(max(t.Slots, 1))) * warmUpLoadFactor
 	}
-	if slowness := view.slowness + t.slowdownEstimate.LogSlowdown(); slowness > 0 {
-		load += min((estimator.Slowdown(slowness)-1)*(1+load), maxSlowdownPenalty)
+	if logSlowdown := view.logSlowdown + t.slowdownEstimate.LogSlowdown(); logSlowdown > 0 {
+		load += min((estimator.Slowdown(logSlowdown)-1)*(1+load), maxSlowdownPenalty)
 	}
 	if s.failsFast(t) {
 		load += failingPenalty
--- a/core/steerer/target_table.go
+++ b/core/steerer/target_table.go
@@ -30,8 +30,8 @@
 	// inUse holds the targets that have flows or were recently unreachable or failing; gone
 	// holds those that are no longer listed. Both are in the order in which the targets
 	// were added.
-	inUse []*target
-	gone  []*target
+	inUse   []*target
+	missing []*target
 	// history holds the recent changes of targets.
 	history history
 	// entriesVisited counts the entries of the lists that were returned, as a measure of
@@ -39,8 +39,8 @@
 	entriesVisited uint64
 }
 
-func newTargetTable(near string) targetTable {
-	return targetTable{byID: map[string]*target{}, byTag: map[Tag]*target{}, byService: map[string][]*target{}, slots: map[string]*slotTotals{}, sameZone: near}
+func newTargetTable(sameZone string) targetTable {
+	return targetTable{byID: map[string]*target{}, byTag: map[Tag]*target{}, byService: map[string][]*target{}, slots: map[string]*slotTotals{}, sameZone: sameZone}
 }
 
 // upsert adds a target or replaces its record; recordState has to be called afterwards. It
@@ -99,14 +99,14 @@
 }
 
 // handOverTag gives the tag of a target that is no longer listed to one that waits for it.
-func (t *targetTable) handOverTag(gone *target) {
+func (t *targetTable) handOverTag(missing *target) {
 	waiting := t.tagless
 	t.tagless = nil
 	for _, one := range waiting {
 		if t.byID[one.ID] != one || one.missing || one.listedUnder != "" {
 			continue
 		}
-		if one.tag == gone.tag {
+		if one.tag == missing.tag {
 			t.claimTag(one)
 		} else {
 			t.tagless = append(t.tagless, one)
@@ -134,30 +134,30 @@
 
 // insertCandidate adds a target to the candidates of a service, with those of the local
 // zone first.
-func (t *targetTable) insertCandidate(choices []*target, one *target) []*target {
+func (t *targetTable) insertCandidate(candidates []*target, one *target) []*target {
 	if one.AvailabilityZone != t.sameZone {
-		return append(choices, one)
+		return append(candidates, one)
 	}
-	firstRemote := slices.IndexFunc(choices, func(other *target) bool { return other.AvailabilityZone != t.sameZone })
+	firstRemote := slices.IndexFunc(candidates, func(other *target) bool { return other.AvailabilityZone != t.sameZone })
 	if firstRemote < 0 {
-		firstRemote = len(choices)
+		firstRemote = len(candidates)
 	}
-	return slices.Insert(choices, firstRemote, one)
+	return slices.Insert(candidates, firstRemote, one)
 }
 
 // remove removes a target from the table.
-func (t *targetTable) remove(gone *target) {
-	t.sorted = slices.Delete(t.sorted, t.sortedIndex(gone.ID), t.sortedIndex(gone.ID)+1)
-	t.listUnder(gone, "")
-	t.history.completeSince = t.history.completeSince.Later(gone.seenPosition)
-	t.digestSum -= gone.digest
-	gone.digest = 0
-	if gone.slotsStale {
-		t.slotsStale = slices.DeleteFunc(t.slotsStale, func(one *target) bool { return one == gone })
+func (t *targetTable) remove(removed *target) {
+	t.sorted = slices.Delete(t.sorted, t.sortedIndex(removed.ID), t.sortedIndex(removed.ID)+1)
+	t.listUnder(removed, "")
+	t.history.completeSince = t.history.completeSince.Later(removed.seenPosition)
+	t.digestSum -= removed.digest
+	removed.digest = 0
+	if removed.slotsStale {
+		t.slotsStale = slices.DeleteFunc(t.slotsStale, func(one *target) bool { return one == removed })
 	}
-	delete(t.byID, gone.ID)
-	if t.byTag[gone.tag] == gone {
-		delete(t.byTag, gone.tag)
+	delete(t.byID, removed.ID)
+	if t.byTag[removed.tag] == removed {
+		delete(t.byTag, removed.tag)
 	}
 }
 
--- a/core/steerer/targetlist.go
+++ b/core/steerer/targetlist.go
@@ -155,7 +155,7 @@
 	}
 	t.missing = true
 	s.targets.recordState(t, seen)
-	s.targets.markGone(t)
+	s.targets.markMissing(t)
 	s.targets.handOverTag(t)
 	t.missingSince = s.now
 	s.queueChange(t)
@@ -174,8 +174,8 @@
 	if s.missingFromBackup(t) {
 		return false
 	}
-	since := max(t.missingSince, s.reading.recoveredAt)
-	inGracePeriod := !since.Add(sequencer.RewriteGracePeriod).Passed(s.now) || s.reading.failedSince != 0
+	since := max(t.missingSince, s.platformReads.recoveredAt)
+	inGracePeriod := !since.Add(sequencer.RewriteGracePeriod).Passed(s.now) || s.platformReads.failedSince != 0
 	alive := s.hasRecentProgress(t)
 	return !inGracePeriod || !alive
 }
@@ -215,7 +215,7 @@
 }
 
 // targetsAge formats the age of the list of targets, for logs.
-func (s *Steerer) targetsAge() string { return formatAge(s.now, s.reading.targets.confirmed) }
+func (s *Steerer) targetsAge() string { return formatAge(s.now, s.platformReads.targets.confirmed) }
 
 // formatAge formats the time since a moment in milliseconds, for logs.
 func formatAge(now, moment timekeeper.Instant) string {
--- a/core/steerer/targets_in_use.go
+++ b/core/steerer/targets_in_use.go
@@ -10,11 +10,11 @@
 	}
 }
 
-// markGone adds a target that is no longer listed to the missing targets.
-func (t *targetTable) markGone(one *target) {
-	if !one.gone {
-		one.gone = true
-		t.gone = append(t.gone, one)
+// markMissing adds a target that is no longer listed to the missing targets.
+func (t *targetTable) markMissing(one *target) {
+	if !one.inMissing {
+		one.inMissing = true
+		t.missing = append(t.missing, one)
 	}
 }
 
@@ -36,16 +36,16 @@
 // removeExpiredTargets removes missing targets that no flow can refer to any more, and
 // takes those that are listed again out of the missing targets.
 func (s *Steerer) removeExpiredTargets() {
-	s.targets.entriesVisited += uint64(len(s.targets.gone))
-	s.targets.gone = slices.DeleteFunc(s.targets.gone, func(t *target) bool {
+	s.targets.entriesVisited += uint64(len(s.targets.missing))
+	s.targets.missing = slices.DeleteFunc(s.targets.missing, func(t *target) bool {
 		if t.missing && t.flows == 0 && t.missingSince.Add(missingTargetRetention).Passed(s.now) {
 			s.targets.remove(t)
 			s.warmer.Forget(t.ID)
 			s.connections.limiter.Forget(uint32(t.tag))
-			t.gone = false
+			t.inMissing = false
 			return true
 		}
-		t.gone = t.missing
-		return !t.gone
+		t.inMissing = t.missing
+		return !t.inMissing
 	})
 }
--- a/core/steerer/throttling.go
+++ b/core/steerer/throttling.go
@@ -14,7 +14,7 @@
 	if !ok {
 		return false
 	}
-	a := v.room.admitter
+	a := v.capacity.admitter
 	return a.Overloaded() || (!a.HasPeerReports() && v.load.Congested())
 }
 
@@ -29,13 +29,13 @@
 // others would seem to be refused for lack of capacity, and fair shares would shrink.
 func (s *Steerer) refuseThrottled(p *Packet, route *Route, service string) bool {
 	if quota, exceeded := s.throttler.ExceededQuota(p.Caller.Addr(), route.Name, s.now); exceeded {
-		s.counts.add(RefusedCallerQuota)
+		s.counters.add(RefusedCallerQuota)
 		s.refuseFlow(p, "callerQuota", field("quota", quota.String()), field("requestsPerSecond", formatRate(quota.PerSecond)))
 		return true
 	}
-	asked := throttler.Request{Caller: p.Caller.Addr(), Service: service, Overloaded: s.overloadedOrCongested(service)}
-	if verdict := s.throttler.Check(asked, s.now); verdict.Refused {
-		s.counts.add(RefusedCallerShare)
+	request := throttler.Request{Caller: p.Caller.Addr(), Service: service, Overloaded: s.overloadedOrCongested(service)}
+	if verdict := s.throttler.Check(request, s.now); verdict.Refused {
+		s.counters.add(RefusedCallerShare)
 		s.refuseFlow(p, "callerShare", field("service", service), field("prefix", verdict.Prefix.String()),
 			field("share", formatRate(verdict.ForwardedRate)), field("fairShare", formatRate(verdict.FairShare)))
 		return true
--- a/core/steerer/throttling_test.go
+++ b/core/steerer/throttling_test.go
@@ -211,7 +211,7 @@
 func TestSharesEndWithOverload(t *testing.T) {
 	f, _, checks := hostWithQueuedRead(t)
 	h := f.hosts["a1"]
-	loop := func(from int) {
+	openFlows := func(from int) {
 		for n := range 100 {
 			f.runUntil(f.now.Add(10 * time.Millisecond))
 			f.now = f.now.Add(10 * time.Millisecond)
@@ -222,7 +222,7 @@
 			}
 		}
 	}
-	loop(1000)
+	openFlows(1000)
 	require.NotEmpty(t, refusalsByAddress(h, "callerShare"))
 	for _, c := range checks {
 		c.ackResponse("a1")
@@ -236,6 +236,6 @@
 	}
 	require.Zero(t, h.steerer.Snapshot().Congested)
 	h.logs = nil
-	loop(2000)
+	openFlows(2000)
 	require.Empty(t, refusalsByAddress(h, "callerShare"))
 }
--- a/core/steerer/trials_test.go
+++ b/core/steerer/trials_test.go
@@ -47,7 +47,7 @@
 	f := newFleet(t, 1)
 	f.settings = newSettings(2, objectiveRoutes())
 	f.step(2 * time.Second)
-	late := func(from, count int) {
+	respondLate := func(from, count int) {
 		for n := range count {
 			requestWithLatency(f, "a1", from+n, 300*time.Millisecond)
 		}
@@ -56,9 +56,9 @@
 		requestWithLatency(f, "a1", 20_000+n, 100*time.Millisecond)
 	}
 	slow := openFlowsAt(f, "a1", failingTarget, 2000, 8)
-	late(21_000, 80)
+	respondLate(21_000, 80)
 	c := openReadFlow(f, 1)
-	waits := 0
+	attempts := 0
 	for round := range 8 {
 		requestAll(f, "a1", slow, 2400*time.Millisecond)
 		f.step(1500 * time.Millisecond)
@@ -69,7 +69,7 @@
 			if queuedRequests(f) == 0 {
 				break
 			}
-			waits++
+			attempts++
 			one := f.caller(70_000+100*round+n, checkRoute)
 			if one.open("a1", 0); one.target != "" {
 				one.establish("a1")
@@ -82,9 +82,9 @@
 			one.close("a1")
 		}
 		c.ackResponse("a1")
-		late(22_000+100*round, 20)
+		respondLate(22_000+100*round, 20)
 	}
-	require.Greater(t, waits, 64)
+	require.Greater(t, attempts, 64)
 	require.NotZero(t, trialCount(f, "a1"), "while nothing waits")
 }
 
--- a/core/steerer/unresponsive_targets.go
+++ b/core/steerer/unresponsive_targets.go
@@ -66,7 +66,7 @@
 // zoneHostsSilent reports whether no host of another zone has sent a report recently,
 // although some did before.
 func (s *Steerer) zoneHostsSilent(zone string) bool {
-	heard, known := s.peers.zones.lastReport[zone]
-	silent := s.now.Since(heard)
-	return known && zone != s.config.AvailabilityZone && silent >= peerTimeout && silent <= peerRetention
+	lastReport, known := s.peers.zones.lastReport[zone]
+	age := s.now.Since(lastReport)
+	return known && zone != s.config.AvailabilityZone && age >= peerTimeout && age <= peerRetention
 }
--- a/core/steerer/unresponsive_targets_test.go
+++ b/core/steerer/unresponsive_targets_test.go
@@ -42,8 +42,8 @@
 
 // run sends a request on one flow after the other, one every ten milliseconds. Each gets a
 // response ten milliseconds later unless its target is unresponsive.
-func (a *callerPool) run(span time.Duration) {
-	for clock := time.Duration(0); clock < span; clock += 10 * time.Millisecond {
+func (a *callerPool) run(duration time.Duration) {
+	for clock := time.Duration(0); clock < duration; clock += 10 * time.Millisecond {
 		at := int(clock/(10*time.Millisecond)) % len(a.callers)
 		c, name := a.callers[at], a.hosts[at]
 		a.sendOrRetransmit(c, name)
--- a/operator/internal/printer/published.go
+++ b/operator/internal/printer/published.go
@@ -76,7 +76,7 @@
 			}
 			for _, t := range h.Targets {
 				if t.Flows > 0 || t.AvoidReason != "" {
-					writeRow(w, h.Admin, t.Target, t.Service, t.AvailabilityZone, t.Slots, t.Flows, t.Busy, t.PeersBusy, fmt.Sprintf("%.1f", t.Slowness), t.AvoidReason)
+					writeRow(w, h.Admin, t.Target, t.Service, t.AvailabilityZone, t.Slots, t.Flows, t.InFlight, t.PeersInFlight, fmt.Sprintf("%.1f", t.Slowdown), t.AvoidReason)
 				}
 			}
 		}
@@ -100,7 +100,7 @@
 				continue
 			}
 			k, platform := h.Knowledge, "answers"
-			if k.PlatformLost {
+			if k.PlatformDown {
 				platform = "lost"
 			}
 			writeRow(w, h.Admin, k.Host, k.Version, k.SettingsFrom, formatAge(k.SettingsAge), k.SettingsConfirmedBy,
