--- a/core/admitter/admitter.go
+++ b/core/admitter/admitter.go
@@ -1,31 +1,31 @@
-// Package admitter decides which new requests get in while a service has too little room.
+// Package admitter decides which new requests are admitted while a service is overloaded.
 //
-// The pattern: half of a service's targets are lost, or callers come in a crowd, or both.
-// If all requests get in, all are late, the urgent ones like the others. If each host
-// refuses by what waits at itself, slots stand idle behind one host while another host
-// lets in too much, and requests that matter most are refused as readily as the rest. No
-// host sees more than a small part of what is asked.
+// Half of a service's targets may fail, or a load peak may arrive, or both. If all requests are
+// admitted, all of them are late, the urgent ones included. If each host refuses requests
+// according to its own queue, slots are idle behind one host while another host admits too much,
+// and the most important requests are refused as readily as the rest. No host sees more than a
+// small fraction of the demand.
 //
-// The answer: hosts tell each other in their reports what their callers ask, by priority
-// and in slots (Demand). Each host adds that up to what all callers ask, compares it with
-// the slots of the targets that live, and works out which share of each priority fits
-// in: what open flows ask counts first, since it can't be refused, then the highest
-// priority, and so on. All hosts come to nearly the same shares, so callers of all zones
-// fare alike. A host takes its share evenly in time.
+// Hosts therefore report the demand of their callers to each other, by priority and in slots
+// (Demand). Each host adds up the demand of all callers, compares it with the slots of the live
+// targets, and computes the fraction of each priority's requests that fits (the admit ratio).
+// Priorities are served in order, highest first; within each, the requests of open flows count
+// first, since they can't be refused. All hosts arrive at nearly the same ratios, so callers of
+// all zones are treated alike. A host spreads its admissions evenly over time.
 //
-// The estimate is off where work takes longer or shorter than believed, or where targets
-// are filled unevenly. So the room that is used follows how long admitted requests wait,
+// The estimate is wrong where requests take longer or shorter than estimated, or where the load
+// of targets is uneven. The capacity is therefore corrected by how long admitted requests wait,
 // and while they don't wait nobody is refused, whatever the estimate says.
 //
-// What was weighed: a threshold of priority that each host moves by its own queue (DAGOR)
-// lets whole priorities in and out by turns, where a share of one would fit. Credits that
-// targets hand out (Breakwater) need code at the targets. A share of a window found by a
-// host's own answers (package pacer) takes seconds to find the window, and gives a calm
-// zone as much as a crowded one; it stays as what a host falls back to while it hears no
-// other.
+// Alternatives considered: a priority threshold that each host moves according to its own queue
+// (DAGOR) admits and refuses whole priorities in alternation, where a fraction of one would fit.
+// Credits issued by targets (Breakwater) need code at the targets. A fraction of a window that
+// each host derives from its own responses (package pacer) takes seconds to find the window, and
+// admits as much in a zone with normal load as in one with a load peak; it remains the fallback
+// while a host receives no reports.
 //
-// The package knows no network and no clock. Its state is plain values that belong to one
-// owner and change in place, since each new request touches them.
+// The package does no network I/O and reads no clock. Its state is plain values with a single
+// owner, changed in place, since every new request updates them.
 package admitter
 
 import (
@@ -36,100 +36,101 @@
 )
 
 const (
-	// hostReportMaxAge is how long a report of a host of the own zone counts: some rounds of
-	// reports, so that the mean over those that were heard rests on several.
+	// hostReportMaxAge is how long a report of a host of the local zone counts: several report
+	// intervals, so that the mean over the reporting hosts includes several of them.
 	hostReportMaxAge = 600 * time.Millisecond
-	// zoneReportMaxAge is the same for a report from another zone, of which each host hears less
+	// zoneReportMaxAge is the same for a report from another zone, which a host receives less
 	// often.
 	zoneReportMaxAge = 4 * time.Second
-	// minCorrection and maxCorrection bound what waiting times may change of the room
-	// that is believed. Beyond them the estimate is wrong rather than inexact.
+	// minCorrection and maxCorrection limit how far waits may correct the estimated capacity.
+	// Beyond them the estimate is wrong rather than inexact.
 	minCorrection = 0.8
 	maxCorrection = 1.35
-	// correctionGain is how far one answer moves the correction if its wait differs from
-	// waitSetpoint by all of the callers' spare time, and less in proportion: so little that
-	// the correction moves more slowly than news of demand travels.
+	// correctionGain is how far one response moves the correction if its wait differs from
+	// waitSetpoint by the whole slack of its callers, and proportionally less if it differs by
+	// less: so little that the correction changes more slowly than reports of demand spread.
 	correctionGain = 0.01
-	// correctionHoldDuration is how long after a service became short the correction doesn't fall: what
-	// got in before it was noticed still waits.
+	// correctionHoldDuration is how long after the start of an overload the correction doesn't
+	// fall: requests admitted before the overload was detected are still waiting.
 	correctionHoldDuration = time.Second
-	// waitSetpoint is the part of the callers' spare time that requests should wait on
-	// average. Waits spread about as much as their mean, so with this few callers are late;
-	// with less, slots stand idle between two requests while callers are refused.
+	// waitSetpoint is the mean wait that the correction aims at, as a fraction of the callers'
+	// slack (latency objective minus baseline latency). Waits spread about as much as their
+	// mean, so few requests are late at this value; at a lower one, slots are idle between two
+	// requests while callers are refused.
 	waitSetpoint = 0.4
-	// minRefusalWait is the mean wait below which nobody is refused. Requests that arrive by chance
-	// wait for that long at targets with slots free: a caller who is refused then would have
-	// been served in time.
+	// minRefusalWait is the mean wait below which nobody is refused. Requests that arrive at
+	// random wait that long at targets with free slots: a refused caller would have been served
+	// on time.
 	minRefusalWait = 0.1
-	// minShutoutWait is the mean wait above which a priority for which nothing is left is shut
-	// out. All its callers lose then, so the estimate alone is no ground: callers who are
-	// counted in two zones while they move look like a crowd, too. Answers that use up a
-	// quarter of what callers can spare show that targets are full.
+	// minShutoutWait is the mean wait from which a priority without remaining capacity may be
+	// refused entirely. All its callers lose then, so the estimate alone is not sufficient:
+	// callers that are counted in two zones while they move look like a load peak, too.
+	// Responses that use up a quarter of the callers' slack show that targets are full.
 	minShutoutWait = 0.25
-	// waitSmoothing is the part of each answer in the mean wait: some ten answers, a few tenths
-	// of a second at a host under load.
+	// waitSmoothing is the weight of each response in the mean wait: a mean over about ten
+	// responses, a few tenths of a second at a host under load.
 	waitSmoothing = 0.1
-	// maxWait bounds what one answer counts.
+	// maxWait limits the wait that one response counts for.
 	maxWait = 2
-	// demandLag is how old what is known of demand is on average, with the time that the
-	// meter takes.
+	// demandLag is the mean age of the data on demand, including the averaging of the meter.
 	demandLag = 600 * time.Millisecond
-	// maxAttempts is how often a caller that is refused asks in all.
+	// maxAttempts is how many attempts a caller makes in all if each is refused.
 	maxAttempts = 3
-	// reportThreshold is the part of the room that has to be asked for before a host
-	// tells others: far enough below all of it that every host has been told in time.
+	// reportThreshold is the demand, as a fraction of the capacity, above which a host reports
+	// it: so far below the full capacity that every host has received a report in time.
 	reportThreshold = 0.5
 )
 
-// report is what another host has told of demand.
+// report is a report of demand from another host.
 type report struct {
 	demand     Demand
 	receivedAt timekeeper.Instant
 }
 
-// ServiceState is what a host knows of a service besides demand.
+// ServiceState is a host's view of a service, except for its demand.
 type ServiceState struct {
-	// Capacity is how many slots its living targets have, in slots of usual speed; 0 if none is
-	// believed to live: a caller that is let in all the same loses nothing then.
+	// Capacity is the number of slots of the live targets, in slots of baseline speed. It is 0
+	// if no target appears to be live: a request that is admitted anyway costs its caller
+	// nothing then.
 	Capacity float64
-	// ZoneHosts is how many hosts of the own zone live, this one among them.
+	// ZoneHosts is the number of live hosts in the local zone, this one included.
 	ZoneHosts int
-	// HasPeerReports says that another host of the own zone has reported of late, or one of another
-	// zone if the own has no other. One that is alone sees all that its callers ask in its
-	// own window.
+	// HasPeerReports says that another host of the local zone has reported recently, or a host
+	// of another zone if the local zone has no other host. A host without peers sees all demand
+	// of its callers in its own window.
 	HasPeerReports bool
 }
 
-// Admitter is what a host knows of the room of one service.
+// Admitter tracks demand and capacity of one service, as one host sees them.
 type Admitter struct {
 	localMeter meter
-	// hostReports and zones are the latest reports of other hosts of the own zone, by host, and
-	// of other zones, by zone.
+	// hostReports and zoneReports are the latest reports of other hosts of the local zone, by
+	// host, and of other zones, by zone.
 	hostReports map[string]report
 	zoneReports map[string]report
 
-	// state, demand and short are as of the last Assess; demand without the repeats of
-	// refused callers.
+	// state, demand and overloaded are as of the last Assess; demand doesn't include the retries
+	// of refused callers.
 	state      ServiceState
 	demand     Demand
 	overloaded bool
-	// admitRatios are the parts of new requests that fit in, by priority; credits what is left
-	// of them from earlier requests.
+	// admitRatios is the fraction of new requests that are admitted, by priority; credits is the
+	// fraction of a request carried over from earlier requests.
 	admitRatios [PriorityLevels]float64
 	credits     [PriorityLevels]float64
-	// meanRatios is the mean of shares over demandLag, up to assessed.
+	// meanRatios is the mean of admitRatios over demandLag, as of assessedAt.
 	meanRatios [PriorityLevels]float64
 	assessedAt timekeeper.Instant
 
-	// wait is the mean wait of admitted requests, in parts of the callers' spare time.
+	// wait is the mean wait of admitted requests, as a fraction of the callers' slack.
 	wait float64
-	// correction is the factor by which the room differs from the slots of living targets.
+	// correction is the ratio of the corrected capacity to the slots of live targets.
 	correction float64
 	// correctionHoldDeadline is until when the correction doesn't fall.
 	correctionHoldDeadline timekeeper.Instant
 }
 
-// New makes the admitter of a service of which nothing is known.
+// New returns the Admitter of a service without any data.
 func New() *Admitter {
 	a := &Admitter{hostReports: map[string]report{}, zoneReports: map[string]report{}, correction: 1}
 	a.admitAll()
@@ -137,33 +138,35 @@
 	return a
 }
 
-// RecordNewFlowRequest takes in that a flow opens for a request, which keeps a slot busy for the time
+// RecordNewFlowRequest records a request that opens a flow and occupies a slot for the duration
 // work.
 func (a *Admitter) RecordNewFlowRequest(priority int, work time.Duration, now timekeeper.Instant) {
 	a.localMeter.addNew(levelIndex(priority), work, now)
 }
 
-// RecordOpenFlowRequest takes in a request of an open flow, which keeps a slot busy for the time work.
+// RecordOpenFlowRequest records a request of an open flow that occupies a slot for the duration
+// work.
 func (a *Admitter) RecordOpenFlowRequest(priority int, work time.Duration, now timekeeper.Instant) {
 	a.localMeter.addOpen(levelIndex(priority), work, now)
 }
 
-// ApplyHostReport takes in what another host of the own zone tells of its callers.
+// ApplyHostReport applies a report of the demand at another host of the local zone.
 func (a *Admitter) ApplyHostReport(host string, demand Demand, now timekeeper.Instant) {
 	a.hostReports[host] = report{demand: demand, receivedAt: now}
 }
 
-// ApplyZoneReport takes in what a host of another zone tells of all callers there.
+// ApplyZoneReport applies a report of the demand in another zone.
 func (a *Admitter) ApplyZoneReport(zone string, demand Demand, now timekeeper.Instant) {
 	a.zoneReports[zone] = report{demand: demand, receivedAt: now}
 }
 
-// LocalDemand is what this host's callers ask.
+// LocalDemand returns the demand of this host's callers.
 func (a *Admitter) LocalDemand(now timekeeper.Instant) Demand { return a.localMeter.demand(now) }
 
-// ZoneDemand is what all callers of the own zone ask: the mean over the hosts that were heard of
-// late, this one among them, times those that live. Callers are spread evenly over hosts,
-// and in a large zone a host hears only some of the others within a second.
+// ZoneDemand returns the demand of all callers of the local zone: the mean over the hosts that have
+// reported recently, this one included, times the number of live hosts. Callers are spread evenly
+// over hosts, and in a large zone a host receives reports from only some of the others within a
+// second.
 func (a *Admitter) ZoneDemand(now timekeeper.Instant) Demand {
 	var reported fixedPointSum
 	count := 1
@@ -177,7 +180,7 @@
 	return sum.Times(float64(max(a.state.ZoneHosts, count)) / float64(count))
 }
 
-// fleetDemand is what callers of all zones ask that were heard of late.
+// fleetDemand returns the demand of the local zone and of all zones that have reported recently.
 func (a *Admitter) fleetDemand(now timekeeper.Instant) Demand {
 	var reported fixedPointSum
 	for _, r := range a.zoneReports {
@@ -188,8 +191,8 @@
 	return a.ZoneDemand(now).Plus(reported.demand())
 }
 
-// Assess works out anew which shares fit in, and reports whether the service has become
-// short of room or calm.
+// Assess recomputes the admit ratios, and reports whether an overload of the service has begun or
+// ended.
 func (a *Admitter) Assess(now timekeeper.Instant, state ServiceState) bool {
 	a.dropExpiredReports(now)
 	a.state = state
@@ -208,7 +211,7 @@
 	return a.overloaded != before
 }
 
-// dropExpiredReports drops what is too old to count.
+// dropExpiredReports drops reports that are too old to count.
 func (a *Admitter) dropExpiredReports(now timekeeper.Instant) {
 	for host, r := range a.hostReports {
 		if now.Since(r.receivedAt) > hostReportMaxAge {
@@ -222,14 +225,14 @@
 	}
 }
 
-// admitAll lets all new requests in.
+// admitAll sets the admit ratio of every priority to 1.
 func (a *Admitter) admitAll() {
 	for i := range a.admitRatios {
 		a.admitRatios[i] = 1
 	}
 }
 
-// updateMeanRatios keeps the mean of the shares that were in force while demand was measured.
+// updateMeanRatios updates the mean of the admit ratios that applied while demand was measured.
 func (a *Admitter) updateMeanRatios(now timekeeper.Instant) {
 	step := 1 - math.Exp(-float64(now.Since(a.assessedAt))/float64(demandLag))
 	for i, ratio := range a.admitRatios {
@@ -238,12 +241,12 @@
 	a.assessedAt = now
 }
 
-// withoutRetries takes the repeats of refused callers out of what is asked.
+// withoutRetries removes the retries of refused callers from the demand.
 //
-// What goes wrong otherwise: a crowd ends, what is asked still counts each refused caller
-// three times, so the next are refused, too, and ask again. One notices by refusals
-// seconds after the crowd. If callers don't repeat themselves, the shares come to rest at
-// the same figures: what is divided here is multiplied in attemptRatioFor.
+// Without this, demand still counts each refused caller three times after a load peak has ended,
+// so the next callers are refused and retry, too, which shows as refusals seconds after the peak.
+// If callers don't retry, the admit ratios converge to the same values: attemptRatioFor undoes the
+// division here.
 func (a *Admitter) withoutRetries(requested Demand) Demand {
 	for i := range requested.New {
 		requested.New[i] /= attemptsPerCaller(a.meanRatios[i])
@@ -251,7 +254,8 @@
 	return requested
 }
 
-// attemptsPerCaller is how often a caller asks on average where a share of all tries gets in.
+// attemptsPerCaller returns the mean number of attempts of a caller if the given fraction of all
+// attempts is admitted.
 func attemptsPerCaller(ratio float64) float64 {
 	attempts, refused := 0.0, 1.0
 	for range maxAttempts {
@@ -261,7 +265,8 @@
 	return attempts
 }
 
-// attemptRatioFor is the share of tries that has to get in so that a part of the callers does.
+// attemptRatioFor returns the fraction of attempts to admit so that the given fraction of callers
+// is admitted.
 func attemptRatioFor(callerRatio float64) float64 {
 	if callerRatio >= 1 {
 		return 1
@@ -269,8 +274,8 @@
 	return 1 - math.Pow(1-max(callerRatio, 0), 1.0/maxAttempts)
 }
 
-// admitRatiosFor shares out room among new requests, the highest priority first. A priority of
-// which nothing was asked of late fits in if anything is left.
+// admitRatiosFor divides the capacity among new requests, the highest priority first. A priority
+// without recent demand is admitted if any capacity is left.
 func admitRatiosFor(capacity float64, demand Demand) [PriorityLevels]float64 {
 	var ratios [PriorityLevels]float64
 	for i := range ratios {
@@ -286,8 +291,8 @@
 	return ratios
 }
 
-// Admit decides whether a new request gets in. Shares are taken evenly in time: of a share
-// of a third every third gets in.
+// Admit reports whether to admit a new request. Admissions are spread evenly over time: at a ratio
+// of one third, every third request is admitted.
 func (a *Admitter) Admit(priority int) bool {
 	i := levelIndex(priority)
 	if a.admitRatios[i] >= 1 {
@@ -301,9 +306,9 @@
 	return true
 }
 
-// RecordWait learns from an answer how long its request waited beyond what is usual, as a
-// part of the time that its callers can spare. A request that its target turned away
-// counts as having waited all of it.
+// RecordWait records how long the request of a response waited beyond the baseline latency, as a
+// fraction of its callers' slack, and corrects the capacity. A request that its target rejected
+// counts as having waited for the whole slack.
 func (a *Admitter) RecordWait(wait float64) {
 	wait = min(max(wait, 0), maxWait)
 	a.wait += waitSmoothing * (wait - a.wait)
@@ -313,37 +318,37 @@
 	}
 }
 
-// HasPeerReports reports whether this host hears enough of others to know the demand.
+// HasPeerReports reports whether this host receives enough reports to estimate the demand.
 func (a *Admitter) HasPeerReports() bool { return a.state.HasPeerReports }
 
-// Overloaded reports whether the service is asked for more than it has room for.
+// Overloaded reports whether the demand exceeds the capacity of the service.
 func (a *Admitter) Overloaded() bool { return a.overloaded }
 
-// Capacity is how many slots are shared out, as waiting times have corrected it.
+// Capacity returns the number of slots to divide among requests, as corrected by waits.
 func (a *Admitter) Capacity() float64 { return a.state.Capacity * a.correction }
 
-// Demand is what all callers ask, as of the last Assess, each caller counted once however
-// often it repeats itself after a refusal.
+// Demand returns the demand of all callers as of the last Assess. It counts each caller once,
+// however often the caller retries after a refusal.
 func (a *Admitter) Demand() Demand { return a.demand }
 
-// AdmitRatio is the part of new requests of a priority that fits in.
+// AdmitRatio returns the fraction of new requests of a priority that are admitted.
 func (a *Admitter) AdmitRatio(priority int) float64 { return a.admitRatios[levelIndex(priority)] }
 
-// MeanWait is the mean wait of admitted requests, in parts of the callers' spare time.
+// MeanWait returns the mean wait of admitted requests, as a fraction of the callers' slack.
 func (a *Admitter) MeanWait() float64 { return a.wait }
 
 // Queueing reports whether admitted requests wait at targets.
 func (a *Admitter) Queueing() bool { return a.wait >= minRefusalWait }
 
-// MayShutOut reports whether admitted requests wait for so long that room is surely short, and
-// a priority may be shut out: callers that would be served in time are not refused by an
-// estimate alone.
+// MayShutOut reports whether admitted requests wait for so long that the service is certainly
+// overloaded, and a priority may be refused entirely: callers that would be served on time are not
+// refused because of an estimate alone.
 func (a *Admitter) MayShutOut() bool { return a.wait >= minShutoutWait }
 
-// Congested reports whether admitted requests wait for longer than they should.
+// Congested reports whether the mean wait of admitted requests exceeds waitSetpoint.
 func (a *Admitter) Congested() bool { return a.wait > waitSetpoint }
 
-// OldestReportAge is how old the oldest report is on which the demand rests; 0 if there is none.
+// OldestReportAge returns the age of the oldest report in the demand; 0 if there is none.
 func (a *Admitter) OldestReportAge(now timekeeper.Instant) time.Duration {
 	oldest := now
 	for _, r := range a.hostReports {
@@ -355,5 +360,6 @@
 	return now.Since(oldest)
 }
 
-// ShouldReport reports whether others have to hear of the demand: the service may run short.
+// ShouldReport reports whether the demand has to be reported to other hosts: the service may become
+// overloaded.
 func (a *Admitter) ShouldReport() bool { return a.demand.Total() > reportThreshold*a.state.Capacity }
--- a/core/admitter/demand.go
+++ b/core/admitter/demand.go
@@ -7,22 +7,23 @@
 	"cranberryspan.dev/core/timekeeper"
 )
 
-// PriorityLevels is how many priorities are told apart; those beyond count as the last.
+// PriorityLevels is the number of distinct priorities; larger ones count as the last.
 const PriorityLevels = 8
 
-// demandTimeConstant is the time constant of the mean demand: long enough that some requests of a
-// host fall into it, short enough that a crowd shows while it begins.
+// demandTimeConstant is the time constant of the mean demand: long enough to average over several
+// requests of a host, short enough that a load peak shows while it begins.
 const demandTimeConstant = 300 * time.Millisecond
 
-// Demand is what callers ask of a service, by priority, in slots that it keeps busy:
-// requests a second times the time of work of one.
+// Demand is the demand for a service by priority, as the number of slots that it occupies:
+// requests per second times the processing time of a request.
 type Demand struct {
-	// Open is asked in open flows, which can't be refused, New by flows that open.
+	// Open is the demand of requests in open flows, which can't be refused, New that of requests
+	// that open a flow.
 	Open [PriorityLevels]float64
 	New  [PriorityLevels]float64
 }
 
-// Plus adds up what two groups of callers ask.
+// Plus returns the sum of two demands.
 func (d Demand) Plus(other Demand) Demand {
 	for i := range PriorityLevels {
 		d.Open[i] += other.Open[i]
@@ -31,7 +32,7 @@
 	return d
 }
 
-// Times scales a demand.
+// Times returns the demand multiplied by a factor.
 func (d Demand) Times(factor float64) Demand {
 	for i := range PriorityLevels {
 		d.Open[i] *= factor
@@ -40,7 +41,7 @@
 	return d
 }
 
-// Total is the demand of all priorities.
+// Total returns the demand of all priorities, in slots.
 func (d Demand) Total() float64 {
 	sum := 0.0
 	for i := range PriorityLevels {
@@ -49,14 +50,14 @@
 	return sum
 }
 
-// fixedPointScale is how many parts of a slot a total tells apart: far more than reports do.
+// fixedPointScale is the number of units per slot in a sum: far more than reports distinguish.
 const fixedPointScale = 100_000_000
 
-// fixedPointSum adds up demands in parts of a slot.
+// fixedPointSum adds up demands in units of 1/fixedPointScale slots.
 //
-// What goes wrong with floats: reports are kept in maps, which give them in any order; the
-// sum depends on it in its last digits, so equal events give unequal decisions. Sums of
-// integers don't.
+// Reports are kept in maps, whose iteration order is random. The last digits of a floating-point
+// sum depend on the order, so the same events would lead to different decisions. Integer sums don't
+// depend on it.
 type fixedPointSum struct{ open, new [PriorityLevels]int64 }
 
 func (t *fixedPointSum) add(d *Demand) {
@@ -75,10 +76,11 @@
 	return d
 }
 
-// levelIndex is the index of a priority; priorities beyond Levels share the last.
+// levelIndex returns the array index of a priority; priorities beyond PriorityLevels share the
+// last one.
 func levelIndex(priority int) int { return min(max(priority, 0), PriorityLevels-1) }
 
-// meter keeps the mean demand of a host's callers. The zero meter has seen none.
+// meter tracks the mean demand of a host's callers. The zero value is ready to use.
 type meter struct {
 	mean      Demand
 	updatedAt timekeeper.Instant
--- a/core/limiter/limiter.go
+++ b/core/limiter/limiter.go
@@ -1,26 +1,26 @@
-// Package limiter decides how many more flows a host may open at a target that holds only
-// so many.
+// Package limiter decides how many more flows a host may open to a target that has a
+// connection limit.
 //
-// The pattern: a target holds a bounded number of flows. Once it is full it says nothing
-// to an opening packet, so it looks like one that has crashed. A flow holds its place
-// while it idles, for many times as long as its requests take. All hosts of a fleet place
-// flows on the same targets; no host sees what the others hold, and a host that starts
-// again has forgotten what it held itself.
+// Each flow uses one connection of its target. A target that has reached its connection limit
+// doesn't respond to an opening packet, so it looks like a crashed one. A flow keeps its
+// connection while it is idle, for many times as long as its requests take. All hosts of a
+// fleet open flows to the same targets; no host sees the flows of the others, and a restarted
+// host has lost the count of its own.
 //
-// The answer: each host counts its own flows and tells the hosts of the target's
-// availability zone. A host adds up what it was told, and estimates what it was not told:
-// the fabric spreads callers evenly over the hosts of a zone, so one that says nothing
-// holds about as many as the others do. What hosts told before they started again counts on
-// until such flows have ended or sent something. If a target turns out to be full all the
-// same, the difference counts as unseen flows, fewer with time.
+// Each host counts its local flows and reports them to the hosts of the target's availability
+// zone. A host adds up the reported flows and estimates the unreported ones: the fabric spreads
+// callers evenly over the hosts of a zone, so a host that sends no reports has about as many
+// flows as the others. Flows that a host reported before it restarted count until they have
+// ended or sent a packet. If a target turns out to be full in spite of the estimate, the
+// difference counts as unaccounted flows, a number that decays with time.
 //
-// What was weighed: a fixed part of the bound for each host needs no messages, but leaves
-// places idle at hosts with few callers, and is wrong as soon as hosts come and go. If hosts
-// told only how many flows they have at each service, and took these to be spread evenly
-// over its targets, they would miss targets that have just started, and flows from other
-// zones.
+// Alternatives considered: a fixed fraction of the connection limit for each host needs no
+// messages, but leaves connections unused at hosts with few callers, and is wrong as soon as
+// hosts join or leave. If hosts reported only their number of flows for each service, and
+// assumed that these are spread evenly over its targets, they would miss targets that have just
+// started, and flows from other zones.
 //
-// The package knows no network and no clock.
+// The package does no network I/O and reads no clock.
 package limiter
 
 import (
@@ -33,132 +33,137 @@
 )
 
 const (
-	// ZoneReportInterval is the time between two rounds in which a host tells hosts of its zone.
+	// ZoneReportInterval is the interval at which a host sends reports to hosts of its zone.
 	ZoneReportInterval = 250 * time.Millisecond
-	// ZoneReportFanout is how many of them it tells in a round where there are many.
+	// ZoneReportFanout is the maximum number of hosts that receive a report in one round.
 	ZoneReportFanout = 3
-	// minHostTimeout is after how long a host of the own zone that tells nothing is taken to
-	// have ended, where all are told in each round: many of its reports in a row would have
-	// been lost. Its callers' flows come to other hosts as they send something.
+	// minHostTimeout is the time without reports after which a host of the local zone times out
+	// in a zone so small that all hosts receive a report in each round: many reports in a row
+	// would have been lost. Its callers' flows move to other hosts when they send a packet.
 	minHostTimeout = 4 * time.Second
-	// hostTimeoutPasses is the same for a large zone, in passes of the rounds over all its hosts:
-	// a host that is first in one pass may be last in the next.
+	// hostTimeoutPasses is the timeout in a large zone, in passes of the report rounds over all
+	// hosts of the zone: a host that is first in one pass may be last in the next.
 	hostTimeoutPasses = 2
-	// turnDuration is how long hosts that have their turn at the last places of a target keep
-	// it: as long as their news takes to the others.
+	// turnDuration is the duration of a turn, in which some of the hosts may use the last free
+	// connections of a target: as long as their reports take to reach the other hosts.
 	turnDuration = time.Second
 )
 
-// FlowLimit is what a target holds, as one flow asks for it.
+// FlowLimit is the connection limit of a target as it applies to one new flow.
 type FlowLimit struct {
-	// MaxFlows is how many flows a target holds at once.
+	// MaxFlows is the connection limit of the target: the number of flows it accepts at once.
 	MaxFlows int
-	// Reserved is how many of them are kept for others than the flow that asks: liveness
-	// checks, and flows of higher priority.
+	// Reserved is how many of these connections the new flow may not use: they are kept for
+	// probes and for flows of higher priority.
 	Reserved int
-	// ShortLived says that the flow leaves its place so soon that it need not wait for a turn.
+	// ShortLived says that the flow ends so soon that it need not wait for a turn of its host.
 	ShortLived bool
 }
 
-// UnreportedEstimate is what stands for flows at a target of which nobody tells.
+// UnreportedEstimate holds the inputs for estimating the unreported flows at a target.
 type UnreportedEstimate struct {
-	// PerHost is how many flows a host of the target's zone has there that tells nothing.
+	// PerHost is how many flows a host of the target's zone that sends no reports has at the
+	// target.
 	PerHost float64
-	// Growth is how many flows a host of the target's zone has placed there since it was
-	// last heard: as many as this host has, since callers are spread evenly.
+	// Growth is how many flows a host of the target's zone has opened to the target since its
+	// last report: as many as this host has, since callers are spread evenly.
 	Growth float64
-	// Min is how many flows the targets of another zone have on average, by word of that
-	// zone.
+	// Min is the minimum for all flows at the target: at a target of another zone, the mean
+	// number of flows per target that the zone reports.
 	Min int
 }
 
-// FlowEstimate is what a host takes the flows at a target to be.
+// FlowEstimate is a host's estimate of the flows at a target.
 type FlowEstimate struct {
-	// Local are flows through this host.
+	// Local counts the flows through this host.
 	Local int
-	// Reported are those that other hosts tell of.
+	// Reported counts the flows that other hosts have reported.
 	Reported int
-	// Estimated are those that nobody tells of.
+	// Estimated counts the flows that no host has reported.
 	Estimated int
 }
 
-// Total is all flows at the target.
+// Total returns the number of all flows at the target.
 func (b FlowEstimate) Total() int { return b.Local + b.Reported + b.Estimated }
 
-// Report is what another host tells of its flows.
+// Report is the report of another host on its flows.
 type Report struct {
 	// Incarnation differs between two starts of the host.
 	Incarnation uint64
-	// SameZone says that the host is of this host's availability zone.
+	// SameZone says that the host belongs to this host's availability zone.
 	SameZone bool
-	// Flows are the host's flows by target. A target that is left out holds as many as
-	// were told last.
+	// Flows is the number of the host's flows by target. A target that is left out keeps its
+	// last reported number.
 	Flows map[uint32]uint16
-	// Partial says that the host has flows at more targets than it could tell of.
+	// Partial says that the host has flows at more targets than it could report.
 	Partial bool
 }
 
-// Limiter is what one host knows of the flows at all targets. It belongs to one owner.
+// Limiter tracks the flows at all targets as one host sees them. It is not safe for concurrent
+// use.
 type Limiter struct {
 	// seed differs by host.
 	seed  uint64
 	start timekeeper.Instant
-	// idleTimeout is after how long a flow that sends nothing has ended.
+	// idleTimeout is the time without packets after which a flow has ended.
 	idleTimeout time.Duration
 	targets     map[uint32]*TargetFlows
 	hosts       map[string]*remoteHost
-	// livePeers counts the other hosts of the own zone that live.
+	// livePeers counts the other live hosts of the local zone.
 	livePeers int
-	// reporters counts the other hosts of the own zone that have told of their flows of late.
+	// reporters counts the other hosts of the local zone that have reported their flows recently.
 	reporters int
-	// fullReporters counts those of the tellers that have told of all their flows.
+	// fullReporters counts the reporters that have reported all their flows.
 	fullReporters int
 }
 
-// remoteHost is another host that has told what it holds.
+// remoteHost is another host that has reported its flows.
 type remoteHost struct {
 	incarnation uint64
 	sameZone    bool
-	// partial says that the host holds flows at targets of which it has not told.
+	// partial says that the host has flows at targets that it has not reported.
 	partial bool
-	// timedOut says that nothing was heard of it for too long; its flows end bit by bit.
+	// timedOut says that the host has sent no reports for too long; the number of its flows
+	// decays.
 	timedOut  bool
 	lastHeard timekeeper.Instant
-	// flows is what the host has told last, by target.
+	// flows is the last reported number of the host's flows by target.
 	flows map[uint32]uint16
-	// previousFlows is what the host held before it started again, at previousSince. Its flows are
-	// still at the targets, but the host knows of them only once they send something.
+	// previousFlows is the number of flows that the host had before it restarted, as of
+	// previousSince. They are still open at the targets, but the host sees each of them only
+	// when it sends a packet.
 	previousFlows map[uint32]uint16
 	previousSince timekeeper.Instant
-	// contribution is how many flows the host adds to Target.told, by target.
+	// contribution is how many flows the host adds to TargetFlows.reported, by target.
 	contribution map[uint32]int
 }
 
-// TargetFlows is what one host knows of the flows at a target.
+// TargetFlows tracks the flows at one target as one host sees them.
 type TargetFlows struct {
 	// local counts the open flows through this host.
 	local int
-	// reported counts the flows that other hosts tell of.
+	// reported counts the flows that other hosts have reported.
 	reported int
-	// partialReporters counts the hosts of the own zone that have told of this target, of those that
-	// have not told of all.
+	// partialReporters counts the hosts of the local zone that have reported this target but
+	// not all of their flows.
 	partialReporters int
-	// netOpened is how many more flows this host has placed there than have ended.
+	// netOpened is how many flows this host has opened to the target, minus those that have ended.
 	netOpened int
-	// recentlyFreed counts places that this host's flows have left of late, the last at freedAt.
+	// recentlyFreed counts connections that this host's flows have freed recently, the last one
+	// at freedAt.
 	recentlyFreed int
 	freedAt       timekeeper.Instant
-	// openedAt is when this host last placed a flow there.
+	// openedAt is when this host last opened a flow to the target.
 	openedAt timekeeper.Instant
-	// everUsed says that this host has placed a flow there.
+	// everUsed says that this host has, or has had, flows at the target.
 	everUsed bool
-	// unaccounted counts flows that nobody tells of and that fill the target nevertheless, as
-	// of unaccountedSince.
+	// unaccounted counts the flows that no host reports although the target is full, as of
+	// unaccountedSince.
 	unaccounted      int
 	unaccountedSince timekeeper.Instant
 }
 
-// New makes the Limiter of a host that started at a moment.
+// New returns the Limiter of the host named self, which started at start.
 func New(self string, start timekeeper.Instant, idleTimeout time.Duration) *Limiter {
 	return &Limiter{
 		seed: xxhash.Sum64String(self), start: start, idleTimeout: idleTimeout,
@@ -166,7 +171,7 @@
 	}
 }
 
-// Target returns the record of a target, which it makes if there is none.
+// Target returns the record of a target, and creates it if there is none.
 func (l *Limiter) Target(tag uint32) *TargetFlows {
 	t, ok := l.targets[tag]
 	if !ok {
@@ -176,7 +181,7 @@
 	return t
 }
 
-// Forget drops what is known of a target that has ended, or has started again.
+// Forget drops all records of a target that has ended or restarted.
 func (l *Limiter) Forget(tag uint32) {
 	for _, h := range l.hosts {
 		l.removeReported(h, tag)
@@ -186,31 +191,31 @@
 	delete(l.targets, tag)
 }
 
-// SetIdleTimeout changes after how long a flow that sends nothing has ended.
+// SetIdleTimeout sets the time without packets after which a flow has ended.
 func (l *Limiter) SetIdleTimeout(idleTimeout time.Duration) { l.idleTimeout = idleTimeout }
 
-// SetLivePeers takes in how many other hosts of the own zone live.
+// SetLivePeers sets the number of other live hosts in the local zone.
 func (l *Limiter) SetLivePeers(livePeers int) { l.livePeers = livePeers }
 
-// hostTimeout is after how long a host of the own zone that tells nothing has ended.
+// hostTimeout returns the time without reports after which a host of the local zone times out.
 func (l *Limiter) hostTimeout() time.Duration {
 	rounds := (l.peerCount() + ZoneReportFanout - 1) / ZoneReportFanout
 	return max(minHostTimeout, hostTimeoutPasses*time.Duration(rounds)*ZoneReportInterval)
 }
 
-// peerCount is how many other hosts the own zone has.
+// peerCount returns the number of other hosts in the local zone.
 func (l *Limiter) peerCount() int { return max(l.livePeers, l.reporters) }
 
-// HasReports reports whether any other host has told of its flows of late.
+// HasReports reports whether any other host has reported its flows recently.
 func (l *Limiter) HasReports() bool { return len(l.hosts) > 0 }
 
-// Reporters is how many hosts of the own zone have told what they hold at a target, be it
-// nothing.
+// Reporters returns how many hosts of the local zone have reported their flows at a target, even
+// if they have none there.
 func (l *Limiter) Reporters(t *TargetFlows) int { return l.fullReporters + t.partialReporters }
 
-// PerHost is how many flows at a target a host of the own zone has on average, given this
-// host's flows at some of the zone's targets, those that it was told of, and the sum of the
-// targets' tellers. What others have goes first: this host may have started just now.
+// PerHost returns how many flows a host of the local zone has at a target on average, given the
+// local and the reported flows at some of the zone's targets, and the sum of the targets'
+// reporters. Reported flows take precedence, since this host may have just started.
 func (l *Limiter) PerHost(local, reported, targets, reporters int) float64 {
 	if reporters > 0 {
 		return float64(reported) / float64(reporters)
@@ -218,16 +223,16 @@
 	return float64(local) / float64(max(targets, 1))
 }
 
-// Local is how many open flows at a target go through this host.
+// Local returns how many open flows at a target go through this host.
 func (t *TargetFlows) Local() int { return t.local }
 
-// NetOpened is how many more flows this host has placed at a target than have ended.
+// NetOpened returns how many flows this host has opened to a target, minus those that have ended.
 func (t *TargetFlows) NetOpened() int { return t.netOpened }
 
-// Reported is how many flows at a target other hosts tell of.
+// Reported returns how many flows at a target other hosts have reported.
 func (t *TargetFlows) Reported() int { return t.reported }
 
-// AddOpened counts a flow that this host has placed at the target.
+// AddOpened counts a flow that this host has opened to the target.
 func (t *TargetFlows) AddOpened(now timekeeper.Instant) {
 	t.AddDiscovered()
 	t.netOpened++
@@ -235,32 +240,33 @@
 	t.recentlyFreed = max(t.recentlyFreed-1, 0)
 }
 
-// AddDiscovered counts a flow that goes on through this host and that it did not know of.
+// AddDiscovered counts an open flow through this host that the host had no record of.
 func (t *TargetFlows) AddDiscovered() {
 	t.local++
 	t.everUsed = true
 }
 
-// RemoveOpened takes back a flow that Placed counted, and that has left its place.
+// RemoveOpened removes a flow that AddOpened counted and that has freed its connection.
 func (t *TargetFlows) RemoveOpened(now timekeeper.Instant) {
 	t.netOpened--
 	t.RemoveDiscovered(now)
 }
 
-// RemoveDiscovered takes back a flow that Seen counted, and that has left its place.
+// RemoveDiscovered removes a flow that AddDiscovered counted and that has freed its connection.
 func (t *TargetFlows) RemoveDiscovered(now timekeeper.Instant) {
 	t.local = max(t.local-1, 0)
 	t.recentlyFreed++
 	t.freedAt = now
 }
 
-// CancelOpened takes back a flow that Placed counted, and that holds no place: it has not opened.
+// CancelOpened removes a flow that AddOpened counted and that used no connection, since its target
+// never accepted it.
 func (t *TargetFlows) CancelOpened() {
 	t.local = max(t.local-1, 0)
 	t.netOpened--
 }
 
-// ApplyReport takes in what another host tells.
+// ApplyReport applies the report of another host.
 func (l *Limiter) ApplyReport(host string, w Report, now timekeeper.Instant) {
 	h, ok := l.hosts[host]
 	if !ok {
@@ -282,7 +288,7 @@
 	}
 }
 
-// markHeard takes in that a host tells something.
+// markHeard records that a host has sent a report.
 func (l *Limiter) markHeard(h *remoteHost, w Report, now timekeeper.Instant) {
 	wasTimedOut := h.timedOut
 	l.adjustReporters(h, -1)
@@ -296,7 +302,7 @@
 	}
 }
 
-// adjustReporters adds a host to those that tell, or takes it out.
+// adjustReporters adds a host to the reporters, or removes it.
 func (l *Limiter) adjustReporters(h *remoteHost, by int) {
 	switch {
 	case !h.sameZone || h.timedOut:
@@ -311,10 +317,10 @@
 	l.reporters += by
 }
 
-// reportsPartially reports whether a host counts as one that tells only of the targets it has listed.
+// reportsPartially reports whether a host counts as a reporter only for the targets it has listed.
 func (h *remoteHost) reportsPartially() bool { return h.sameZone && !h.timedOut && h.partial }
 
-// removeReported forgets what a host has told of a target.
+// removeReported drops the flows that a host has reported at a target.
 func (l *Limiter) removeReported(h *remoteHost, tag uint32) {
 	if _, listed := h.flows[tag]; listed && h.reportsPartially() {
 		l.Target(tag).partialReporters--
@@ -322,8 +328,8 @@
 	delete(h.flows, tag)
 }
 
-// movePreviousFlows marks what a host has told as what it held before it started again. Of what it held
-// before that, the rest counts on.
+// movePreviousFlows moves the reported flows of a host that has restarted to its previous flows.
+// Those that remain from an earlier restart still count.
 func (l *Limiter) movePreviousFlows(h *remoteHost) {
 	if len(h.flows) == 0 {
 		return
@@ -337,7 +343,7 @@
 	l.adjustReporters(h, 1)
 }
 
-// updateContribution replaces what stands for a host at a target.
+// updateContribution recomputes how many flows a host adds to the reported flows at a target.
 func (l *Limiter) updateContribution(h *remoteHost, tag uint32, now timekeeper.Instant) {
 	reported := int(h.flows[tag])
 	if h.timedOut {
@@ -352,8 +358,8 @@
 	h.contribution[tag] = n
 }
 
-// remaining is how many of some flows are still open, if nothing was heard of them since a
-// moment: they are taken to end at an even rate until the idle time is over.
+// remaining returns how many of some flows are still open if they were last reported at since:
+// they are assumed to end at a constant rate within the idle timeout.
 func (l *Limiter) remaining(flows int, since, now timekeeper.Instant) int {
 	span := l.idleTimeout - now.Since(since)
 	if flows == 0 || span <= 0 {
@@ -362,7 +368,8 @@
 	return int(float64(flows)*float64(span)/float64(l.idleTimeout) + 0.5)
 }
 
-// Sweep lets what was told grow old. It has to be called several times within the idle time.
+// Sweep decays the flows of hosts that have timed out or restarted, and drops hosts whose reports
+// are too old. It has to be called several times within the idle timeout.
 func (l *Limiter) Sweep(now timekeeper.Instant) {
 	timeout := l.hostTimeout()
 	for name, h := range l.hosts {
@@ -391,7 +398,7 @@
 	}
 }
 
-// removeHost forgets a host. Its callers' flows have gone to others, or have ended.
+// removeHost drops a host. Its callers' flows have moved to other hosts or ended.
 func (l *Limiter) removeHost(name string, h *remoteHost) {
 	for tag, n := range h.contribution {
 		l.Target(tag).reported -= n
@@ -400,15 +407,16 @@
 	delete(l.hosts, name)
 }
 
-// EstimateFlows is what this host takes the flows at a target to be, if the target holds at most
-// bound of them.
+// EstimateFlows returns this host's estimate of the flows at a target whose connection limit is
+// bound.
 func (l *Limiter) EstimateFlows(t *TargetFlows, bound int, g UnreportedEstimate, now timekeeper.Instant) FlowEstimate {
 	b := FlowEstimate{Local: t.local, Reported: t.reported}
 	reporters := l.Reporters(t)
 	unreported := g.PerHost*float64(max(l.peerCount()-reporters, 0)) + g.Growth*float64(reporters)
 	b.Estimated = l.estimateForgotten(t, now) + int(unreported+0.5)
 	b.Estimated = max(b.Estimated, g.Min-b.Local-b.Reported)
-	// No target holds more than its bound, so what has been told of since is unseen no more.
+	// No target exceeds its connection limit, so flows reported since then replace unaccounted
+	// ones.
 	unaccounted := min(l.remaining(t.unaccounted, t.unaccountedSince, now), max(bound-b.Total(), 0))
 	if unaccounted == 0 {
 		t.unaccounted = 0
@@ -417,8 +425,8 @@
 	return b
 }
 
-// estimateForgotten estimates how many flows this host's callers hold that it has not seen since it
-// started: as many as those of another host of the zone, fewer with time.
+// estimateForgotten estimates how many open flows go through this host that it has not seen since
+// it started: as many as go through another host of the zone, a number that decays with time.
 func (l *Limiter) estimateForgotten(t *TargetFlows, now timekeeper.Instant) int {
 	reporters := l.Reporters(t)
 	if reporters == 0 || t.reported == 0 {
@@ -427,29 +435,30 @@
 	return max(l.remaining(t.reported/reporters, l.start, now)-t.local, 0)
 }
 
-// Available is how many more flows this host may place at a target; 0 if none.
+// Available returns how many more flows this host may open to a target; 0 if none.
 func (l *Limiter) Available(t *TargetFlows, b FlowLimit, g UnreportedEstimate, now timekeeper.Instant) int {
 	return b.available(l.EstimateFlows(t, b.MaxFlows, g, now).Total())
 }
 
-// available is what a bound leaves beside some flows.
+// available returns how many more flows the limit allows beside the given number of flows.
 func (b FlowLimit) available(flows int) int { return max(b.MaxFlows-b.Reserved-flows, 0) }
 
-// Evaluate returns how many flows a target is believed to hold, and whether this host may place
-// one more. A choice asks this of each target.
+// Evaluate returns the estimated number of flows at a target, and whether this host may open one
+// more. Target selection calls it for each target.
 //
-// What goes wrong if all hosts may while there is room: what each knows of the others is a
-// second old, so all of a zone go for the last places, and most meet a full target. One
-// notices by openings that wait at targets believed to have one place left. So when there
-// are fewer places than hosts, as many hosts as places have their turn, others each
-// second, and each places one flow. A place that this host's own flow has left is its own
-// for that time: nobody else knows of it.
+// When fewer connections are free than the zone has hosts, hosts take turns: in each turn of one
+// second, about as many hosts as there are free connections may open one flow each. Without this,
+// all hosts of a zone compete for the last free connections and most of them meet a full target,
+// since each host's data on the others is a second old, which shows as opening packets that wait
+// at targets with an estimated one connection left. A connection freed by a local flow is
+// available to this host for one second: no other host knows that it is free.
 func (l *Limiter) Evaluate(t *TargetFlows, tag uint32, b FlowLimit, g UnreportedEstimate, now timekeeper.Instant) (flows int, admits bool) {
 	flows = l.EstimateFlows(t, b.MaxFlows, g, now).Total()
 	return flows, l.admits(t, tag, b.available(flows), b.ShortLived, now)
 }
 
-// admits reports whether this host may place one more flow, given how many there is room for.
+// admits reports whether this host may open one more flow, given how many connections are
+// available.
 func (l *Limiter) admits(t *TargetFlows, tag uint32, available int, shortLived bool, now timekeeper.Instant) bool {
 	hosts := l.peerCount() + 1
 	switch {
@@ -463,10 +472,10 @@
 	return int(l.turnHash(tag, now)%uint64(hosts)) < available
 }
 
-// turnNumber numbers the turns.
+// turnNumber returns the number of the turn that contains now.
 func turnNumber(now timekeeper.Instant) uint64 { return uint64(now) / uint64(turnDuration) }
 
-// turnHash is a number that differs by host, target and turn.
+// turnHash returns a hash that differs by host, target and turn.
 func (l *Limiter) turnHash(tag uint32, now timekeeper.Instant) uint64 {
 	var buffer [20]byte
 	binary.BigEndian.PutUint32(buffer[:4], tag)
@@ -475,14 +484,14 @@
 	return xxhash.Sum64(buffer[:])
 }
 
-// MarkFull takes in that a target has turned out to be full: what is missing from its bound
-// counts as flows that nobody tells of.
+// MarkFull records that a target has turned out to be full: the difference between its connection
+// limit and the estimate counts as unaccounted flows.
 func (l *Limiter) MarkFull(t *TargetFlows, bound int, g UnreportedEstimate, now timekeeper.Instant) {
 	t.unaccounted, t.unaccountedSince = 0, now
 	t.unaccounted = max(bound-l.EstimateFlows(t, bound, g, now).Total(), 0)
 }
 
-// UsedTargets lists those of some targets at which this host has placed flows.
+// UsedTargets returns the given targets at which this host has, or has had, flows.
 func (l *Limiter) UsedTargets(tags []uint32) []uint32 {
 	var used []uint32
 	for _, tag := range tags {
@@ -493,8 +502,9 @@
 	return used
 }
 
-// LocalFlows lists this host's flows at those of some targets at which it has placed any, for
-// what it tells. A target whose flows have all ended is listed with 0.
+// LocalFlows returns the number of local flows at the given targets, for this host's reports. It
+// leaves out targets that this host has never used; a target whose flows have all ended is listed
+// with 0.
 func (l *Limiter) LocalFlows(tags []uint32) map[uint32]uint16 {
 	flows := make(map[uint32]uint16, len(tags))
 	for _, tag := range tags {
