--- a/core/throttler/quota.go
+++ b/core/throttler/quota.go
@@ -10,17 +10,17 @@
 	"golang.org/x/time/rate"
 )
 
-// Quota bounds the requests of some callers. It is immutable.
+// Quota limits the request rate of some callers. It is immutable.
 type Quota struct {
-	// Prefix is whose requests count; all callers' if it is not valid.
+	// Prefix is the addresses whose requests count; those of all callers if it is not valid.
 	Prefix netip.Prefix
-	// Route is where they count; on all routes if it is empty.
+	// Route is the route on which requests count; all routes if it is empty.
 	Route string
-	// PerSecond is how many requests all hosts of an availability zone pass on together.
+	// PerSecond is how many requests per second all hosts of an availability zone forward together.
 	PerSecond float64
 }
 
-// Matches reports whether a caller's requests to a route count.
+// Matches reports whether a caller's requests on a route count towards the quota.
 func (q Quota) Matches(caller netip.Addr, route string) bool {
 	if q.Route != "" && q.Route != route {
 		return false
@@ -39,16 +39,16 @@
 	return fmt.Sprintf("%s on %s", callers, route)
 }
 
-// QuotaSpec is a quota as operators write it.
+// QuotaSpec is a quota as written in the settings.
 type QuotaSpec struct {
-	// Prefix is such as "203.0.113.0/24", or a single address. Prefix or Route may be
+	// Prefix is a prefix such as "203.0.113.0/24", or a single address. Prefix or Route may be
 	// left out.
 	Prefix            string  `yaml:"prefix"`
 	Route             string  `yaml:"route"`
 	RequestsPerSecond float64 `yaml:"requestsPerSecond"`
 }
 
-// ParseQuotas checks quotas as operators write them. Its errors are of type Error; they name
+// ParseQuotas checks and converts quotas from the settings. Its errors are of type *Error and name
 // the quota by its index.
 func ParseQuotas(specs []QuotaSpec) ([]Quota, error) {
 	quotas := make([]Quota, 0, len(specs))
@@ -60,7 +60,7 @@
 		}
 		scope := Quota{Prefix: q.Prefix, Route: q.Route}
 		if first, taken := seen[scope]; taken {
-			return nil, &Error{Op: "check quotas", Kind: KindInvalid, Err: fmt.Errorf("quotas[%d]: %s has a quota in quotas[%d]; write one", i, q, first)}
+			return nil, &Error{Op: "check quotas", Kind: KindInvalid, Err: fmt.Errorf("quotas[%d]: %s already has a quota in quotas[%d]; keep only one of them", i, q, first)}
 		}
 		seen[scope] = i
 		quotas = append(quotas, q)
@@ -68,11 +68,11 @@
 	return quotas, nil
 }
 
-// parse checks one quota.
+// parse checks and converts one quota.
 func (t QuotaSpec) parse() (Quota, error) {
 	q := Quota{Route: t.Route, PerSecond: t.RequestsPerSecond}
 	if t.Prefix == "" && t.Route == "" {
-		return q, fmt.Errorf("it names neither prefix nor route; write one of them, or both")
+		return q, fmt.Errorf("neither prefix nor route is set; set at least one of them")
 	}
 	if !(t.RequestsPerSecond > 0) || math.IsInf(t.RequestsPerSecond, 1) {
 		return q, fmt.Errorf("requestsPerSecond: %g is no rate above 0", t.RequestsPerSecond)
@@ -93,22 +93,22 @@
 	}
 	prefix, err := netip.ParsePrefix(text)
 	if err != nil {
-		return netip.Prefix{}, fmt.Errorf("prefix: %q is no prefix such as 203.0.113.0/24 and no address", text)
+		return netip.Prefix{}, fmt.Errorf("prefix: %q is no prefix such as 203.0.113.0/24 and no IP address", text)
 	}
 	if prefix.Addr().Is4In6() {
-		return netip.Prefix{}, fmt.Errorf("prefix: %s is an IPv4 prefix in the form of IPv6; write it as IPv4", text)
+		return netip.Prefix{}, fmt.Errorf("prefix: %s is an IPv4-mapped IPv6 prefix; write it as IPv4", text)
 	}
 	if masked := prefix.Masked(); masked != prefix {
-		return netip.Prefix{}, fmt.Errorf("prefix: %s has bits beyond its length; write %s", text, masked)
+		return netip.Prefix{}, fmt.Errorf("prefix: %s has bits set beyond its length; write %s", text, masked)
 	}
 	return prefix, nil
 }
 
-// bucket is a host's part of a quota.
+// bucket is the token bucket of a host's share of a quota.
 type bucket struct {
 	quota   Quota
 	limiter *rate.Limiter
-	// hosts is how many hosts the quota is divided by.
+	// hosts is the number of hosts among which the quota is divided.
 	hosts int
 }
 
@@ -118,8 +118,7 @@
 	return b
 }
 
-// hostShare is the host's part of the quota, in requests a second, and how many requests may come
-// at once.
+// hostShare returns the host's share of the quota, in requests per second, and the burst size.
 func (b *bucket) hostShare() (perSecond rate.Limit, burst int) {
 	part := b.quota.PerSecond / float64(b.hosts)
 	return rate.Limit(part), max(int(math.Ceil(part)), 1)
@@ -128,7 +127,7 @@
 // HasQuotas reports whether there is any quota.
 func (t *Throttler) HasQuotas() bool { return len(t.quotas) > 0 }
 
-// DivideQuotas divides the quotas by the live hosts of the zone, this one among them.
+// DivideQuotas divides the quotas among the live hosts of the zone, this one included.
 func (t *Throttler) DivideQuotas(hosts int, now timekeeper.Instant) {
 	for _, b := range t.quotas {
 		if hosts = max(hosts, 1); hosts == b.hosts {
@@ -151,8 +150,9 @@
 	return Quota{}, false
 }
 
-// Charge counts a request. Those in open flows can't be refused: new flows pay for them,
-// up to what a second's requests are, so that the debt ends with its cause.
+// Charge counts a request towards its quotas. Requests in open flows can't be refused, so they are
+// charged to new flows; the debt is limited to the requests of one second, so that it ends soon
+// after its cause.
 func (t *Throttler) Charge(caller netip.Addr, route string, now timekeeper.Instant) {
 	for _, b := range t.quotas {
 		_, burst := b.hostShare()
@@ -162,5 +162,6 @@
 	}
 }
 
-// limiterTime turns an instant into the limiter's time, of which only differences matter.
+// limiterTime converts an instant to the time type of the rate limiter, which only uses
+// differences.
 func limiterTime(now timekeeper.Instant) time.Time { return time.Unix(0, int64(now)) }
--- a/core/throttler/table.go
+++ b/core/throttler/table.go
@@ -11,30 +11,31 @@
 )
 
 const (
-	// rateTimeConstant is the time over which rates are means: long enough that a person's few
-	// requests in a row are no excess.
+	// rateTimeConstant is the time constant of mean rates: long enough that a person's few
+	// requests in a row don't count as excess.
 	rateTimeConstant = 2 * time.Second
-	// weightTimeConstant is the time over which weights are learned: much longer than it takes to
-	// notice a shortage, so that a caller that causes one gains little weight before.
+	// weightTimeConstant is the time constant of weights: much longer than it takes to detect an
+	// overload, so that a caller that causes one gains little weight before that.
 	weightTimeConstant = 10 * time.Second
-	// minWeight is the least weight of an address, in open flows: far below one, since a
-	// host of a larger fleet sees only a part of each caller's flows.
+	// minWeight is the minimum weight of an address, in open flows: far below one, since a host
+	// of a larger fleet sees only a fraction of each caller's flows.
 	minWeight = 0.02
-	// guaranteedRate is what each caller may have whatever its share, in new flows a second: as
-	// much as a person who asks again and again.
+	// guaranteedRate is the rate that each caller is entitled to whatever its fair share, in new
+	// flows per second: as much as a person who keeps retrying.
 	guaranteedRate = 2
-	// excessFactor times what others ask for their weight is much more. Whoever asks two or
-	// three times as often as usual, as all do in a crowd, does not.
+	// excessFactor is the multiple of the others' demand per weight above which a caller requests
+	// much more than they do. A caller that sends two or three times as many requests as
+	// ordinarily, as all callers do in a load peak, does not.
 	excessFactor = 3
-	// shareGrowth is by how much shares grow while hardly anybody else is refused: less than
-	// lowRefusalRatio of what is passed on. Without it, shares that have shrunk would never
-	// grow again.
+	// shareGrowth is the factor by which fair shares grow while hardly any requests are refused
+	// for reasons other than fair shares: less than lowRefusalRatio of the forwarded rate.
+	// Without it, shares that have shrunk would never grow again.
 	shareGrowth     = 1.05
 	lowRefusalRatio = 0.02
-	// negligibleRate is the rate, in new flows a second, below which what a caller asks, or what
-	// is refused, counts as nothing: less than one in the last few seconds.
+	// negligibleRate is the rate, in new flows per second, below which a caller's demand or the
+	// refusals count as none: less than one request in the last few seconds.
 	negligibleRate = 0.05
-	// allocationInterval is how often the callers' shares are worked out.
+	// allocationInterval is the interval at which the callers' fair shares are recomputed.
 	allocationInterval = 100 * time.Millisecond
 )
 
@@ -43,21 +44,21 @@
 	callers *lru.TwoQueueCache[netip.Prefix, *caller]
 }
 
-// caller is what is kept of an address, or of a prefix.
+// caller is the record of an address or of a prefix.
 type caller struct {
 	prefix netip.Prefix
-	// requestedRate and passed are the rates of new flows that were asked for and passed on.
+	// requestedRate and forwardedRate are the rates of new flows requested and forwarded.
 	requestedRate meanRate
 	forwardedRate meanRate
-	// openFlows is how many flows are open since changed, weight the mean of it in calm times.
+	// openFlows is the number of flows open since updatedAt, weight its mean under normal load.
 	openFlows int
 	updatedAt timekeeper.Instant
 	weight    float64
-	// hasHistory says that there were calm times since it came.
+	// hasHistory says that the caller has been known under normal load.
 	hasHistory bool
 }
 
-// newCallerTable makes a table that keeps up to size callers.
+// newCallerTable returns a table that keeps up to size callers.
 func newCallerTable(size int) *callerTable {
 	callers, err := lru.New2Q[netip.Prefix, *caller](size)
 	if err != nil {
@@ -66,7 +67,7 @@
 	return &callerTable{callers: callers}
 }
 
-// getOrCreate returns what is kept of a caller, from now on if nothing was.
+// getOrCreate returns the record of a caller, and creates it if there is none.
 func (t *callerTable) getOrCreate(prefix netip.Prefix, now timekeeper.Instant) *caller {
 	if c, ok := t.callers.Get(prefix); ok {
 		return c
@@ -83,10 +84,10 @@
 	}
 }
 
-// updateWeights brings the weights of all known callers up to date.
+// updateWeights brings the weights of all callers with a history up to date.
 //
-// What goes wrong otherwise: many people behind one address open long flows in calm times,
-// nothing changes for a minute, and in the shortage they weigh as much as one caller.
+// Without this, many people behind one address that open long flows under normal load, and neither
+// open nor end any for a minute, weigh as much as one caller in the overload that follows.
 func (t *callerTable) updateWeights(learningSince, now timekeeper.Instant) {
 	for _, c := range t.callers.Values() {
 		if c.hasHistory {
@@ -95,8 +96,8 @@
 	}
 }
 
-// addOpenFlows changes how many flows are open. Those that were open until now count for the
-// weight, but only for the time in which the service had room, which began at learningSince.
+// addOpenFlows changes the number of open flows. The flows open until now count towards the weight,
+// but only for the time under normal load, which began at learningSince.
 func (c *caller) addOpenFlows(by int, learningSince, now timekeeper.Instant) {
 	if learningSince.Passed(now) {
 		kept := math.Exp(-float64(now.Since(max(c.updatedAt, learningSince))) / float64(weightTimeConstant))
@@ -107,21 +108,22 @@
 	c.updatedAt = now
 }
 
-// allocation is what the callers of a service ask for altogether, and how it is divided.
+// allocation is the total demand of the callers of a service and the division of the forwarded
+// rate among them.
 type allocation struct {
-	// total is of all callers, unknown of those of which nothing is known.
+	// total is the demand of all callers, newcomers that of callers without a history.
 	total     demand
 	newcomers demand
-	// sharePerWeight is the share of weight one, in new flows a second.
+	// sharePerWeight is the fair share of weight one, in new flows per second.
 	sharePerWeight float64
-	// newcomerWeight and newcomerGuaranteedRate are the weight and the least share of a prefix of
-	// which nothing is known.
+	// newcomerWeight and newcomerGuaranteedRate are the weight and the guaranteed rate of a
+	// prefix without a history.
 	newcomerWeight         float64
 	newcomerGuaranteedRate float64
 }
 
-// weighNewcomers gives each prefix that was not there in calm times the mean weight of those
-// that were, but all together no more than all of them, however many come.
+// weighNewcomers gives each prefix without a history the mean weight of those with one, but all
+// newcomers together no more than the total weight of those, however many there are.
 func (d *allocation) weighNewcomers(prefixes *callerTable, now timekeeper.Instant) {
 	established, newcomers, sum := 0, 0, 0.0
 	for _, c := range prefixes.callers.Values() {
@@ -138,7 +140,7 @@
 	d.newcomerGuaranteedRate = guaranteedRate * float64(max(established, 1)) / most
 }
 
-// guaranteedRateOf is what a caller may have whatever its share.
+// guaranteedRateOf returns the rate that a caller is entitled to whatever its fair share.
 func (d *allocation) guaranteedRateOf(c *caller) float64 {
 	if c.hasHistory {
 		return guaranteedRate
@@ -146,7 +148,7 @@
 	return d.newcomerGuaranteedRate
 }
 
-// weightOf is a caller's weight, in open flows.
+// weightOf returns a caller's weight, in open flows.
 func (d *allocation) weightOf(c *caller) float64 {
 	if c.hasHistory {
 		return c.weight
@@ -154,15 +156,15 @@
 	return d.newcomerWeight
 }
 
-// exceedsOthers reports whether a caller asks for much more than the others do for their
-// weight. Those of which nothing is known are judged together as well: a caller that changes
-// its address asks little from each of them.
+// exceedsOthers reports whether a caller requests much more than the others do for their weight.
+// Callers without a history are also compared as a group: a caller that changes its address
+// requests little from each address.
 func (d *allocation) exceedsOthers(c *caller, now timekeeper.Instant) bool {
 	own := demand{rate: c.requestedRate.at(now), weight: d.weightOf(c)}
 	return d.total.minus(own).exceededBy(own) || (!c.hasHistory && d.total.minus(d.newcomers).exceededBy(d.newcomers))
 }
 
-// demand is what callers ask for, in new flows a second, and their weight in open flows.
+// demand is the rate that callers request, in new flows per second, and their weight in open flows.
 type demand struct {
 	rate   float64
 	weight float64
@@ -177,13 +179,13 @@
 	return demand{rate: max(d.rate-some.rate, 0), weight: max(d.weight-some.weight, 0)}
 }
 
-// exceededBy reports whether some ask for much more than these, for their weight.
+// exceededBy reports whether some callers request much more for their weight than those of d.
 func (d demand) exceededBy(some demand) bool {
 	return some.rate*d.weight > excessFactor*d.rate*some.weight
 }
 
-// maxMinSharePerWeight returns the share of weight one if room is divided by max-min fairness;
-// infinite if there is room for all.
+// maxMinSharePerWeight returns the fair share of weight one if capacity is divided by max-min
+// fairness; infinite if the capacity suffices for all demands.
 func maxMinSharePerWeight(demands []demand, capacity float64) float64 {
 	weights := 0.0
 	for _, d := range demands {
@@ -208,14 +210,14 @@
 	return math.Inf(1)
 }
 
-// meanRate is an exponentially weighted mean of events a second.
+// meanRate is an exponentially weighted moving average of events per second.
 type meanRate struct {
-	// value is the mean as of since.
+	// value is the mean as of updatedAt.
 	value     float64
 	updatedAt timekeeper.Instant
 }
 
-// at is the mean as of now.
+// at returns the mean as of now.
 func (r *meanRate) at(now timekeeper.Instant) float64 {
 	return r.value * math.Exp(-float64(now.Since(r.updatedAt))/float64(rateTimeConstant))
 }
--- a/core/throttler/throttler.go
+++ b/core/throttler/throttler.go
@@ -1,28 +1,27 @@
-// Package throttler decides which callers are refused first while a service is short of
-// room, and which have used up a quota.
+// Package throttler decides which callers are refused first while a service is overloaded, and
+// which callers have exceeded a quota.
 //
-// The pattern: a service is asked for more than its targets can do, and one caller
-// repeats itself without pause. Whoever asks most gets most of the room, so that all
-// others are refused for the one. But many callers may share an address, behind a proxy
-// or a carrier's NAT: an address that asks a hundred times as much as another may be a
-// hundred people.
+// When demand exceeds what the targets of a service can serve, the caller that sends most requests
+// gets most of the capacity: one caller that retries without pause causes the refusal of all
+// others. But many callers may share an address, behind a proxy or a carrier's NAT: an address that
+// sends a hundred times as many requests as another may stand for a hundred people.
 //
-// The answer: weighted max-min fairness among addresses. What the host passes on is
-// divided in proportion to weights; a caller that asks for less than its share gets all
-// that it asks for, and what it leaves goes to the others. A caller that has had more than
-// its share, and asks for far more than others do for their weight, is refused. A crowd of
-// callers who ask alike is left to admission, which knows the priority of each request.
+// The throttler applies weighted max-min fairness among addresses. The rate that the host forwards
+// is divided in proportion to weights; a caller that requests less than its fair share gets all
+// that it requests, and the remainder goes to the others. A caller that has received its fair
+// share, and requests far more than others do for their weight, is refused. A load peak of callers
+// with equal demand is left to package admitter, which knows the priority of each request.
 //
-// An address weighs as much as it had flows open at a time before the shortage: many
-// people have many, while a program that asks again as soon as it is answered has one at
-// the most. Nobody gains weight while the service is short.
+// The weight of an address is the mean number of flows that it had open before the overload: many
+// people have many, while a program that sends its next request when it has the response to the
+// last one has at most one. No weight grows during an overload.
 //
-// Addresses that are new since then answer together, by their prefix, which weighs as much
-// as all its flows in calm times, or as other prefixes do: changing one's address gains
-// nothing, and those of the prefix who were there before don't pay for it.
+// Addresses first seen during an overload are charged together, to their prefix, which weighs as
+// much as all its flows under normal load, or as other prefixes on average: a change of address
+// gains nothing, and known addresses of the prefix are not charged for it.
 //
-// The package knows no network and no clock. A Throttler belongs to one owner and changes
-// in place, since each new flow touches it.
+// The package does no network I/O and reads no clock. A Throttler has a single owner and is changed
+// in place, since every new flow updates it.
 package throttler
 
 import (
@@ -35,44 +34,43 @@
 )
 
 const (
-	// maxAddresses and maxPrefixes bound the callers that are kept of a service, and so the
-	// memory that an attacker can fill. A caller beyond them is forgotten, which refuses
-	// nobody.
+	// maxAddresses and maxPrefixes limit the callers that are kept per service, and so the
+	// memory that an attacker can fill. A caller beyond them is evicted, which refuses nobody.
 	maxAddresses = 512
 	maxPrefixes  = 128
-	// maxServices bounds the services that are kept.
+	// maxServices limits the services that are kept.
 	maxServices = 64
-	// ipv4PrefixBits and ipv6PrefixBits are the length of a caller's prefix: what a site is
-	// given at the least.
+	// ipv4PrefixBits and ipv6PrefixBits are the length of a caller's prefix: the smallest network
+	// that a site is assigned.
 	ipv4PrefixBits = 24
 	ipv6PrefixBits = 48
-	// weightFreezeDuration is how long after a shortage weights are not learned: until then callers
-	// repeat what was refused.
+	// weightFreezeDuration is how long weights are not updated after an overload: callers retry
+	// refused requests for that long.
 	weightFreezeDuration = 5 * time.Second
 )
 
-// Throttler is what one host knows of its callers.
+// Throttler tracks the callers of one host.
 type Throttler struct {
 	services *lru.Cache[string, *service]
 	quotas   []*bucket
 }
 
-// service is what callers ask of one service.
+// service tracks the callers of one service.
 type service struct {
-	// addresses are those that came in calm times, each of which answers for itself.
-	// prefixes answer for all other addresses of theirs.
+	// addresses holds the addresses seen under normal load, each of which is charged for its
+	// own flows. prefixes holds the prefixes that are charged for all other addresses.
 	addresses *callerTable
 	prefixes  *callerTable
-	// allocation is what callers ask for, and may have, until allocationDeadline.
+	// allocation is the demand of the callers and its division until allocationDeadline.
 	allocation         allocation
 	allocationDeadline timekeeper.Instant
-	// throttledRate is the rate of new flows that were refused for their callers' shares.
+	// throttledRate is the rate of new flows refused because of their callers' fair shares.
 	throttledRate meanRate
-	// weightFreezeDeadline is when weights are learned again after a shortage.
+	// weightFreezeDeadline is when weights are updated again after an overload.
 	weightFreezeDeadline timekeeper.Instant
 }
 
-// New makes the Throttler of a host with some quotas.
+// New returns the Throttler of a host with the given quotas.
 func New(quotas []Quota) *Throttler {
 	services, err := lru.New[string, *service](maxServices)
 	if err != nil {
@@ -89,21 +87,21 @@
 type Request struct {
 	Caller  netip.Addr
 	Service string
-	// Overloaded says that the service is short of room.
+	// Overloaded says that the service is overloaded.
 	Overloaded bool
 }
 
-// Decision says whether a new flow is refused for what its caller has had.
+// Decision says whether a new flow is refused because its caller has received its fair share.
 type Decision struct {
 	Refused bool
-	// Prefix is the address or prefix that has had too much, Had what was passed on for
-	// it and FairShare what it may have, in new flows a second.
+	// Prefix is the address or prefix that is charged. ForwardedRate is the rate that was
+	// forwarded for it and FairShare the rate that it is entitled to, in new flows per second.
 	Prefix        netip.Prefix
 	ForwardedRate float64
 	FairShare     float64
 }
 
-// Check takes in that a caller asks for a new flow, and says whether it is refused.
+// Check records a caller's request for a new flow, and decides whether it is refused.
 func (t *Throttler) Check(r Request, now timekeeper.Instant) Decision {
 	s := t.service(r.Service)
 	if r.Overloaded {
@@ -122,8 +120,8 @@
 	return decision
 }
 
-// chargedCaller returns who answers for an address that asks. In calm times it answers for
-// itself from now on.
+// callerFor returns the address or prefix that is charged for a request from an address. Under
+// normal load that is the address itself, from then on.
 func (s *service) callerFor(address netip.Addr, now timekeeper.Instant) *caller {
 	key, prefix := keysOf(address)
 	if s.learningWeights(now) {
@@ -135,7 +133,7 @@
 	return s.prefixes.getOrCreate(prefix, now)
 }
 
-// decide says whether a caller has had more than its share, and asks for much more than others.
+// decide refuses a caller that has received its fair share and requests much more than others do.
 func (s *service) decide(c *caller, now timekeeper.Instant) Decision {
 	if s.allocationDeadline.Passed(now) {
 		s.allocation = s.allocate(now)
@@ -150,8 +148,9 @@
 	return decision
 }
 
-// allocate shares out what is passed on at present among the callers. If nobody is refused,
-// there is nothing to divide. If few are refused but for their shares, there may be more room.
+// allocate divides the current forwarded rate among the callers. If no request is refused, there
+// is nothing to divide. If few are refused for other reasons than fair shares, there may be more
+// capacity, so the shares grow.
 func (s *service) allocate(now timekeeper.Instant) allocation {
 	d := allocation{sharePerWeight: math.Inf(1)}
 	d.weighNewcomers(s.prefixes, now)
@@ -182,7 +181,7 @@
 	return d
 }
 
-// FlowStarted takes in that a caller's new flow is passed on. Its end has to be told.
+// FlowStarted records that a new flow is forwarded. Its end has to be reported to FlowEnded.
 func (t *Throttler) FlowStarted(r Request, now timekeeper.Instant) {
 	s := t.service(r.Service)
 	key, prefix := keysOf(r.Caller)
@@ -195,8 +194,8 @@
 	chargedCaller.forwardedRate.add(now)
 }
 
-// FlowEnded takes in that a flow that was passed on has ended. It counts for nothing if its
-// caller has been forgotten meanwhile: flows keep no callers in memory.
+// FlowEnded records the end of a forwarded flow. It has no effect if the caller has been evicted in
+// the meantime: open flows keep no caller in memory.
 func (t *Throttler) FlowEnded(r Request, now timekeeper.Instant) {
 	s := t.service(r.Service)
 	key, prefix := keysOf(r.Caller)
@@ -204,7 +203,7 @@
 	s.prefixes.flowEnded(prefix, s.weightFreezeDeadline, now)
 }
 
-// CallerCount counts the addresses and prefixes that are kept, for operators.
+// CallerCount returns the number of addresses and prefixes that are kept, for operators.
 func (t *Throttler) CallerCount() int {
 	count := 0
 	for _, s := range t.services.Values() {
@@ -213,7 +212,7 @@
 	return count
 }
 
-// service returns what is kept of a service.
+// service returns the record of a service, and creates it if there is none.
 func (t *Throttler) service(name string) *service {
 	s, ok := t.services.Get(name)
 	if !ok {
@@ -223,13 +222,14 @@
 	return s
 }
 
-// learningWeights reports whether weights are learned.
+// learningWeights reports whether weights are updated at present, that is, not frozen by an
+// overload.
 func (s *service) learningWeights(now timekeeper.Instant) bool {
 	return s.weightFreezeDeadline.Passed(now)
 }
 
-// keysOf returns a caller's address and its prefix. The address of an IPv6 caller is its
-// network: a host there has as many addresses as it likes.
+// keysOf returns a caller's address and its prefix. The address of an IPv6 caller is its /64
+// network, since an IPv6 host may use any number of addresses in it.
 func keysOf(caller netip.Addr) (address, prefix netip.Prefix) {
 	caller = caller.Unmap()
 	bits, prefixBits := caller.BitLen(), ipv4PrefixBits
