--- a/core/pacer/pacer.go
+++ b/core/pacer/pacer.go
@@ -1,103 +1,104 @@
-// Package pacer decides which requests wait while a service is asked for more than its
-// targets can do.
+// Package pacer decides which requests are queued at the host while a service is congested, that
+// is, while latency shows queueing at its targets.
 //
-// The pattern: callers come in a crowd, or half of the targets are lost. Targets queue
-// some requests for each slot and refuse the rest. While their queues are full every
-// answer comes late, the urgent ones like the others, and requests that can't be in
-// time any more take the slots of those that still can. Not one host sees the whole
-// load, and none can see a target's queue.
+// A load peak may arrive, or half of the targets may fail. Targets queue some requests for each
+// slot and reject the rest. While their queues are full every response is late, those to urgent
+// requests included, and requests that can no longer be on time take the slots of requests that
+// still can. No host sees the whole load, and none sees the queue of a target.
 //
-// The answer: each host bounds the requests that it has under way at a service by what
-// answer times tell it (Load), as delay-based congestion control does (TCP Vegas; the
-// gradient limits of adaptive concurrency). Requests of open flows beyond the bound
-// wait at the host, in a Line for each target, and those go first that can still be in
-// time (earliest deadline first, without those whose deadline can't be met). No host
-// has to be told of another's load: they all see the same queues.
+// Each host therefore limits its requests in flight at a service according to the latency of
+// responses (Load), as delay-based congestion control does (TCP Vegas; the gradient limits of
+// adaptive concurrency). Requests of open flows beyond the limit wait at the host, in a Queue for
+// each target, and those that can still be on time go first (earliest deadline first, without
+// requests whose deadline can't be met). Hosts need no reports of each other's load: they all
+// observe the same target queues.
 //
-// Nothing here waits for long: each request has a moment after which it goes before
-// all others, and one at which it is passed on whatever the load.
+// No request waits for long: after one deadline it goes before all others, and after another it is
+// forwarded whatever the load.
 //
-// The package knows no network and no clock. Its state is plain values that belong to
-// one owner and change in place, since they are touched by each answer.
+// The package does no network I/O and reads no clock. Its state is plain values with a single
+// owner, changed in place, since every response updates them.
 package pacer
 
 import "time"
 
 const (
-	// pressureSmoothing is the part of each answer in the moving mean of pressure: some 20
-	// answers. A host sees 50 or more a second under a load worth pacing, so that a
-	// crowd is noticed within half a second.
+	// pressureSmoothing is the weight of each response in the moving average of pressure: a mean
+	// over about 20 responses. A host sees 50 or more per second under a load worth pacing, so
+	// that a load peak is detected within half a second.
 	pressureSmoothing = 0.05
-	// congestionOnThreshold is the pressure at which requests begin to wait. Waiting times
-	// spread about as much as their mean, so that one answer in thirty is late then,
-	// and more soon. Ordinary days stay below 0.1.
+	// congestionOnThreshold is the pressure at which congestion begins and requests are queued.
+	// Waits spread about as much as their mean, so that one response in thirty is late at this
+	// pressure, and soon more. Normal load stays below 0.1.
 	congestionOnThreshold = 0.3
-	// congestionOffThreshold ends it; the distance keeps the two from alternating.
+	// congestionOffThreshold is the pressure at which congestion ends; the difference between
+	// the thresholds is the hysteresis that prevents alternation.
 	congestionOffThreshold = 0.2
-	// maxPressure bounds what one answer counts, so that the memory of a few that
-	// hung is short.
+	// maxPressure limits the pressure that one response counts for, so that a few stalled
+	// requests don't affect the average for long.
 	maxPressure = 4
-	// slowdownSmoothing is the part of each answer in the moving mean of slowdown.
+	// slowdownSmoothing is the weight of each response in the moving average of slowdown.
 	slowdownSmoothing = 0.1
-	// maxSlowdown bounds what one answer counts.
+	// maxSlowdown limits the slowdown that one response counts for.
 	maxSlowdown = 10
-	// toleratedSlowdown is the slowdown that leaves the window as it is: a request may wait
-	// for one other. With less, slots stand idle while hosts wait for answers; with
-	// more, the urgent requests wait too long.
+	// toleratedSlowdown is the slowdown above which the window is scaled down: a request may
+	// wait for one other. With less, slots are idle while hosts wait for responses; with more,
+	// urgent requests wait too long.
 	toleratedSlowdown = 2
-	// minGradient bounds how fast the window shrinks.
+	// minGradient limits how fast the window shrinks.
 	minGradient = 0.5
-	// windowHeadroom is what the window grows by while answers are not slow, in requests. It
-	// is what finds out that there is room again.
+	// windowHeadroom is the number of requests by which the window grows while responses are not
+	// slow. The growth detects that capacity is available again.
 	windowHeadroom = 1
-	// windowSmoothing is the part of the way to its new size that the window goes with an
-	// answer.
+	// windowSmoothing is the fraction of the distance to its new size that the window moves with
+	// each response.
 	windowSmoothing = 0.1
-	// minWindow keeps a service from being shut.
+	// minWindow keeps a service from being blocked completely.
 	minWindow = 1
 )
 
-// Response is what a host learns when a request is answered.
+// Response describes the response to a request.
 type Response struct {
-	// Latency is the time from passing the request on, Held how long it waited before.
+	// Latency is the time since the request was forwarded, QueueDelay the time that it was
+	// queued at the host before.
 	Latency    time.Duration
 	QueueDelay time.Duration
-	// BaselineLatency is the median of Took while nothing is pressed, Objective what the callers
-	// hope for.
+	// BaselineLatency is the median of Latency while the service is not congested, Objective the
+	// latency objective of the callers.
 	BaselineLatency time.Duration
 	Objective       time.Duration
-	// InFlight is how many requests the host has at the service.
+	// InFlight is the number of requests that the host has in flight at the service.
 	InFlight int
 }
 
-// Load is what a host knows of the load of a service. The zero Load is calm.
+// Load tracks the load of a service as one host sees it. The zero Load is not congested.
 type Load struct {
-	// pressure is the moving mean of the part of the callers' spare time (objective
-	// less usual) that waiting takes.
+	// pressure is the moving average of the time that requests wait, as a fraction of the
+	// callers' slack (objective minus baseline latency).
 	pressure float64
-	// slowdown is the moving mean of answer times as multiples of the usual.
+	// slowdown is the moving average of latency as a multiple of the baseline latency.
 	slowdown  float64
 	congested bool
 	window    float64
 }
 
-// Congested reports whether requests have to wait.
+// Congested reports whether the service is congested, so that requests may have to wait.
 func (l *Load) Congested() bool { return l.congested }
 
-// Pressure is the part of the callers' spare time that waiting takes, for operators.
+// Pressure returns the mean wait as a fraction of the callers' slack, for operators.
 func (l *Load) Pressure() float64 { return l.pressure }
 
-// Window is how many requests the host may have under way while the service is pressed.
+// Window returns how many requests the host may have in flight while the service is congested.
 func (l *Load) Window() float64 { return l.window }
 
-// HasCapacity reports whether one more request may be passed on.
+// HasCapacity reports whether one more request may be forwarded.
 func (l *Load) HasCapacity(inFlight int) bool { return float64(inFlight) < l.window }
 
-// RecordResponse learns from an answer, and reports whether the service became pressed or
-// calm with it.
+// RecordResponse updates the load with a response, and reports whether congestion of the service
+// has begun or ended with it.
 //
-// An answer tells nothing if the callers' objective is not known, or if it would be
-// missed without any wait: then nobody gains by pacing.
+// It ignores responses without a known baseline latency, and those whose objective would be missed
+// without any wait: queueing helps no request then.
 func (l *Load) RecordResponse(a Response) bool {
 	slack := a.Objective - a.BaselineLatency
 	if a.BaselineLatency <= 0 || slack <= 0 {
@@ -120,7 +121,7 @@
 	return l.congested != before
 }
 
-// resize moves the window to where answers take as long as is tolerated.
+// resize moves the window towards the size at which the slowdown is the tolerated one.
 func (l *Load) resize() {
 	gradient := min(max(toleratedSlowdown/l.slowdown, minGradient), 1)
 	next := l.window*gradient + windowHeadroom
--- a/core/pacer/queue.go
+++ b/core/pacer/queue.go
@@ -8,32 +8,31 @@
 )
 
 const (
-	// agingFraction is the part of a route's timeout after which a request goes before all
-	// that came later. Until then the host serves those that can still be in time.
+	// agingFraction is the fraction of a route's timeout after which a request goes before all
+	// later ones. Until then the host prefers requests that can still be on time.
 	agingFraction = 0.35
-	// forcedFraction is the part after which it is passed on whatever the load, so that its
-	// target serves or refuses it while its caller still has more than half of the
-	// time.
+	// forcedFraction is the fraction of a route's timeout after which a request is forwarded
+	// whatever the load, so that its target serves or rejects it while its caller still has more
+	// than half of the time.
 	forcedFraction = 0.45
-	// latencyAllowance times the usual is set aside for the answer of a request that is
-	// to be in time: some answers take longer than the median.
+	// latencyAllowance is the latency that is allowed for when deciding whether a request can
+	// be on time, as a multiple of the baseline: some responses take longer than the median.
 	latencyAllowance = 2
 )
 
-// queuedRequest is a request that waits. Its payload is what its owner needs to pass it on.
+// queuedRequest is a request in a queue. Its payload is what the owner needs to forward it.
 type queuedRequest[T comparable] struct {
 	payload T
 	// priority is that of the route; 0 goes first.
 	priority int
-	// onTimeDeadline is until when the request has to be passed on to be in time,
-	// agingDeadline when it goes before all others, forcedDeadline when it is passed on
-	// whatever the load.
+	// onTimeDeadline is until when the request has to be forwarded to be on time, agingDeadline
+	// when it goes before all others, forcedDeadline when it is forwarded whatever the load.
 	onTimeDeadline timekeeper.Instant
 	agingDeadline  timekeeper.Instant
 	forcedDeadline timekeeper.Instant
 }
 
-// RouteParams says what a route's callers hope for and how long they wait.
+// RouteParams holds the baseline latency, latency objective, timeout and priority of a route.
 type RouteParams struct {
 	BaselineLatency time.Duration
 	Objective       time.Duration
@@ -41,16 +40,15 @@
 	Priority        int
 }
 
-// Queue holds the requests that wait for one target, in the order in which they came.
-// The zero Line is empty.
+// Queue holds the requests that wait for one target, in order of arrival. The zero Queue is empty.
 type Queue[T comparable] struct {
 	requests []queuedRequest[T]
 }
 
-// Len is how many requests wait.
+// Len returns the number of queued requests.
 func (l *Queue[T]) Len() int { return len(l.requests) }
 
-// Add lets a request wait from now on.
+// Add appends a request to the queue.
 func (l *Queue[T]) Add(payload T, now timekeeper.Instant, params RouteParams) {
 	l.requests = append(l.requests, queuedRequest[T]{
 		payload:        payload,
@@ -61,18 +59,18 @@
 	})
 }
 
-// Remove takes a request out.
+// Remove removes a request from the queue.
 func (l *Queue[T]) Remove(payload T) {
 	l.requests = slices.DeleteFunc(l.requests, func(r queuedRequest[T]) bool { return r.payload == payload })
 }
 
-// Oldest is the request that has waited longest; false if none waits.
+// Oldest returns the request that has waited longest; false if the queue is empty.
 func (l *Queue[T]) Oldest() (T, bool) { return l.at(min(len(l.requests), 1) - 1) }
 
-// Next is the request that goes next: the oldest whose turn has come, else of
-// those that can be in time one of the highest priority, the oldest first. One that
-// will be late goes only if the target has slots to spare: it would take the place of
-// another that comes in a moment and can be in time.
+// Next returns the request to forward next: the oldest request past its aging deadline, or else,
+// among those that can be on time, the oldest of the highest priority. If all will be late, it
+// returns one only if the target has free slots: the request would take the slot of another one
+// that is about to arrive and can be on time.
 func (l *Queue[T]) Next(now timekeeper.Instant, hasFreeSlots bool) (T, bool) {
 	best := -1
 	for i := range l.requests {
@@ -91,12 +89,12 @@
 	return l.at(best)
 }
 
-// Overdue is a request that may wait no longer.
+// Overdue returns a request past its forced deadline; false if there is none.
 func (l *Queue[T]) Overdue(now timekeeper.Instant) (T, bool) {
 	return l.at(slices.IndexFunc(l.requests, func(r queuedRequest[T]) bool { return r.forcedDeadline.Passed(now) }))
 }
 
-// at is the request at an index; false if that is below zero.
+// at returns the request at an index; false if the index is negative.
 func (l *Queue[T]) at(i int) (T, bool) {
 	if i < 0 {
 		var none T
