--- a/core/limiter/limiter_test.go
+++ b/core/limiter/limiter_test.go
@@ -21,7 +21,7 @@
 	idle  = 15 * time.Second
 )
 
-// TestMain fixes the seed, so that CI gives the same verdict each run.
+// TestMain fixes the seed of rapid, so that CI gives the same result in each run.
 func TestMain(m *testing.M) {
 	seeded := slices.ContainsFunc(os.Args, func(arg string) bool { return strings.Contains(arg, "rapid.seed") })
 	if !seeded {
@@ -32,7 +32,7 @@
 	os.Exit(m.Run())
 }
 
-// admits reports whether a host may place one more flow at a target.
+// admits reports whether a host may open one more flow to a target.
 func admits(l *limiter.Limiter, t *limiter.TargetFlows, tag uint32, b limiter.FlowLimit, g limiter.UnreportedEstimate, now timekeeper.Instant) bool {
 	_, admits := l.Evaluate(t, tag, b, g, now)
 	return admits
@@ -53,9 +53,9 @@
 	// 1
 }
 
-// Symptom: callers of a host that has just started wait at full targets. Sequence: a host
-// starts again within a second; its callers' flows go on at the targets, and it has seen
-// none of them. Cause: it takes what it has seen for all.
+// Guards against opening packets that wait at full targets: when a host restarts within a second,
+// the flows of its callers stay open at the targets, and a host that counts only flows it has seen
+// takes the targets for empty.
 func TestRestartedHostEstimatesForgottenFlows(t *testing.T) {
 	l := limiter.New("a0", start, idle)
 	one := l.Target(1)
@@ -65,15 +65,15 @@
 	}
 	require.Equal(t, limiter.FlowEstimate{Reported: 32, Estimated: 8}, l.EstimateFlows(one, 60, limiter.UnreportedEstimate{}, start), "as many as another host has")
 	for range 6 {
-		one.AddDiscovered() // Flows that go on here are seen one by one.
+		one.AddDiscovered() // Open flows are discovered one by one as they send packets.
 	}
 	require.Equal(t, 40, l.EstimateFlows(one, 60, limiter.UnreportedEstimate{}, start).Total(), "and counted once")
 	require.Equal(t, 38, l.EstimateFlows(one, 60, limiter.UnreportedEstimate{}, start.Add(idle)).Total(), "after the idle time it has seen all")
 }
 
-// Symptom: many openings meet full targets after a host of the zone has started again.
-// Sequence: it tells that it holds nothing. Cause: the flows that it has forgotten are
-// still at their targets.
+// Guards against many opening packets to full targets after another host of the zone has
+// restarted: the host reports no flows, but those from before its restart are still open at their
+// targets.
 func TestFlowsForgottenByRestartedPeerStillCount(t *testing.T) {
 	l := limiter.New("a0", start, idle)
 	one := l.Target(1)
@@ -87,9 +87,9 @@
 	require.Equal(t, 7, l.EstimateFlows(one, 40, limiter.UnreportedEstimate{}, now.Add(idle/2)).Total())
 }
 
-// Symptom: a zone's targets keep places free for a host that is gone. Sequence: a host
-// dies; its callers go on through others, which tell of their flows. Cause: what it told
-// last counts for good.
+// Guards against connections that stay reserved for a host that has ended: when a host dies, the
+// flows of its callers move to other hosts, which report them, while the last report of the dead
+// host counts forever.
 func TestFlowsOfDeadHostExpire(t *testing.T) {
 	l := limiter.New("a0", start, idle)
 	one := l.Target(1)
@@ -101,9 +101,9 @@
 	require.Zero(t, l.EstimateFlows(one, 40, limiter.UnreportedEstimate{}, start.Add(idle+2*time.Second)).Total())
 }
 
-// Symptom: the same full target is tried again by each opening. Sequence: hosts do not hear
-// each other, so a target looks half empty and is full. Cause: what it has shown is
-// forgotten at once.
+// Guards against repeated attempts at the same full target: when hosts receive no reports of each
+// other, a full target looks half empty, and a host that doesn't remember that it is full sends
+// each new flow there.
 func TestFullTargetStaysFullUntilFlowsEnd(t *testing.T) {
 	l := limiter.New("a0", start, idle)
 	one := l.Target(1)
@@ -133,8 +133,8 @@
 	require.Equal(t, limiter.FlowEstimate{Local: 2, Reported: 1, Estimated: 5}, l.EstimateFlows(one, 40, guess, start.Add(idle)))
 }
 
-// Load: flows that end within milliseconds, at a target that has one place left. They do
-// not wait until it is the host's turn.
+// Guards against delays of flows that end within milliseconds: when a target has one free
+// connection left, such flows don't wait for a turn of their host.
 func TestShortLivedFlowsBypassTurns(t *testing.T) {
 	l := limiter.New("a0", start, idle)
 	l.SetLivePeers(50)
@@ -159,8 +159,8 @@
 	require.False(t, admits(l, one, 1, bound, limiter.UnreportedEstimate{}, start))
 }
 
-// simulation is a zone's hosts before some targets that hold a bounded number of flows. A
-// message may be lost, a host may start again, and a target that is full says nothing.
+// simulation is the hosts of a zone and some targets with a connection limit. Reports may be lost,
+// hosts may restart, and a full target doesn't respond to opening packets.
 type simulation struct {
 	random       *rand.Rand
 	now          timekeeper.Instant
@@ -168,30 +168,30 @@
 	hosts        []*limiter.Limiter
 	incarnations []uint64
 	targets      int
-	// lossRate is the part of the reports that get lost.
+	// lossRate is the fraction of reports that are lost.
 	lossRate float64
-	// flows are the open ones: who placed each, and where.
+	// flows are the open flows.
 	flows         []simFlow
 	flowsByTarget []int
-	// attempts counts the openings, full how often one met a full target, late those that met
-	// nothing else until their callers gave up.
+	// attempts counts new flows, fullTargetHits how often one was sent to a full target,
+	// exhausted those that were sent only to full targets until their callers gave up.
 	attempts       int
 	fullTargetHits int
 	exhausted      int
-	// netOpened is what each host had placed at its last looks, growth what it has placed since,
-	// by target.
+	// netOpened is the net number of flows opened by each host at its last measurements, growth
+	// the mean increase per target since the oldest of them.
 	netOpened map[*limiter.Limiter][]int
 	growth    map[*limiter.Limiter]float64
 }
 
-// maxRetries is how often an opening packet is sent on.
+// maxRetries is the maximum number of redispatches of an opening packet.
 const maxRetries = 8
 
 type simFlow struct {
 	host, target int
-	// incarnation is the host's start since which it has seen the flow.
+	// incarnation is the incarnation of the host that last saw the flow.
 	incarnation uint64
-	// discovered says that the host had forgotten it.
+	// discovered says that the host saw the flow only after a restart.
 	discovered bool
 }
 
@@ -213,7 +213,7 @@
 	return tags
 }
 
-// report lets a host tell three others, as it does each quarter of a second.
+// report sends a host's report to three others, as happens every quarter of a second.
 func (w *simulation) report(from int) {
 	for range 3 {
 		to := w.random.IntN(len(w.hosts))
@@ -227,15 +227,15 @@
 	}
 }
 
-// openFlow places a flow by one host's belief, at the target with the most room. A target that
-// turns out to be full costs a round trip and a check; the opening is then sent on, a few
-// times at most, before its caller gives up.
+// openFlow opens a flow from one host to the target with the most available connections by the
+// host's estimate. A target that turns out to be full costs a round trip and a probe; the opening
+// packet is then redispatched, a few times at most, before its caller gives up.
 func (w *simulation) openFlow(host int) {
 	w.attempts++
 	for range 1 + maxRetries {
 		target := w.chooseTarget(host)
 		if target < 0 {
-			return // Refused at once.
+			return // Refused immediately.
 		}
 		l := w.hosts[host]
 		one := l.Target(uint32(target + 1))
@@ -251,7 +251,8 @@
 	w.exhausted++
 }
 
-// chooseTarget picks the target with the most room by one host's belief; -1 if none has any.
+// chooseTarget returns the target with the most available connections by one host's estimate; -1 if
+// none has any.
 func (w *simulation) chooseTarget(host int) int {
 	l := w.hosts[host]
 	l.SetLivePeers(len(w.hosts) - 1)
@@ -276,7 +277,8 @@
 	return limiter.UnreportedEstimate{PerHost: l.PerHost(own, told, w.targets, tellers), Growth: w.growth[l]}
 }
 
-// endFlow lets a flow end, after its host has seen it again if that has forgotten it.
+// endFlow ends a flow, and removes it from the counts of its host if the host has seen it since it
+// started.
 func (w *simulation) endFlow(at int) {
 	f := w.flows[at]
 	w.flows = slices.Delete(w.flows, at, at+1)
@@ -292,7 +294,7 @@
 	}
 }
 
-// redispatchFlow lets a flow send something, so that its host counts it again.
+// redispatchFlow sends a packet of a flow, so that its host counts it again after a restart.
 func (w *simulation) redispatchFlow(at int) {
 	f := &w.flows[at]
 	if f.incarnation != w.incarnations[f.host] {
@@ -302,14 +304,14 @@
 	}
 }
 
-// restart lets a host start again with nothing.
+// restart restarts a host without any state.
 func (w *simulation) restart(host int) {
 	w.incarnations[host]++
 	w.hosts[host] = limiter.New(fmt.Sprint(host), w.now, idle)
 }
 
-// run lets some seconds pass, with so many openings a second over all hosts. Each flow
-// sends something every three seconds, and one in fifteen ends in a second.
+// run advances the simulation by some seconds, with perSecond new flows per second over all hosts.
+// Each flow sends a packet about every three seconds, and one in fifteen ends per second.
 func (w *simulation) run(seconds, perSecond int) {
 	for range seconds * 4 {
 		w.now = w.now.Add(250 * time.Millisecond)
@@ -332,7 +334,8 @@
 	}
 }
 
-// measureGrowth works out by how much a host's flows have grown within half a second.
+// measureGrowth computes by how much the net number of flows that a host has opened has grown
+// within half a second.
 func (w *simulation) measureGrowth(l *limiter.Limiter) {
 	sum := 0
 	for _, tag := range w.tags() {
@@ -344,13 +347,13 @@
 	w.growth[l] = float64(max(sum-looks[0], 0)) / float64(w.targets)
 }
 
-// flowRange is the least and the most that a target holds.
+// flowRange returns the minimum and the maximum number of flows of a target.
 func (w *simulation) flowRange() (least, most int) {
 	return slices.Min(w.flowsByTarget), slices.Max(w.flowsByTarget)
 }
 
-// Load: as many flows as fill three quarters of all places. Twelve hosts that hear each
-// other every second or so keep their targets even, so that none fills up.
+// Guards against uneven targets: when the flows need three quarters of all connections, twelve
+// hosts that receive each other's reports about once per second keep every target below its limit.
 func TestFlowsWithinCapacityAreSpreadEvenly(t *testing.T) {
 	w := newSimulation(1, 12, 40, 40, 0)
 	w.run(40, 80)
@@ -361,8 +364,8 @@
 	require.Greater(t, least, 22)
 }
 
-// Load: a herd that asks for twice of all places within two seconds, before anybody has
-// told anything. What is full is met by few.
+// Guards against many opening packets to full targets in a thundering herd: when flows for twice
+// the number of all connections arrive within two seconds, before any host has reported.
 func TestThunderingHerdRarelyHitsFullTargets(t *testing.T) {
 	w := newSimulation(2, 12, 40, 40, 0)
 	w.run(2, 1600)
@@ -372,8 +375,8 @@
 	require.Greater(t, len(w.flows), 40*40*9/10, "and places are used")
 }
 
-// Load: more is asked for than fits, for a minute, while every host starts again once.
-// What hosts have forgotten still holds its places.
+// Guards against opening packets to full targets when every host restarts once within a minute of
+// overload: the flows that a host has lost track of still use connections.
 func TestRestartsUnderLoadRarelyHitFullTargets(t *testing.T) {
 	w := newSimulation(3, 12, 40, 40, 0)
 	w.run(20, 200)
@@ -386,8 +389,8 @@
 	require.Greater(t, len(w.flows), 40*40*9/10)
 }
 
-// Load: hosts that hear nothing of each other. They share by what is even, and find out by
-// targets that are full.
+// Guards against exceeded limits when hosts receive no reports of each other: they assume an even
+// spread of flows, and correct their estimates at targets that turn out to be full.
 func TestPartitionedHostsStayWithinLimit(t *testing.T) {
 	w := newSimulation(4, 12, 40, 40, 1)
 	w.run(40, 200)
@@ -397,9 +400,9 @@
 	require.Greater(t, len(w.flows), 40*40*3/4)
 }
 
-// Over hosts, targets, lost reports and restarts, with more asked for than fits: hardly an
-// opening meets full targets only, nothing told counts twice or below zero, and places do
-// not stay idle.
+// Property over numbers of hosts and targets, lost reports and restarts, with more new flows than
+// connections: hardly any flow is sent only to full targets, no reported flow counts twice or
+// below zero, and connections don't stay unused.
 func TestLimitHoldsUnderLossAndRestarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := rapid.IntRange(2, 12).Draw(t, "hosts")
@@ -423,8 +426,8 @@
 	})
 }
 
-// A host is not heard for five seconds (a cut, no restart); then it says that its flows
-// have ended. The limiter goes on to count them.
+// Guards against flows that count although they have ended: when a host sends no reports for five
+// seconds (a partition, no restart), and then reports that its flows have ended.
 func TestReportAfterTimeoutIsApplied(t *testing.T) {
 	l := limiter.New("a0", start, idle)
 	l.SetLivePeers(1)
@@ -436,19 +439,20 @@
 	require.Equal(t, 1, l.Reporters(l.Target(1)))
 }
 
-// A host ends; another takes its name's place. For idle time both count as hosts.
+// Guards against two hosts being counted for one: when a host ends and another replaces it, and
+// both count as hosts until the idle timeout.
 func TestDeadHostsAreNotCountedAsReporters(t *testing.T) {
 	l := limiter.New("a0", start, 10*time.Minute)
 	l.ApplyReport("a1", limiter.Report{Incarnation: 1, SameZone: true, Flows: map[uint32]uint16{1: 10}}, start)
 	now := start.Add(30 * time.Second)
 	l.Sweep(now)
-	l.SetLivePeers(1) // a2 lives, and has told nothing; a1 has ended.
+	l.SetLivePeers(1) // a2 is live and has sent no report; a1 has ended.
 	b := l.EstimateFlows(l.Target(2), 100, limiter.UnreportedEstimate{PerHost: 10}, now)
 	require.Equal(t, 10, b.Estimated, "a2 holds about as many as others")
 }
 
-// 1,200 targets of a zone, 100 hosts with two flows at each; each report has room for 120
-// targets. What a host has not told of yet counts as nothing, as soon as it has told of any.
+// Guards against flows that count as none because their host has reported other targets: a zone
+// has 1,200 targets and 100 hosts with two flows at each target, and a report holds 120 targets.
 func TestPartialReportDoesNotCoverOtherTargets(t *testing.T) {
 	l := limiter.New("a0", start, idle)
 	l.SetLivePeers(99)
@@ -466,8 +470,10 @@
 	require.Greater(t, b.Total(), 100, "some 200 are there")
 }
 
-// A host of 100 in a zone is heard each 8 s or so: 12 reports a second go to 99 hosts. Its
-// 30 flows stay; half of them are taken to have ended before it is heard again.
+// Guards against time-outs between reports in a large zone: a host in a zone of 100 receives a
+// report of each other host about every 8 s, since each sends 12 reports per second to 99 hosts.
+// With the timeout of a small zone, half of a host's 30 open flows would count as ended before its
+// next report.
 func TestHostInLargeZoneDoesNotTimeOutBetweenReports(t *testing.T) {
 	l := limiter.New("a0", start, idle)
 	l.SetLivePeers(99)
@@ -480,8 +486,9 @@
 	require.Equal(t, 30, l.Target(1).Reported())
 }
 
-// Over words of all and of some targets, silences, starts and ends: what counts for each
-// target is what its hosts tell.
+// Property over full and partial reports, hosts without reports, restarts and ended targets: the
+// number of reporters of a target is between zero and the number of hosts, and nothing remains
+// after twice the idle timeout.
 func TestReportersAreCountedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := limiter.New("a0", start, idle)
@@ -511,8 +518,8 @@
 	})
 }
 
-// Symptom: hosts go for places that nobody has left. Sequence: flows wait at a target that turns
-// out to be full, and are taken back. Cause: each counts as one that has left its place.
+// Guards against the use of connections that no flow has freed: when flows that wait at a full
+// target are canceled, each counts as one that has freed its connection.
 func TestCanceledFlowsFreeNoCapacity(t *testing.T) {
 	l := limiter.New("a0", start, idle)
 	l.SetLivePeers(9)
@@ -535,8 +542,8 @@
 	require.Equal(t, admitted, one.NetOpened())
 }
 
-// Symptom: a herd goes unnoticed. Sequence: flows that a host found open end while it places
-// others. Cause: those that it never placed are taken from those that it has.
+// Guards against a surge that goes undetected: when flows that a host discovered end while it opens
+// others, the ended ones are subtracted from those that it has opened.
 func TestDiscoveredFlowsDoNotCountAsGrowth(t *testing.T) {
 	one := limiter.New("a0", start, idle).Target(1)
 	one.AddDiscovered()
@@ -549,8 +556,9 @@
 	require.Zero(t, one.NetOpened())
 }
 
-// Load: twenty hosts that know of the same five places left. Together they go for about as many
-// in a turn, and all of them have their turns.
+// Guards against a race for the last free connections: when twenty hosts estimate the same five
+// free connections at a target, they together open about as many flows in a turn, and every host
+// gets turns.
 func TestHostsTakeTurnsForLastFreeConnections(t *testing.T) {
 	const hosts, room = 20, 5
 	turns := map[int]int{}
