--- a/core/admitter/admitter_test.go
+++ b/core/admitter/admitter_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// overloadedAdmitter makes an admitter whose callers ask for the given slots of a room, and whose
-// admitted requests wait as long as is aimed at.
+// overloadedAdmitter returns an Admitter with the given capacity and demand, in slots, whose
+// admitted requests wait as long as the setpoint.
 func overloadedAdmitter(capacity float64, demand admitter.Demand) *admitter.Admitter {
 	a := admitter.New()
 	for range 50 {
@@ -33,8 +33,8 @@
 	// Output: short: true; urgent callers: 1.00; others, who ask three times: 0.21
 }
 
-// Higher priorities fit in before lower ones get anything, and all together never get more
-// than there is.
+// Guards against capacity for lower priorities while higher ones are refused, and against
+// admissions beyond the capacity, over random demands.
 func TestAdmitRatiosFitCapacity(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 1))
 	for range 2000 {
@@ -63,9 +63,8 @@
 	}
 }
 
-// Symptom: callers of a low priority get in while those of a higher one are refused.
-// Sequence: a crowd; nothing was metered of a lower priority. Cause: a share of all for
-// whom nothing is known to be asked.
+// Guards against admission of a low priority while a higher one is refused: when no demand of the
+// low priority was metered before a load peak, and it gets an admit ratio of 1.
 func TestUnmeteredLowPriorityIsNotAdmittedFirst(t *testing.T) {
 	var demand admitter.Demand
 	demand.New[1] = 40
@@ -77,8 +76,8 @@
 
 func cube(x float64) float64 { return x * x * x }
 
-// Symptom: of a share of a half ten requests in a row get in, and queues fill. Cause: each
-// request is let in at random.
+// Guards against bursts that fill queues: when each request is admitted at random, ten in a row may
+// be admitted at an admit ratio of a half.
 func TestAdmissionsAreSpacedEvenly(t *testing.T) {
 	var demand admitter.Demand
 	demand.New[2] = 150
@@ -93,8 +92,8 @@
 	}
 }
 
-// Symptom: an old report decides. Sequence: a zone is heard of once. Cause: reports that
-// don't age.
+// Guards against decisions from an old report: when a zone has reported once, and reports don't
+// expire.
 func TestReportsExpire(t *testing.T) {
 	var demand admitter.Demand
 	demand.New[1] = 50
@@ -105,9 +104,8 @@
 	require.Zero(t, a.Demand().Total())
 }
 
-// Symptom: admitted requests are late although the estimate says that they fit in.
-// Sequence: work takes longer than hosts believe, for seconds. Cause: room that answers
-// don't correct.
+// Guards against late requests within the estimated capacity: when requests take longer than hosts
+// estimate for seconds, and waits don't correct the capacity.
 func TestWaitsCorrectCapacity(t *testing.T) {
 	var demand admitter.Demand
 	demand.New[1] = 150
@@ -133,9 +131,9 @@
 	}
 }
 
-// Symptom: a host believes that three times as much is asked as callers need, and goes on
-// refusing when less would fit in. Sequence: callers want one and a half times the room;
-// those that are refused ask twice more. Cause: tries that are taken for callers.
+// Guards against a demand estimated at three times the real one, and refusals that continue when
+// the demand is lower: when the demand is one and a half times the capacity, refused callers retry
+// twice, and each attempt counts as a caller.
 func TestRetriesDoNotCountAsDemand(t *testing.T) {
 	const capacity, wanted = 100.0, 150.0
 	a := overloadedAdmitter(capacity, admitter.Demand{})
@@ -152,8 +150,8 @@
 	require.InDelta(t, capacity/wanted, 1-cube(1-a.AdmitRatio(1)), 0.05, "two in three callers are served")
 }
 
-// Symptom: all callers are refused in an outage that is over. Sequence: a host believes
-// that no target lives; one does. Cause: a share of no room.
+// Guards against the refusal of all callers after an outage: when a host takes all targets for dead
+// although one is live, and the admit ratio of a capacity of 0 is 0.
 func TestUnknownCapacityAdmitsAll(t *testing.T) {
 	var demand admitter.Demand
 	demand.New[1] = 50
@@ -162,8 +160,8 @@
 	require.True(t, a.Admit(1))
 }
 
-// Symptom: a run that is repeated with equal events decides otherwise. Sequence: twelve
-// hosts tell their demand. Cause: floats that are added up in the order of a map.
+// Guards against different decisions on equal events: when the demands that twelve hosts report
+// are added as floating-point numbers in the random order of a map.
 func TestDemandSumsAreOrderIndependent(t *testing.T) {
 	hosts, zones := map[float64]int{}, map[float64]int{}
 	now := timekeeper.Instant(time.Millisecond)
--- a/core/admitter/simulation_test.go
+++ b/core/admitter/simulation_test.go
@@ -17,24 +17,24 @@
 	latencySlack   = 250 * time.Millisecond
 	reportInterval = 250 * time.Millisecond
 	assessInterval = 50 * time.Millisecond
-	// maxQueueDelay is how long a target's queue is at most: what comes beyond is turned away.
+	// maxQueueDelay is the maximum queueing delay at a target: requests beyond it are rejected.
 	maxQueueDelay = 180 * time.Millisecond
-	// ratioTolerance is how far the served share may lie from the limit worked out.
+	// ratioTolerance is the tolerance between the served and the computed fraction of callers.
 	ratioTolerance = 0.05
 	maxAttempts    = 3
 )
 
-// fleet is hosts in zones before one pool of slots. Who is refused or turned away asks
-// again at once at another host of the zone, twice.
+// fleet simulates hosts in zones and one pool of slots. Callers that are refused or rejected retry
+// twice, at once and at a random host of the zone.
 type fleet struct {
 	random   *rand.Rand
 	now      timekeeper.Instant
 	zones    []*zone
 	capacity float64
-	// backlog is the work that waits at targets.
+	// backlog is the work queued at targets, in slot seconds.
 	backlog float64
-	// fanout is how many hosts of its zone a host tells in a round; all if 0. lost is the
-	// part of reports that get lost, late how long the others take.
+	// fanout is how many hosts of its zone a host reports to in a round; all if 0. lossRate is
+	// the fraction of reports that are lost, reportDelay the delay of the others.
 	fanout          int
 	lossRate        float64
 	reportDelay     time.Duration
@@ -43,11 +43,12 @@
 	served          map[int]float64
 }
 
-// zone is hosts whose callers ask for slots by priority.
+// zone is the hosts of one zone and the demand of its callers by priority.
 type zone struct {
 	name  string
 	hosts []*admitter.Admitter
-	// demand is what callers ask in slots, owed the part of a request that is still to come.
+	// demand is the callers' demand in slots, pendingRequests the requests that are due to be sent,
+	// fractions included.
 	demand          [2]float64
 	pendingRequests [2]float64
 	retries         []request
@@ -73,7 +74,7 @@
 	return f
 }
 
-// setDemand lets the callers of all zones ask for so many slots in all.
+// setDemand sets the total demand in slots, divided evenly among the zones.
 func (f *fleet) setDemand(urgent, other float64) {
 	for _, z := range f.zones {
 		z.demand = [2]float64{urgent / float64(len(f.zones)), other / float64(len(f.zones))}
@@ -96,7 +97,8 @@
 	}
 }
 
-// measure runs on and returns the parts of urgent and other callers that were served.
+// measure runs the simulation and returns the fractions of urgent and other callers that were
+// served.
 func (f *fleet) measure(d time.Duration) (urgent, other float64) {
 	clear(f.requested)
 	clear(f.served)
@@ -166,7 +168,7 @@
 	})
 }
 
-// report lets each host tell some of its zone, and one of each other zone.
+// report sends a report of each host to some hosts of its zone, and to one of each other zone.
 func (f *fleet) report() {
 	for _, z := range f.zones {
 		for i, a := range z.hosts {
@@ -194,9 +196,9 @@
 	return f.fanout
 }
 
-// Load: 60% of the targets are lost, then callers come in a crowd of 2.5 times, and those
-// that are refused ask again. Room 96 slots, urgent callers ask for 63 and others for 98:
-// all urgent ones can be served, and 33 of 98 others.
+// Guards against refusals of urgent callers when 60% of the targets fail, then a load peak of 2.5
+// times the demand arrives, and refused callers retry. The capacity is 96 slots, the demand 63 of
+// urgent callers and 98 of others: all urgent ones can be served, and 33 of 98 others.
 func TestSurgeAfterTargetLossServesUrgentFirst(t *testing.T) {
 	f := newFleet(240, 3, 8)
 	f.setDemand(25, 39)
@@ -210,7 +212,8 @@
 	require.InDelta(t, 33.0/98, other, ratioTolerance)
 }
 
-// Load: callers of one kind come six times as often and want 300 of 240 slots.
+// Guards against unused capacity when the demand of low priority grows to six times and the total
+// is 300 of 240 slots.
 func TestSurgeOfLowPriorityFillsCapacity(t *testing.T) {
 	f := newFleet(240, 3, 8)
 	f.setDemand(25, 39)
@@ -222,8 +225,8 @@
 	require.InDelta(t, 215.0/275, other, ratioTolerance)
 }
 
-// Load: urgent callers alone want twice the room. Others get nothing, and as many urgent
-// ones are served as fit in.
+// Guards against unused or misassigned capacity when the demand of urgent callers alone is twice
+// the capacity: others get nothing, and as many urgent ones are served as the capacity allows.
 func TestUrgentSurgeTakesAllCapacity(t *testing.T) {
 	f := newFleet(100, 3, 8)
 	f.setDemand(200, 100)
@@ -233,8 +236,8 @@
 	require.InDelta(t, 0, other, ratioTolerance)
 }
 
-// Load: the callers of one zone triple, and the room of all zones is short by a third. Who
-// lives in the crowded zone fares like the others.
+// Guards against refusals that depend on the zone: when the demand of one zone triples, and the
+// capacity of all zones is a third too small, its callers are served like those of the others.
 func TestZonesGetEqualAdmitRatios(t *testing.T) {
 	f := newFleet(100, 3, 8)
 	f.setDemand(0, 90)
@@ -252,7 +255,7 @@
 	require.InDelta(t, 100.0/150, other, ratioTolerance)
 }
 
-// Load: nine tenths of the room are asked for.
+// Guards against refusals when the demand is nine tenths of the capacity.
 func TestNothingIsRefusedWithinCapacity(t *testing.T) {
 	f := newFleet(100, 3, 8)
 	f.setDemand(30, 60)
@@ -262,9 +265,8 @@
 	require.InDelta(t, 1, other, 0.001)
 }
 
-// Symptom: callers are refused while targets idle. Sequence: work takes half as long as
-// hosts believe; a crowd asks for what would be too much otherwise. Cause: an estimate
-// that no answer can correct.
+// Guards against refusals while targets are idle: when requests take half as long as hosts
+// estimate, a load peak exceeds only the estimated capacity, and no response corrects it.
 func TestIdleTargetsAdmitAll(t *testing.T) {
 	a := admitter.New()
 	now := timekeeper.Instant(0)
@@ -278,8 +280,8 @@
 	require.Greater(t, a.Demand().Total(), 20.0)
 }
 
-// Symptom: a host that hears nobody refuses by what it has once heard. Sequence: a service
-// is short; the host is cut off from all others. Cause: reports that don't age.
+// Guards against an isolated host that refuses requests because of old reports: when a service is
+// overloaded, and the host loses contact with all others.
 func TestIsolatedHostDoesNotLimitAdmission(t *testing.T) {
 	f := newFleet(50, 2, 4)
 	f.setDemand(20, 100)
@@ -292,8 +294,8 @@
 	require.InDelta(t, 1, a.AdmitRatio(1), 0)
 }
 
-// Load: twice the room is asked for, and half of the reports are lost, the others 0.3 s
-// late.
+// Guards against wrong admit ratios when the demand is twice the capacity, half of the reports are
+// lost and the others are delayed by 0.3 s.
 func TestAdmitRatiosHoldWithDelayedAndLostReports(t *testing.T) {
 	f := newFleet(100, 3, 8)
 	f.lossRate, f.reportDelay = 0.5, 300*time.Millisecond
@@ -304,8 +306,8 @@
 	require.InDelta(t, 50.0/150, other, ratioTolerance)
 }
 
-// Load: 300 hosts, of which each tells three others of its zone in a round, and callers
-// that ask for twice the room.
+// Guards against wrong admit ratios in a fleet of 300 hosts, of which each reports to three others
+// of its zone in a round, when the demand is twice the capacity.
 func TestLargeFleetConvergesWithSmallFanout(t *testing.T) {
 	f := newFleet(1200, 3, 100)
 	f.fanout = 3
@@ -316,8 +318,8 @@
 	require.InDelta(t, 600.0/1800, other, ratioTolerance)
 }
 
-// Symptom: callers are let in and refused by turns. Sequence: a crowd stays. Cause: shares
-// that chase what they have just changed.
+// Guards against alternation between admission and refusal under a lasting overload, when the
+// admit ratios follow changes that they have caused themselves.
 func TestAdmitRatiosDoNotOscillate(t *testing.T) {
 	f := newFleet(100, 3, 8)
 	f.setDemand(40, 160)
@@ -330,8 +332,8 @@
 	require.Less(t, most-least, 0.2)
 }
 
-// Symptom: callers are refused for seconds after a crowd. Sequence: a crowd of three times
-// the room ends. Cause: refused callers that ask again count as so many more.
+// Guards against refusals for seconds after a load peak of three times the capacity has ended, when
+// the retries of refused callers count as additional callers.
 func TestAdmissionRecoversImmediatelyAfterSurge(t *testing.T) {
 	f := newFleet(100, 3, 8)
 	f.setDemand(40, 260)
@@ -343,8 +345,8 @@
 	require.InDelta(t, 1, other, ratioTolerance)
 }
 
-// Symptom: a zone that is cut off refuses by what others ask, or counts on their targets.
-// Sequence: callers ask for twice the room; one of three zones is cut off.
+// Guards against a partitioned zone that counts the demand or the targets of other zones: when the
+// demand is twice the capacity, and one of three zones is partitioned.
 func TestPartitionedZoneUsesOnlyItsOwnCapacity(t *testing.T) {
 	f := newFleet(90, 3, 8)
 	f.setDemand(45, 135)
--- a/core/limiter/limiter.go
+++ b/core/limiter/limiter.go
@@ -407,8 +407,8 @@
 	delete(l.hosts, name)
 }
 
-// EstimateFlows returns this host's estimate of the flows at a target whose connection limit is
-// bound.
+// EstimateFlows returns this host's estimate of the flows at a target. The parameter bound is the
+// connection limit of the target.
 func (l *Limiter) EstimateFlows(t *TargetFlows, bound int, g UnreportedEstimate, now timekeeper.Instant) FlowEstimate {
 	b := FlowEstimate{Local: t.local, Reported: t.reported}
 	reporters := l.Reporters(t)
--- a/core/pacer/queue_test.go
+++ b/core/pacer/queue_test.go
@@ -43,9 +43,8 @@
 	require.Equal(t, "b", takeNext(t, l, at(159*millis), false))
 }
 
-// Symptom: with a deep line every answer is a little late. Sequence: each request goes
-// when it has just become too old to be in time. Cause: the oldest first, whatever its
-// chances.
+// Guards against a long queue that makes every response a little late: when the oldest request
+// always goes first, each one is forwarded when it has just become too old to be on time.
 func TestLateRequestsYieldToOnTimeRequests(t *testing.T) {
 	l := newQueue("a", "b")
 	l.Add("fresh", at(200*millis), routeParams)
@@ -62,8 +61,8 @@
 	require.Equal(t, "urgent", takeNext(t, l, at(10*millis), false))
 }
 
-// Symptom: a request waits until its deadline. Sequence: fresh requests come without
-// end. Cause: those that will be late never get their turn.
+// Guards against a request that waits until its timeout: when new requests keep arriving, and those
+// that will be late are never forwarded.
 func TestQueueDelayIsBounded(t *testing.T) {
 	l := newQueue("old")
 	l.Add("fresh", at(750*millis), routeParams)
@@ -98,8 +97,8 @@
 	// Output: pressed after 6 slow answers; room for an eleventh request: false
 }
 
-// Symptom: requests wait at a service whose answers have simply become longer than its
-// objective. Cause: pacing where nobody can be in time.
+// Guards against queueing for a service whose baseline latency has become longer than its
+// objective, where no request can be on time.
 func TestUnattainableObjectiveDisablesPacing(t *testing.T) {
 	var load pacer.Load
 	for range 100 {
@@ -128,7 +127,7 @@
 	}
 }
 
-// BenchmarkNext takes from a line as deep as a crowd has made one.
+// BenchmarkNext measures Next and Remove on a queue as long as in a load peak.
 func BenchmarkNext(b *testing.B) {
 	l := &pacer.Queue[int]{}
 	for n := range 64 {
--- a/core/pacer/simulation_test.go
+++ b/core/pacer/simulation_test.go
@@ -11,11 +11,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// simulation is three hosts before four targets, stepped by the millisecond. Each target
-// works in three slots, queues twelve requests and sheds what comes beyond. Two kinds
-// of requests come to each host: feeds, in flows that stay at their target and carry one
-// request at a time, and checks, in a flow each. A new flow goes to the target that the
-// host believes the least busy; one for a feed is refused while feeds wait there.
+// simulation is three hosts and four targets, in steps of a millisecond. Each target has three
+// slots, queues twelve requests and sheds any beyond. Each host receives two kinds of requests:
+// feeds, in flows that stay at their target and carry one request at a time, and checks, with one
+// flow per request. A new flow goes to the target with the fewest requests in flight from the host;
+// a new flow for a feed is refused while feeds are queued at the host.
 type simulation struct {
 	random        *rand.Rand
 	pacingEnabled bool
@@ -82,7 +82,7 @@
 	return s
 }
 
-// run lets requests of both kinds come at a rate a second, all hosts together.
+// run advances the simulation, with the given total rates of both kinds of requests per second.
 func (s *simulation) run(d time.Duration, feedRate, checkRate float64) {
 	for end := s.now.Add(d); s.now < end; s.now = s.now.Add(millis) {
 		for range s.poisson(feedRate / 1000) {
@@ -119,7 +119,7 @@
 	return best
 }
 
-// requestFeed uses an open flow, or opens one if all carry a request.
+// requestFeed sends a feed in an open flow, or in a new one if all open flows carry a request.
 func (s *simulation) requestFeed(host int) {
 	h := s.hosts[host]
 	if len(h.idleFlowTargets) > 0 {
@@ -157,15 +157,15 @@
 	s.maxQueueDelay = max(s.maxQueueDelay, s.now.Since(j.arrivedAt))
 	j.forwardedAt = s.now
 	if len(t.running)+len(t.queue) >= slots+maxQueued {
-		return // It is shed.
+		return // Shed by the target.
 	}
 	h.inFlight++
 	h.busy[j.target]++
 	t.queue = append(t.queue, j)
 }
 
-// stepTarget ends what is done and begins what waits. Work spreads from half to one and a
-// half times the mean.
+// stepTarget completes finished requests and starts queued ones. Processing times are uniformly
+// distributed from half to one and a half times the mean.
 func (s *simulation) stepTarget(t *simTarget) {
 	for i := 0; i < len(t.running); {
 		if j := t.running[i]; j.endsAt <= s.now {
@@ -228,24 +228,23 @@
 	}
 }
 
-// onTimeRatio is the part of the requests of a kind that were answered in time.
+// onTimeRatio returns the fraction of the requests of a kind whose response was on time.
 func (s *simulation) onTimeRatio(k kind) float64 {
 	return float64(s.onTime[k.name]) / float64(s.requested[k.name])
 }
 
-// The rates at which twelve slots are half busy.
+// Request rates per second at which half of the twelve slots are occupied.
 const (
 	normalFeedRate  = 84.0
 	normalCheckRate = 24.0
 )
 
-// Symptom: in a crowd every answer is late, those of urgent checks too. Sequence: three
-// times the usual requests come for six seconds, one and a half times what the targets
-// can do. Cause: targets' queues are full, and what can't be in time any more takes the
-// place of what can.
+// Guards against late responses to all requests in a load peak, urgent checks included: when three
+// times the normal requests arrive for six seconds, one and a half times what the targets can
+// serve, the queues of targets are full, and requests that can no longer be on time take the slots
+// of those that can.
 //
-// The limit is what slots can do: all checks in time, and the half of the feeds for
-// which slots are left.
+// The slots suffice for all checks on time, and for half of the feeds.
 func TestPacingKeepsUrgentRequestsOnTimeInSurge(t *testing.T) {
 	for seed := range uint64(5) {
 		before, after := newSimulation(seed, false), newSimulation(seed, true)
@@ -266,9 +265,9 @@
 	}
 }
 
-// Symptom: callers wait although targets have room. Sequence: the usual requests come,
-// then a crowd, then the usual ones again. Cause: a bound that holds without need, or
-// that stays after its reason has gone.
+// Guards against callers that wait although targets have capacity: under normal load, and under
+// normal load after a load peak, when the limit applies without congestion or stays in force after
+// congestion has ended.
 func TestNormalLoadIsNotQueued(t *testing.T) {
 	for seed := range uint64(5) {
 		s := newSimulation(seed, true)
@@ -290,8 +289,8 @@
 	}
 }
 
-// Symptom: one kind of requests is shut out. Sequence: a crowd of checks takes nearly
-// every slot for six seconds. Cause: feeds that wait for room that never comes.
+// Guards against the starvation of one kind of requests: when a load peak of checks takes nearly
+// every slot for six seconds, and feeds wait for capacity that never becomes available.
 func TestNoRequestKindIsStarved(t *testing.T) {
 	s := newSimulation(1, true)
 	s.run(3*time.Second, normalFeedRate, normalCheckRate)
--- a/core/throttler/fairness_test.go
+++ b/core/throttler/fairness_test.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// step is by how much time moves on at once in these tests, work how long a flow lasts.
+	// step is the time step of the simulation, flowDuration the duration of a flow.
 	step         = 10 * time.Millisecond
 	flowDuration = 50 * time.Millisecond
 )
 
-// simulation is one host before one service that bears so many new flows a second. Whatever
-// comes beyond that is refused as it comes.
+// simulation is one host and one service that sustains perSecond new flows per second. Flows beyond
+// that are refused in order of arrival.
 type simulation struct {
 	throttler  *throttler.Throttler
 	now        timekeeper.Instant
@@ -31,11 +31,11 @@
 	random     *rand.Rand
 }
 
-// callerGroup is callers who ask alike.
+// callerGroup is a group of callers with the same behavior.
 type callerGroup struct {
-	// address names the address of the group's nth request.
+	// address returns the address of the group's nth request.
 	address func(n int) netip.Addr
-	// perSecond is how many requests the group asks for altogether.
+	// perSecond is the total rate of the group's requests.
 	perSecond       float64
 	pendingRequests float64
 	requested       int
@@ -47,7 +47,7 @@
 	return &simulation{throttler: throttler.New(nil), now: timekeeper.Instant(time.Second), perSecond: perSecond, groups: groups, ends: map[timekeeper.Instant][]throttler.Request{}, random: rand.New(rand.NewPCG(1, 2))}
 }
 
-// run lets time pass and forgets what was counted before.
+// run advances the simulation by a duration, after it has reset the groups' counters.
 func (c *simulation) run(span time.Duration) {
 	for _, g := range c.groups {
 		g.requested, g.served, g.throttled = 0, 0, 0
@@ -90,22 +90,23 @@
 
 func (g *callerGroup) servedRatio() float64 { return float64(g.served) / float64(max(g.requested, 1)) }
 
-// distributedCallers are callers of 200 addresses in 20 prefixes, who ask in turn.
+// distributedCallers returns callers at 200 addresses in 20 prefixes that send requests in turn.
 func distributedCallers(perSecond float64) *callerGroup {
 	return &callerGroup{perSecond: perSecond, address: func(n int) netip.Addr {
 		return netip.AddrFrom4([4]byte{100, 64, byte(n % 20), byte(n / 20 % 10)})
 	}}
 }
 
-// singleAddress is many callers behind one address, or one that repeats itself.
+// singleAddress returns callers behind one address: many people, or one program that retries.
 func singleAddress(address string, perSecond float64) *callerGroup {
 	one := netip.MustParseAddr(address)
 	return &callerGroup{perSecond: perSecond, address: func(int) netip.Addr { return one }}
 }
 
-// Symptom: when half of the targets are lost nearly every caller is refused. Sequence: one
-// program asks again as soon as it is refused, a thousand times a second; the others ask
-// 100 times. Cause: whoever asks most gets most of the room.
+// Guards against the refusal of nearly all callers when half of the targets fail, and one program
+// retries at once after each refusal, a thousand times per second, while the others send 100
+// requests per second: without fair shares, the caller with the most requests gets most of the
+// capacity.
 func TestRetryLoopDoesNotStarveOtherCallers(t *testing.T) {
 	loop, others := singleAddress("203.0.113.9", 5), distributedCallers(100)
 	c := newSimulation(1000, loop, others)
@@ -119,9 +120,9 @@
 	require.Greater(t, float64(loop.served)/20, 25.0, "what the others leave goes to the loop")
 }
 
-// Symptom: an office of thousands is served like one person. Sequence: half of the
-// targets are lost; 2,000 people behind one address ask 400 times a second, 200 others
-// 100 times, and one program without pause. Cause: equal shares for addresses.
+// Guards against thousands of people behind a NAT that get the share of one person, as they do if
+// all addresses have equal shares: when half of the targets fail, 2,000 people behind one address
+// send 400 requests per second, 200 others 100, and one program retries without pause.
 func TestCallersBehindNATGetMoreThanOneShare(t *testing.T) {
 	loop, nat, others := singleAddress("203.0.113.9", 5), singleAddress("198.51.100.7", 400), distributedCallers(100)
 	c := newSimulation(1000, loop, nat, others)
@@ -135,9 +136,9 @@
 	require.Less(t, loop.served*10, nat.served)
 }
 
-// Symptom: the loop is never refused. Sequence: it uses each of its addresses once.
-// Cause: shares of addresses alone. Others of its prefix, who were there before, must not
-// pay for it.
+// Guards against a retry loop that is never refused: when it changes its address with each request,
+// and fair shares exist for addresses only. Addresses of its prefix that were known before must not
+// be charged for it.
 func TestRotatingAddressesShareOnePrefixAllocation(t *testing.T) {
 	neighbour, others := singleAddress("203.0.113.200", 2), distributedCallers(100)
 	loop := &callerGroup{address: func(n int) netip.Addr { return netip.AddrFrom4([4]byte{203, 0, 113, byte(n % 180)}) }}
@@ -151,9 +152,8 @@
 	require.Zero(t, neighbour.throttled)
 }
 
-// Symptom: in a crowd without a loop some callers are refused for their share although all
-// ask alike. Sequence: all ask three times as often as before. Cause: shares that differ
-// from what callers ask.
+// Guards against unequal refusals in a load peak without a retry loop: when all callers send three
+// times as many requests as before, and fair shares differ from the callers' demand.
 func TestEqualDemandIsServedEqually(t *testing.T) {
 	nat, others := singleAddress("198.51.100.7", 100), distributedCallers(100)
 	c := newSimulation(1000, nat, others)
@@ -167,8 +167,8 @@
 	require.Greater(t, nat.served+others.served, 300*20*8/10, "no room stays unused")
 }
 
-// Symptom: callers are refused though there is room. Sequence: a service counts as short
-// and refuses nobody. Cause: shares that are cut before anybody has to be refused.
+// Guards against refusals although capacity is available: when a service counts as overloaded but
+// refuses no request, and fair shares are reduced nevertheless.
 func TestNothingIsThrottledWithinCapacity(t *testing.T) {
 	loop, others := singleAddress("203.0.113.9", 200), distributedCallers(100)
 	c := newSimulation(1000, loop, others)
@@ -177,8 +177,8 @@
 	require.Zero(t, loop.throttled+others.throttled)
 }
 
-// Symptom: a host runs out of memory. Sequence: callers come from a million addresses.
-// Cause: something kept for each of them.
+// Guards against a host that runs out of memory: when callers come from a million addresses, and
+// the host keeps a record of each.
 func TestCallerTablesAreBounded(t *testing.T) {
 	th := throttler.New(nil)
 	for n := range 150_000 {
@@ -190,8 +190,9 @@
 	require.LessOrEqual(t, th.CallerCount(), 64*(512+128))
 }
 
-// Symptom: an office loses its weight, and is refused as if it were one caller. Sequence:
-// a shortage; thousands of addresses come once each. Cause: those last seen are kept.
+// Guards against the refusal of many people behind a NAT as if they were one caller: when thousands
+// of addresses send one request each during an overload, and evict the NAT's address and its weight
+// because only the addresses last seen are kept.
 func TestOneTimeAddressesDoNotEvictOthers(t *testing.T) {
 	nat, others := singleAddress("198.51.100.7", 200), distributedCallers(20)
 	flood := &callerGroup{address: func(n int) netip.Addr { return netip.AddrFrom4([4]byte{10, byte(n >> 16), byte(n >> 8), byte(n)}) }}
@@ -204,7 +205,7 @@
 	require.Greater(t, nat.servedRatio(), 0.4)
 }
 
-// BenchmarkCheck weighs callers of a thousand addresses while their service is short.
+// BenchmarkCheck measures Check with callers at a thousand addresses during an overload.
 func BenchmarkCheck(b *testing.B) {
 	th := throttler.New(nil)
 	b.ReportAllocs()
@@ -218,9 +219,9 @@
 	}
 }
 
-// Symptom: callers of a zone that is lost are refused where they come to. Sequence: two
-// zones' callers come to the third, whose service is short of room. Cause: whoever was not
-// there before is taken for one that changes its address.
+// Guards against refusals of callers that move from failed zones: when the callers of two zones
+// move to the third, whose service is overloaded, and unknown callers are treated like one that
+// changes its address.
 func TestCallersMovedFromFailedZoneAreServedEqually(t *testing.T) {
 	others := distributedCallers(100)
 	moved := &callerGroup{address: func(n int) netip.Addr { return netip.AddrFrom4([4]byte{100, 65, byte(n % 40), byte(n / 40 % 10)}) }}
--- a/core/throttler/quota_test.go
+++ b/core/throttler/quota_test.go
@@ -10,7 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// countAdmitted counts what passes of so many requests a second in some seconds.
+// countAdmitted returns how many requests are admitted out of perSecond requests per second over
+// some seconds.
 func countAdmitted(th *throttler.Throttler, caller, route string, perSecond, seconds int) int {
 	passed := 0
 	address := netip.MustParseAddr(caller)
@@ -30,9 +31,9 @@
 	return quotas
 }
 
-// Symptom: callers of a prefix, or of a route, get more than operators allow, or others
-// get less. Sequence: all ask a hundred times a second. Cause: quotas that count what they
-// don't touch.
+// Guards against quotas that allow too much, or limit callers and routes that they don't apply to:
+// when each caller sends a hundred requests per second, and a quota counts requests that don't
+// match it.
 func TestQuotasLimitOnlyMatchingRequests(t *testing.T) {
 	quotas := parse(t, throttler.QuotaSpec{Prefix: "203.0.113.0/24", RequestsPerSecond: 10}, throttler.QuotaSpec{Route: "read", RequestsPerSecond: 30})
 	for _, c := range []struct {
@@ -49,17 +50,16 @@
 	}
 }
 
-// Symptom: a zone of ten hosts grants ten times the quota. Sequence: the fabric spreads a
-// caller's flows over all of them. Cause: hosts that each apply the whole.
+// Guards against ten times the quota in a zone of ten hosts: when the fabric spreads a caller's
+// flows over all hosts, and each of them applies the full quota.
 func TestQuotaIsDividedAmongZoneHosts(t *testing.T) {
 	th := throttler.New(parse(t, throttler.QuotaSpec{Prefix: "203.0.113.0/24", RequestsPerSecond: 100}))
 	th.DivideQuotas(10, timekeeper.Instant(time.Second))
 	require.InDelta(t, 110, countAdmitted(th, "203.0.113.9", "read", 100, 10), 5)
 }
 
-// Symptom: a caller with long flows is shut out long after it has become quiet. Sequence:
-// its open flows bring a thousand requests a second, which can't be refused. Cause: a debt
-// without a bound.
+// Guards against refusals long after a caller has stopped sending: when its open flows bring a
+// thousand requests per second, which can't be refused, and the debt is not limited.
 func TestQuotaDebtOfOpenFlowsIsBounded(t *testing.T) {
 	th := throttler.New(parse(t, throttler.QuotaSpec{Prefix: "203.0.113.9", RequestsPerSecond: 10}))
 	caller, now := netip.MustParseAddr("203.0.113.9"), timekeeper.Instant(time.Second)
--- a/core/throttler/table_internal_test.go
+++ b/core/throttler/table_internal_test.go
@@ -9,10 +9,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: people behind one address are taken for one caller. Sequence: forty flows open in
-// calm times and stay open for a minute; then the service is short of room. Cause: the weight
-// is only brought up to date when a flow opens or ends, and the calm time before the first
-// change in a shortage is dropped.
+// Guards against people behind one address that weigh as much as one caller: when forty flows open
+// under normal load and stay open for a minute until an overload begins. If the weight is updated
+// only when a flow opens or ends, the time under normal load before the first such event in the
+// overload is lost.
 func TestLongFlowsOpenedBeforeOverloadAddWeight(t *testing.T) {
 	th := New(nil)
 	a := netip.MustParseAddr("203.0.113.9")
@@ -32,9 +32,9 @@
 	require.Greater(t, c.weight, 30.0)
 }
 
-// Symptom: a caller gains weight by pressing. Sequence: in a shortage it opens forty flows
-// and holds them; five seconds after the shortage one of them ends. Cause: the first change in
-// calm times counts all time since the last change, that of the shortage as well.
+// Guards against a caller that gains weight from its load in an overload: when it opens forty flows
+// during the overload and keeps them, and one of them ends five seconds after the overload. The
+// first update under normal load must not count the time of the overload.
 func TestWeightsDoNotGrowDuringOverload(t *testing.T) {
 	th := New(nil)
 	a := netip.MustParseAddr("203.0.113.9")
