--- a/core/admitter/admitter_test.go
+++ b/core/admitter/admitter_test.go
@@ -33,7 +33,7 @@
 	// Output: short: true; urgent callers: 1.00; others, who ask three times: 0.21
 }
 
-// Guards against capacity for lower priorities while higher ones are refused, and against
+// Guards against admission of lower priorities while higher ones are refused, and against
 // admissions beyond the capacity, over random demands.
 func TestAdmitRatiosFitCapacity(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 1))
--- a/core/admitter/simulation_test.go
+++ b/core/admitter/simulation_test.go
@@ -237,7 +237,7 @@
 }
 
 // Guards against refusals that depend on the zone: when the demand of one zone triples, and the
-// capacity of all zones is a third too small, its callers are served like those of the others.
+// capacity of all zones is a third too small, callers of that zone are served like the others.
 func TestZonesGetEqualAdmitRatios(t *testing.T) {
 	f := newFleet(100, 3, 8)
 	f.setDemand(0, 90)
--- a/core/pacer/pacer.go
+++ b/core/pacer/pacer.go
@@ -97,8 +97,8 @@
 // RecordResponse updates the load with a response, and reports whether congestion of the service
 // has begun or ended with it.
 //
-// It ignores responses without a known baseline latency, and those whose objective would be missed
-// without any wait: queueing helps no request then.
+// It ignores responses whose baseline latency or objective is not known, and those whose objective
+// would be missed without any wait: queueing helps no request then.
 func (l *Load) RecordResponse(a Response) bool {
 	slack := a.Objective - a.BaselineLatency
 	if a.BaselineLatency <= 0 || slack <= 0 {
--- a/core/throttler/error.go
+++ b/core/throttler/error.go
@@ -5,7 +5,7 @@
 // Kind classifies errors.
 type Kind uint8
 
-// KindInvalid means that a quota can't be used as it is written.
+// KindInvalid means that a quota in the settings is invalid.
 const KindInvalid Kind = iota + 1
 
 func (k Kind) String() string {
--- a/core/throttler/table_internal_test.go
+++ b/core/throttler/table_internal_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against people behind one address that weigh as much as one caller: when forty flows open
-// under normal load and stay open for a minute until an overload begins. If the weight is updated
+// Guards against people behind one address that weigh as much as one caller: forty flows open
+// under normal load and stay open for a minute until an overload begins; if the weight is updated
 // only when a flow opens or ends, the time under normal load before the first such event in the
 // overload is lost.
 func TestLongFlowsOpenedBeforeOverloadAddWeight(t *testing.T) {
--- a/core/throttler/throttler.go
+++ b/core/throttler/throttler.go
@@ -85,9 +85,8 @@
 
 // Request is a caller's request for a new flow.
 type Request struct {
-	Caller  netip.Addr
-	Service string
-	// Overloaded says that the service is overloaded.
+	Caller     netip.Addr
+	Service    string
 	Overloaded bool
 }
 
@@ -149,7 +148,7 @@
 }
 
 // allocate divides the current forwarded rate among the callers. If no request is refused, there
-// is nothing to divide. If few are refused for other reasons than fair shares, there may be more
+// is nothing to divide. If few are refused for reasons other than fair shares, there may be more
 // capacity, so the shares grow.
 func (s *service) allocate(now timekeeper.Instant) allocation {
 	d := allocation{sharePerWeight: math.Inf(1)}
