--- a/core/estimator/fast_failure_reports.go
+++ b/core/estimator/fast_failure_reports.go
@@ -2,18 +2,19 @@
 
 import "cranberryspan.dev/core/timekeeper"
 
-// fastFailureReports are the latest reports of different hosts that a target's answers come too
-// quickly. More than fastFailureThreshold say no more; all of them would be memory that grows with
-// hosts times targets.
+// fastFailureReports holds the latest reports that a target's responses are implausibly fast,
+// at most one per host. It is limited to fastFailureThreshold reports: more would not change
+// the result, and memory would grow with hosts times targets.
 type fastFailureReports [fastFailureThreshold]fastFailureReport
 
-// fastFailureReport is which host reported it, and until when that counts.
+// fastFailureReport is the report of one host, which counts until the deadline.
 type fastFailureReport struct {
 	host     string
 	deadline timekeeper.Instant
 }
 
-// add takes in a host's report, in the place of its last one or of the oldest.
+// add records the report of a host in place of its previous report or, if there is none, of the
+// oldest one.
 func (r *fastFailureReports) add(host string, deadline timekeeper.Instant) {
 	oldest := 0
 	for i := range r {
@@ -28,7 +29,7 @@
 	r[oldest] = fastFailureReport{host, deadline}
 }
 
-// count is how many hosts' reports still count.
+// count returns the number of hosts whose reports still count.
 func (r *fastFailureReports) count(now timekeeper.Instant) int {
 	count := 0
 	for i := range r {
--- a/core/estimator/fast_failures.go
+++ b/core/estimator/fast_failures.go
@@ -7,43 +7,44 @@
 )
 
 const (
-	// fastFailureRatio is the part of a route's usual time below which an answer is quicker
-	// than work can be. Requests that take unequally long rarely come below it by chance.
+	// fastFailureRatio is the fraction of a route's baseline below which a response is
+	// implausibly fast. The normal variance of request durations rarely reaches it.
 	fastFailureRatio = 0.25
-	// fastFailureWindow is how long an answer that came too quickly counts: short enough that
-	// two by chance rarely meet, at all hosts of a zone together.
+	// fastFailureWindow is how long an implausibly fast response counts: short enough that two
+	// chance occurrences rarely fall into it, even over all hosts of a zone.
 	fastFailureWindow = 3 * time.Second
-	// fastFailureThreshold is how many such answers make a target one that fails its work.
+	// fastFailureThreshold is the number of implausibly fast responses within the window from
+	// which on a target is taken to be failing its requests.
 	fastFailureThreshold = 2
 )
 
-// ImplausiblyFast reports whether no work can have been done in a time.
+// ImplausiblyFast reports whether a request can't have been processed in the elapsed time.
 func ImplausiblyFast(elapsed, baseline time.Duration) bool {
 	return float64(elapsed) < fastFailureRatio*float64(baseline)
 }
 
-// FastFailures is what a host knows of a target's answers that came too quickly for work:
-// failures take less time than work, so that a target that fails looks fast. They say
-// nothing of how fast it is.
+// FastFailures tracks the implausibly fast responses of a target. Failing a request takes less
+// time than processing it, so a target that fails its requests would look fast. Such responses
+// are therefore no evidence of its speed.
 type FastFailures struct {
-	// local is when this host saw the last ones, the latest last.
+	// local holds the times of the last ones that this host saw, the latest last.
 	local [fastFailureThreshold]timekeeper.Instant
-	// reported is when other hosts of the zone reported one.
+	// reported holds the reports of other hosts of the zone.
 	reported fastFailureReports
 }
 
-// Observe takes in an answer that came too quickly.
+// Observe records an implausibly fast response that this host saw.
 func (f *FastFailures) Observe(now timekeeper.Instant) { f.local[0], f.local[1] = f.local[1], now }
 
-// ApplyReport takes in that another host of the zone saw one.
+// ApplyReport records that another host of the zone reported an implausibly fast response.
 func (f *FastFailures) ApplyReport(host string, now timekeeper.Instant) {
 	f.reported.add(host, now.Add(fastFailureWindow))
 }
 
-// SeenRecently reports whether this host saw one of late.
+// SeenRecently reports whether this host saw an implausibly fast response within the window.
 func (f *FastFailures) SeenRecently(now timekeeper.Instant) bool { return isRecent(f.local[1], now) }
 
-// ThresholdReached reports whether the target fails its work.
+// ThresholdReached reports whether the target is taken to be failing its requests.
 func (f *FastFailures) ThresholdReached(now timekeeper.Instant) bool {
 	count := 0
 	for _, at := range f.local {
@@ -54,5 +55,5 @@
 	return count+f.reported.count(now) >= fastFailureThreshold
 }
 
-// isRecent reports whether an answer of a moment still counts; 0 means none.
+// isRecent reports whether a response at the given time still counts; 0 stands for no response.
 func isRecent(at, now timekeeper.Instant) bool { return at != 0 && now.Since(at) < fastFailureWindow }
--- a/core/estimator/target.go
+++ b/core/estimator/target.go
@@ -6,50 +6,53 @@
 	"cranberryspan.dev/core/timekeeper"
 )
 
-// logSlowdownScale is into how many parts hosts divide a binary logarithm that they tell each other.
+// logSlowdownScale is the number of steps per unit of log slowdown in a SlowdownReport.
 const logSlowdownScale = 8
 
-// SlowdownReport is what hosts tell each other of a target.
+// SlowdownReport is what hosts report to each other about the speed of a target.
 type SlowdownReport struct {
-	// LogSlowdownEighths is the binary logarithm of the target's time as a multiple of the
-	// usual, in eighths, Samples how many answers it rests on.
+	// LogSlowdownEighths is the target's mean log slowdown relative to the baseline, in
+	// eighths, and Samples the number of responses that it is based on.
 	LogSlowdownEighths int8
 	Samples            uint8
 }
 
-// Target is what a host knows of how fast a target is. The zero Target knows nothing.
+// Target is a host's estimate of the slowdown of one target. The zero Target has no samples.
 type Target struct {
-	// local adds up what this host saw, all that and what other hosts tell. told is what each
-	// of them told last, by its name.
+	// local sums the samples of this host, and combined these and the samples that other hosts
+	// reported. reported holds the latest report of each of those, by host name.
 	local    decayingSum
 	combined decayingSum
 	reported map[string]decayingSum
 	slow     bool
-	// logSlowdown is what Slowness returns. Refresh keeps it, since a choice looks at all targets.
+	// logSlowdown is the result of LogSlowdown. Refresh caches it, since each target selection
+	// reads it for all targets.
 	logSlowdown float64
 	nextTrial   timekeeper.Instant
 }
 
-// Observe takes in a sample of this host: by how much an Excess is above the zone's own, as
-// Zone.Observe returns it.
+// Observe adds a sample of this host: the part of a log slowdown that exceeds the zone's, as
+// returned by Zone.Observe.
 func (t *Target) Observe(logSlowdown float64, now timekeeper.Instant) {
 	t.local.add(logSlowdown, 1, now)
 	t.combined.add(logSlowdown, 1, now)
 }
 
-// ReplaceSample replaces a sample of a request that was still waiting when it was taken.
+// ReplaceSample replaces a sample that was taken while its request was still waiting for a
+// response.
 func (t *Target) ReplaceSample(from, to float64, now timekeeper.Instant) {
 	t.local.decay(now)
 	t.combined.decay(now)
 	if t.local.weight < 1 {
-		t.Observe(to, now) // The sample is mostly forgotten.
+		t.Observe(to, now) // The sample has mostly decayed.
 		return
 	}
 	t.local.logSlowdown += to - from
 	t.combined.logSlowdown += to - from
 }
 
-// ApplyReport takes in what another host of the zone has seen, in place of what it told before.
+// ApplyReport records the report of another host of the zone in place of that host's previous
+// one.
 func (t *Target) ApplyReport(host string, report SlowdownReport, now timekeeper.Instant) {
 	if previous, ok := t.reported[host]; ok {
 		t.combined.remove(previous, now)
@@ -62,9 +65,10 @@
 	t.combined.add(mean, weight, now)
 }
 
-// Report returns what other hosts should hear of the target: samples that stand out, and any
-// samples of a target that is believed slow. What goes wrong if only slow answers are
-// told: by chance some host has one, and nobody hears of the many that were not.
+// Report returns what to report about the target to other hosts, and whether there is anything
+// to report: samples that stand out, and any samples of a target that is estimated to be slow.
+// If only slow responses were reported, those that some hosts see by chance would spread, and
+// the many normal ones would not.
 func (t *Target) Report(now timekeeper.Instant) (SlowdownReport, bool) {
 	t.local.decay(now)
 	samples := math.Round(t.local.weight)
@@ -78,8 +82,8 @@
 	return SlowdownReport{LogSlowdownEighths: int8(math.Round(mean * logSlowdownScale)), Samples: uint8(min(samples, math.MaxUint8))}, true
 }
 
-// Refresh works out anew what is believed of the target. It reports whether the target
-// turned from usual to slow or back.
+// Refresh recomputes the estimate and reports whether the target has become slow or has
+// recovered.
 func (t *Target) Refresh(now timekeeper.Instant) bool {
 	t.local.decay(now)
 	t.combined.decay(now)
@@ -103,8 +107,8 @@
 	return t.slow != wasSlow
 }
 
-// MeanLogSlowdown is the mean of all samples and of those at the usual that hold it back, a binary
-// logarithm, as of the last Refresh or sample.
+// MeanLogSlowdown returns the mean log slowdown of all samples and the prior samples at the
+// baseline, as of the last Refresh or sample.
 func (t *Target) MeanLogSlowdown() float64 {
 	prior := priorSamples
 	if t.slow {
@@ -113,15 +117,16 @@
 	return t.combined.logSlowdown / (t.combined.weight + prior)
 }
 
-// Slow reports whether the target takes markedly longer than others of its zone.
+// Slow reports whether the target is markedly slower than other targets of its zone.
 func (t *Target) Slow() bool { return t.slow }
 
-// LogSlowdown is the binary logarithm that new flows are placed by: 0 unless the target is
-// slow.
+// LogSlowdown returns the log slowdown that the placement of new flows is based on: 0 unless
+// the target is slow.
 func (t *Target) LogSlowdown() float64 { return t.logSlowdown }
 
-// Samples returns how many recent samples the belief rests on, and how many are own.
+// Samples returns the weights, in samples, of all recent samples and of this host's own among
+// them.
 func (t *Target) Samples() (combined, local float64) { return t.combined.weight, t.local.weight }
 
-// NoData reports whether nothing is known of the target any more.
+// NoData reports whether the target is not slow and has no recent samples.
 func (t *Target) NoData() bool { return !t.slow && t.combined.weight < negligibleWeight }
--- a/core/estimator/zone.go
+++ b/core/estimator/zone.go
@@ -8,37 +8,39 @@
 )
 
 const (
-	// zoneWindowSize is how many of a host's last answers tell how fast a zone is. With fewer a
-	// zone of which half is slow would often look slow as a whole; with more a change shows
-	// later.
+	// zoneWindowSize is the number of a host's latest responses that the slowdown of a zone is
+	// estimated from. With fewer, a zone with half of its targets slow would often look slow as
+	// a whole; with more, a change would be detected later.
 	zoneWindowSize = 24
-	// zoneSampleTTL ends belief in a zone from which nothing comes.
+	// zoneSampleTTL is how long a sample counts, so that the estimate ends for a zone from
+	// which no responses arrive.
 	zoneSampleTTL = 2 * time.Second
-	// minZoneSamples are needed to believe anything of a zone.
+	// minZoneSamples is the minimum number of samples that an estimate of a zone needs.
 	minZoneSamples = 3
-	// zoneQuantile is the part of the samples that is quicker than what is taken for the
-	// zone's own: a zone is slow only if less than a quarter of its work is quick.
+	// zoneQuantile is the quantile of the samples that is taken as the slowdown of the zone
+	// itself: a zone is slow only if less than a quarter of its responses are fast.
 	zoneQuantile = 0.25
 )
 
-// Zone is how fast the targets of a service in a zone are together, as one host sees it.
-// The zero Zone knows nothing.
+// Zone estimates the slowdown that the targets of a service in a zone have in common, as seen
+// by one host. The zero Zone has no samples.
 type Zone struct {
 	samples   [zoneWindowSize]zoneSample
 	nextIndex int
-	// logSlowdown, known and idle are what Excess, Known and Idle return. Refresh keeps them.
+	// logSlowdown, known and noData are the results of LogSlowdown, HasEnoughSamples and
+	// NoData. Refresh sets them.
 	logSlowdown float64
 	known       bool
 	noData      bool
 }
 
-// zoneSample is a binary logarithm, and when it came; none if that is 0.
+// zoneSample is a log slowdown and when it was observed; at is 0 in an unused entry.
 type zoneSample struct {
 	logSlowdown float64
 	at          timekeeper.Instant
 }
 
-// Observe takes in a sample, an Excess, and returns by how much it is above the zone's own.
+// Observe adds a log slowdown and returns by how much it exceeds the zone's.
 func (z *Zone) Observe(logSlowdown float64, now timekeeper.Instant) float64 {
 	z.samples[z.nextIndex] = zoneSample{logSlowdown, now}
 	z.nextIndex = (z.nextIndex + 1) % zoneWindowSize
@@ -46,7 +48,8 @@
 	return logSlowdown - z.logSlowdown
 }
 
-// ReplaceSample replaces a sample of a request that was still waiting when it was taken.
+// ReplaceSample replaces a sample that was taken while its request was still waiting for a
+// response.
 func (z *Zone) ReplaceSample(from, to float64, now timekeeper.Instant) {
 	for i := range z.samples {
 		if sample := &z.samples[i]; sample.at != 0 && sample.logSlowdown == from {
@@ -57,7 +60,7 @@
 	}
 }
 
-// Refresh works out anew how fast the zone is.
+// Refresh recomputes the slowdown of the zone from the recent samples.
 func (z *Zone) Refresh(now timekeeper.Instant) {
 	var recent [zoneWindowSize]float64
 	count := 0
@@ -77,12 +80,13 @@
 	z.logSlowdown = max(recent[int(zoneQuantile*float64(count))], 0)
 }
 
-// LogSlowdown is the binary logarithm of the zone's time for a request as a multiple of the usual: 0
-// unless even its quick answers take longer than usual.
+// LogSlowdown returns the zone's log slowdown relative to the baseline: 0 unless even its fast
+// responses take longer than the baseline.
 func (z *Zone) LogSlowdown() float64 { return z.logSlowdown }
 
-// NoData reports whether nothing came of late, as of the last Refresh.
+// NoData reports whether there were no recent samples as of the last Refresh.
 func (z *Zone) NoData() bool { return z.noData }
 
-// HasEnoughSamples reports whether enough answers came of late.
+// HasEnoughSamples reports whether there were at least minZoneSamples recent samples as of the
+// last Refresh.
 func (z *Zone) HasEnoughSamples() bool { return z.known }
