--- a/core/messenger/packet.go
+++ b/core/messenger/packet.go
@@ -1,24 +1,24 @@
-// Package messenger defines what the hosts of the system say to each other,
-// and the packet, free of any wire format, that the decisions work on.
+// Package messenger defines the messages that hosts send to each other, and the Packet, the
+// form of a datagram that decisions work on, independent of any wire format.
 //
-// The types are plain data. Package encoder writes them as CBOR, package
-// translator makes a Packet from a CoAP datagram.
+// The types are plain data. Package encoder encodes them as CBOR, and package translator
+// decodes a CoAP datagram into a Packet.
 package messenger
 
 import (
 	"cranberryspan.dev/core/timekeeper"
 )
 
-// Kind says what a packet is.
+// Kind is the kind of a packet.
 type Kind uint8
 
 // The kinds of Packet.
 const (
-	// KindRequest asks a target to do something.
+	// KindRequest is a caller's request to a target.
 	KindRequest Kind = iota + 1
-	// KindResponse carries a target's answer or a notification of a stream.
+	// KindResponse is a target's response, or a notification of a stream.
 	KindResponse
-	// KindControl acknowledges or resets; it belongs to a flow and runs nothing.
+	// KindControl is an acknowledgement or a reset. It belongs to a flow and starts no work.
 	KindControl
 )
 
@@ -29,28 +29,27 @@
 const (
 	// FlagIdempotent marks a request that may run twice without harm.
 	FlagIdempotent Flags = 1 << iota
-	// FlagOpensFlow marks a packet that can be the first of its flow. A packet
-	// without it can only continue a flow.
+	// FlagOpensFlow marks a packet that can be the first of its flow. A packet without it can
+	// only continue a flow.
 	FlagOpensFlow
 	// FlagStream marks the registration or a notification of a stream.
 	FlagStream
-	// FlagBlockwise marks one block of a transfer that needs several datagrams.
+	// FlagBlockwise marks one block of a transfer that takes several datagrams.
 	FlagBlockwise
-	// FlagRefused marks an answer by which the target says that it ran nothing.
+	// FlagRefused marks a response by which the target says that it has not run the request.
 	FlagRefused
-	// FlagConfirmable marks a packet that its sender repeats until it is
-	// acknowledged.
+	// FlagConfirmable marks a packet that its sender retransmits until it is acknowledged.
 	FlagConfirmable
-	// FlagPiggybacked marks an answer that acknowledges its request, and so
-	// bears the request's message ID.
+	// FlagPiggybacked marks a response that also acknowledges its request, and so has the
+	// message ID of the request.
 	FlagPiggybacked
 )
 
 // Has reports whether all of the given flags are set.
 func (f Flags) Has(flags Flags) bool { return f&flags == flags }
 
-// Exchange identifies a request within its flow. A repeated datagram bears the
-// same Exchange; a new request bears another.
+// Exchange identifies a request within its flow. A retransmitted datagram has the same
+// Exchange; a new request has another.
 type Exchange struct {
 	_           struct{} `cbor:",toarray"`
 	MessageID   uint16
@@ -58,14 +57,14 @@
 	TokenLength uint8
 }
 
-// Packet is a datagram with what the decisions need to know of it. Payload is
-// the whole datagram, which is passed on unchanged; it must not be modified.
+// Packet is a datagram together with the properties that decisions depend on. Payload is the
+// whole datagram, which is forwarded unchanged; it must not be modified.
 type Packet struct {
 	Kind     Kind
 	Flags    Flags
 	Exchange Exchange
-	// Deadline is when the caller stops waiting, on this host's clock; zero
-	// where the caller did not say.
+	// Deadline is when the caller stops waiting, on this host's clock; zero if the caller gave
+	// no deadline.
 	Deadline timekeeper.Instant
 	Payload  []byte
 }
--- a/core/recorder/recorder.go
+++ b/core/recorder/recorder.go
@@ -1,8 +1,8 @@
-// Package recorder holds what decisions say for the log: data, like every other
-// effect. Package reducer and package steerer share it.
+// Package recorder defines the log lines that decisions produce. They are plain data, like all
+// other effects. Packages reducer and steerer share it.
 package recorder
 
-// Line is one line for the log.
+// Line is one line of the log.
 type Line struct {
 	Event  string
 	Fields []Field
