--- a/core/diagnoser/diagnoser.go
+++ b/core/diagnoser/diagnoser.go
@@ -1,19 +1,18 @@
-// Package diagnoser decides what it means that nothing comes back: how long silence has
-// to last to mean anything, and what the silence of some targets says of their
-// neighbours.
+// Package diagnoser decides how long a target may take to respond before it counts as
+// unresponsive, and whether unresponsive targets indicate that their whole zone has failed.
 //
-// The pattern: targets of a zone fail together, by a lost rack, switch or hall. A caller
-// repeats itself after 200 ms and hopes for its answer within some 400. Whatever a host
-// waits beyond that repeat comes out of what is left for asking anew; and whoever sends
-// the caller from one dead target to its dead neighbour makes it wait for its next
-// repeat.
+// Targets of a zone fail together when a rack, a switch or a data center hall is lost. A caller
+// retransmits its packet after 200 ms and expects a response within about 400 ms. Whatever a
+// host waits after that retransmission reduces the time that is left for trying another target,
+// and a caller that is sent from one failed target to a failed neighbor waits for its next
+// retransmission.
 //
-// The answer: a host learns from its own flows how long a round trip to a zone takes, and
-// from its own clock how late it is itself (Patience). And a zone in which a target fell
-// silent, and from which nothing has come since, is doubted until anything does
-// (ZoneSuspect). Doubt only sends new flows elsewhere; it resets nothing.
+// A host therefore measures the round-trip time to each zone from its own flows, and its own
+// scheduling lag from its clock (ResponseTimeout). A zone in which a target was found
+// unresponsive, and in which no target has shown activity since, is suspect until one does
+// (ZoneSuspect). A suspect zone only has its new flows sent elsewhere; no flows are reset.
 //
-// The package knows no network and no clock.
+// The package does no I/O and reads no clock: the current time is passed in.
 package diagnoser
 
 import (
@@ -22,41 +21,43 @@
 	"cranberryspan.dev/core/timekeeper"
 )
 
-// MaxResponseTimeout bounds how long silence is waited for: a caller that has repeated itself
-// after 200 ms has some 200 left of what it hopes for. It is also used while a zone's
-// round trips are unknown.
+// MaxResponseTimeout limits how long to wait for a response: a caller that has retransmitted
+// after 200 ms has about 200 ms left of the time in which it expects its response. It also
+// applies while the round-trip time to a zone is unknown.
 const MaxResponseTimeout = 150 * time.Millisecond
 
 const (
-	// minResponseTimeout is waited for in any case: a process of a small host may be kept from
-	// its processor for some tens of milliseconds.
+	// minResponseTimeout is the shortest timeout: a process on a small host may be descheduled
+	// for some tens of milliseconds.
 	minResponseTimeout = 40 * time.Millisecond
-	// smoothingFactor and deviationSmoothingFactor are the parts of each round trip in the moving
-	// means, and variations how many mean deviations are waited for beyond the mean: the
-	// figures of TCP's retransmission timer (RFC 6298).
+	// smoothingFactor and deviationSmoothingFactor are the weights of each round trip in the
+	// moving averages, and deviationMultiplier is the number of mean deviations that are added
+	// to the mean. The values are those of TCP's retransmission timer (RFC 6298).
 	smoothingFactor          = 1.0 / 8
 	deviationSmoothingFactor = 1.0 / 4
 	deviationMultiplier      = 4
-	// lagWindow is how long a host's own lateness counts: some of a scheduler's periods.
+	// lagWindow is how long an observed scheduling lag counts: several scheduler periods.
 	lagWindow = time.Second
-	// lagMultiplier times the lateness is waited for: a check wakes its host twice.
+	// lagMultiplier times the lag is added to the timeout, since the host has to be scheduled
+	// twice for each probe.
 	lagMultiplier = 2
-	// minGaps is how many pauses have to be seen to know what is usual.
+	// minGaps is the minimum number of gaps that the mean gap of a zone has to be based on.
 	minGaps = 20
-	// suspicionTTL ends doubt of a zone from which nothing is heard: by then its targets
-	// have been checked one by one.
+	// suspicionTTL ends the suspicion of a zone that shows no activity: by then its targets
+	// have been probed one by one.
 	suspicionTTL = 3 * time.Second
 )
 
-// zone is what a host knows of a zone's targets together.
+// zone is the state of all targets of a zone together.
 type zone struct {
-	// meanRTT and deviation are of the round trips that were seen; samples counts them.
+	// meanRTT and deviationRTT are moving averages of the observed round trips; rttSamples
+	// counts these.
 	meanRTT      time.Duration
 	deviationRTT time.Duration
 	rttSamples   int
-	// lastActivity is when any target last showed life, gap the moving mean of the pauses between
-	// two signs of life, and gaps how many there were. silent is when a target was last
-	// found silent, and unresponsiveSince since when it had been.
+	// lastActivity is when any target last showed activity. meanGap is the moving average of
+	// the gaps between two such times, and gapCount the number of gaps. unresponsiveAt is when
+	// a target was last found unresponsive, and unresponsiveSince since when it had been.
 	lastActivity      timekeeper.Instant
 	meanGap           time.Duration
 	gapCount          int
@@ -64,15 +65,15 @@
 	unresponsiveSince timekeeper.Instant
 }
 
-// Diagnoser is what one host knows. It belongs to one owner.
+// Diagnoser holds what one host has observed of all zones. It is not safe for concurrent use.
 type Diagnoser struct {
 	zones map[string]*zone
-	// maxLag is the largest lateness of late, at maxLagAt.
+	// maxLag is the largest recent scheduling lag, observed at maxLagAt.
 	maxLag   time.Duration
 	maxLagAt timekeeper.Instant
 }
 
-// New makes a Diagnoser that knows nothing.
+// New returns a Diagnoser without observations.
 func New() *Diagnoser { return &Diagnoser{zones: map[string]*zone{}} }
 
 func (d *Diagnoser) zone(name string) *zone {
@@ -84,8 +85,8 @@
 	return z
 }
 
-// ObserveRoundTrip takes in how long a target of a zone took to answer an opening packet, by
-// way of its caller.
+// ObserveRoundTrip records how long a target of a zone took to respond to an opening packet, as
+// shown by the next packet of the caller, which receives the response.
 func (d *Diagnoser) ObserveRoundTrip(zoneName string, rtt time.Duration) {
 	z := d.zone(zoneName)
 	z.rttSamples++
@@ -101,15 +102,15 @@
 	z.meanRTT += time.Duration(smoothingFactor * float64(rtt-z.meanRTT))
 }
 
-// ObserveLag takes in that this host was late by some time.
+// ObserveLag records that this host was scheduled late by the given time.
 func (d *Diagnoser) ObserveLag(lag time.Duration, now timekeeper.Instant) {
 	if lag >= d.maxLag || d.maxLagAt.Add(lagWindow).Passed(now) {
 		d.maxLag, d.maxLagAt = lag, now
 	}
 }
 
-// ResponseTimeout is how long a target of a zone may take to answer a handshake before its
-// silence means anything.
+// ResponseTimeout returns how long a target of a zone may take to respond to a handshake before
+// it counts as unresponsive.
 func (d *Diagnoser) ResponseTimeout(name string, now timekeeper.Instant) time.Duration {
 	z := d.zone(name)
 	if z.rttSamples == 0 {
@@ -122,7 +123,7 @@
 	return min(timeout, MaxResponseTimeout)
 }
 
-// ObserveActivity takes in that a target of a zone works.
+// ObserveActivity records that a target of a zone has shown that it responds.
 func (d *Diagnoser) ObserveActivity(name string, now timekeeper.Instant) {
 	z := d.zone(name)
 	if z.lastActivity != 0 {
@@ -132,28 +133,29 @@
 	z.lastActivity = now
 }
 
-// ZoneUnresponsive reports whether nothing has come from a zone since a moment, for longer than its
-// targets usually leave this host without a sign of life.
+// ZoneUnresponsive reports whether no target of a zone has shown activity since the given time,
+// for longer than the mean gap between two activities of the zone.
 //
-// What goes wrong without the second condition: a host that has a flow a second takes any
-// lost packet for the silence of a zone.
+// Without the comparison with the mean gap, a host with one flow a second would take any lost
+// packet for a zone that is unresponsive.
 func (d *Diagnoser) ZoneUnresponsive(name string, since, now timekeeper.Instant) bool {
 	z := d.zone(name)
 	return z.gapCount >= minGaps && z.lastActivity <= since && now.Since(since) > z.meanGap
 }
 
-// ObserveUnresponsive takes in that a target of a zone was found silent, and has been since a moment.
+// ObserveUnresponsive records that a target of a zone was found unresponsive, and since when it
+// has been.
 func (d *Diagnoser) ObserveUnresponsive(name string, since, now timekeeper.Instant) {
 	z := d.zone(name)
 	z.unresponsiveAt, z.unresponsiveSince = now, since
 }
 
-// ZoneSuspect reports whether a zone's targets seem to have fallen silent together.
+// ZoneSuspect reports whether the targets of a zone seem to have failed together.
 //
-// What goes wrong otherwise: a zone crashes without a word. A caller that was told of its
-// dead target opens a flow at the next one, which is as dead but has not been found out,
-// waits for its next repeat, and is late. One notices by opening packets with copies, at
-// one target of the zone after the other.
+// Without this, when a zone crashes, a caller whose flow was reset because its target had
+// failed opens its next flow at another target of the zone, which has failed too but has not
+// been detected yet. The caller waits for its next retransmission and gets its response late.
+// This shows as retransmitted opening packets at one target of the zone after another.
 func (d *Diagnoser) ZoneSuspect(name string, now timekeeper.Instant) bool {
 	z := d.zone(name)
 	return z.unresponsiveAt != 0 && !z.unresponsiveAt.Add(suspicionTTL).Passed(now) && d.ZoneUnresponsive(name, z.unresponsiveSince, now)
--- a/core/evacuator/evacuator.go
+++ b/core/evacuator/evacuator.go
@@ -1,16 +1,16 @@
-// Package evacuator keeps the operators' orders to evacuate availability zones.
+// Package evacuator tracks the evacuation orders that operators issue for availability zones.
 //
-// The pattern: operators learn that a zone is about to fail, or is failing, and order
-// that nothing more be sent to its targets until they take the order back. Every host
-// has to obey within seconds, whether it hears of it from the platform or from another
-// host, and whichever comes first. After the return the zone's targets are cold.
+// When operators learn that a zone is failing or about to fail, they order that nothing more be
+// sent to its targets until they withdraw the order. Every host has to comply within seconds,
+// whether it receives the order first from the platform or from another host. After the order
+// is withdrawn, the targets of the zone are cold.
 //
-// The answer: all orders together are one small immutable value with the platform's
-// position up to which it is complete (Orders). Of two values the one with the later
-// position holds, so it does not matter who tells a host first, and an order that is
-// taken back and given again can't be confused with its earlier self.
+// All orders together are one small immutable value with the position in the platform's history
+// up to which it is complete (Orders). Of two values the one with the later position applies.
+// So it does not matter from whom a host receives them first, and an order that is withdrawn
+// and reissued can't be confused with the earlier one.
 //
-// The package knows no network and no clock.
+// The package does no I/O and reads no clock: the current time is passed in.
 package evacuator
 
 import (
@@ -21,15 +21,15 @@
 	"cranberryspan.dev/core/timekeeper"
 )
 
-// Orders are all orders that are in force as of a position. It is immutable.
+// Orders is the set of all orders in force as of a position. It is immutable.
 type Orders struct {
-	// Position is that of the platform's history up to which all orders are known.
+	// Position is the point in the platform's history up to which the orders are complete.
 	Position sequencer.Position
-	// Zones are the availability zones that get nothing more, sorted.
+	// Zones are the evacuated availability zones, sorted.
 	Zones []string
 }
 
-// WithZone returns the orders after one more at a later revision.
+// WithZone returns the orders after an order for zone was issued at a later revision.
 func (o Orders) WithZone(zone string, revision uint64) Orders {
 	zones := slices.Clone(o.Zones)
 	if at, found := slices.BinarySearch(zones, zone); !found {
@@ -38,42 +38,42 @@
 	return Orders{Position: o.Position.WithRevision(revision), Zones: zones}
 }
 
-// WithoutZone returns the orders after one was taken back at a later revision.
+// WithoutZone returns the orders after the order for zone was withdrawn at a later revision.
 func (o Orders) WithoutZone(zone string, revision uint64) Orders {
 	zones := slices.DeleteFunc(slices.Clone(o.Zones), func(one string) bool { return one == zone })
 	return Orders{Position: o.Position.WithRevision(revision), Zones: zones}
 }
 
-// WithRevision returns the orders, known to be complete up to a later revision.
+// WithRevision returns the same orders, complete up to a later revision.
 func (o Orders) WithRevision(revision uint64) Orders {
 	o.Position = o.Position.WithRevision(revision)
 	return o
 }
 
-// Includes reports whether a zone gets nothing more.
+// Includes reports whether there is an order for a zone.
 func (o Orders) Includes(zone string) bool { return slices.Contains(o.Zones, zone) }
 
-// Change is an order that came into force or was taken back.
+// Change is an order that has come into force or has ended.
 type Change struct {
 	Zone string
-	// Active says that the order came into force.
+	// Active says that the order has come into force.
 	Active bool
 }
 
-// Evacuator is what one host knows of orders. It belongs to one owner.
+// Evacuator holds the orders that one host has received. It is not safe for concurrent use.
 type Evacuator struct {
 	orders Orders
-	// retained says, of each zone whose order a restore of the platform has undone, until when
-	// the order counts nevertheless.
+	// retained maps each zone whose order was lost in a restore of the platform to the time
+	// until which the order stays in force.
 	retained map[string]timekeeper.Instant
-	// reinstated says, of each zone whose order came back with a restore of the platform, until
-	// when the operators may still take it back again.
+	// reinstated maps each zone whose order came back with a restore of the platform to the
+	// time until which operators may withdraw it again.
 	reinstated map[string]timekeeper.Instant
-	// endedAt is when this host learned that the last order for a zone was taken back.
+	// endedAt maps each zone whose last order has ended to when this host learned of it.
 	endedAt map[string]timekeeper.Instant
 }
 
-// New makes an Evacuator that knows of no orders.
+// New returns an Evacuator without orders.
 func New() *Evacuator {
 	return &Evacuator{
 		retained:   map[string]timekeeper.Instant{},
@@ -82,10 +82,11 @@
 	}
 }
 
-// Orders returns the newest orders, as they were given.
+// Orders returns the latest orders as received, without those that are retained after a
+// restore.
 func (e *Evacuator) Orders() Orders { return e.orders }
 
-// Zones lists the zones that get nothing more, sorted.
+// Zones returns the evacuated zones, sorted.
 func (e *Evacuator) Zones() []string {
 	if len(e.retained) == 0 {
 		return e.orders.Zones
@@ -95,43 +96,43 @@
 	return zones
 }
 
-// Evacuates reports whether a zone gets nothing more.
+// Evacuates reports whether a zone is evacuated.
 func (e *Evacuator) Evacuates(zone string) bool {
 	_, held := e.retained[zone]
 	return held || e.orders.Includes(zone)
 }
 
-// PossiblyStale reports whether a zone's order came back with a restore that has undone another
-// order: the operators may have moved from the one zone to the other.
+// PossiblyStale reports whether the order for a zone came back with a restore that lost another
+// order: the operators may have moved the evacuation from the one zone to the other.
 func (e *Evacuator) PossiblyStale(zone string, now timekeeper.Instant) bool {
 	return len(e.retained) > 0 && e.orders.Includes(zone) && !e.reinstated[zone].Passed(now)
 }
 
-// EndedAt returns when this host learned that the last order for a zone was taken back,
-// and whether there was one.
+// EndedAt returns when this host learned that the last order for a zone had ended, and whether
+// there was one.
 func (e *Evacuator) EndedAt(zone string) (timekeeper.Instant, bool) {
 	at, ok := e.endedAt[zone]
 	return at, ok
 }
 
-// Apply puts orders in force unless newer ones are, and returns what changed, in the
-// order of zones.
+// Apply puts orders into force unless later ones are in force already, and returns the changes:
+// first the orders that came into force, then those that ended, both sorted by zone.
 //
-// What goes wrong if the last that was heard holds: a host that was cut off comes back,
-// tells its view from before the order, and others send to the zone again until the
-// next host corrects them. One notices by zones that get new flows in bursts after an
-// order.
+// Without the comparison of positions, a host that was isolated would report its state from
+// before an order when it reconnects, and other hosts would send to the zone again until
+// another host corrects them. This would show as bursts of new flows to a zone after it was
+// ordered to be evacuated.
 //
-// What goes wrong if orders that a restored platform lacks end at once: the operators have
-// not taken them back, and give them again within seconds. Until then new flows go into a
-// zone that is about to fail. So these end only if they are not given again in time, counted
-// from the latest restore.
+// An order that is missing after a restore of the platform does not end at once: the operators
+// have not withdrawn it, and reissue it within seconds. If it ended, new flows would go to a
+// zone that is about to fail until then. Such an order ends only if it is not reissued within
+// RewriteGracePeriod of the latest restore.
 func (e *Evacuator) Apply(orders Orders, now timekeeper.Instant) []Change {
 	if !e.orders.Position.Before(orders.Position) {
 		return nil
 	}
 	if e.orders.Position.Known() && !orders.Position.Known() {
-		return nil // It says nothing of any history.
+		return nil // Without a revision it is no position in any history.
 	}
 	restored := e.orders.Position.Known() && !orders.Position.ContinuesFrom(e.orders.Position)
 	if restored {
@@ -162,7 +163,8 @@
 	return changes
 }
 
-// extendDeadlines has what an earlier restore has undone, or brought back, wait for as long again.
+// extendDeadlines restarts the grace period of the orders that an earlier restore lost or
+// brought back.
 func (e *Evacuator) extendDeadlines(now timekeeper.Instant) {
 	for zone := range e.retained {
 		e.retained[zone] = now.Add(sequencer.RewriteGracePeriod)
@@ -174,8 +176,8 @@
 	}
 }
 
-// Expire ends the orders that were not given again in time after a restore, and returns
-// them in the order of zones.
+// Expire ends the retained orders that were not reissued in time after a restore, and returns
+// the changes, sorted by zone.
 func (e *Evacuator) Expire(now timekeeper.Instant) []Change {
 	if len(e.retained) == 0 {
 		return nil
@@ -190,7 +192,7 @@
 	return changes
 }
 
-// end notes that an order has ended.
+// end records that the order for a zone has ended.
 func (e *Evacuator) end(zone string, now timekeeper.Instant) Change {
 	e.endedAt[zone] = now
 	return Change{Zone: zone}
--- a/core/sequencer/sequencer.go
+++ b/core/sequencer/sequencer.go
@@ -1,20 +1,21 @@
-// Package sequencer orders what is known of the platform's history.
+// Package sequencer orders points in the platform's history.
 //
-// The pattern: a store counts its changes with revisions, and hosts compare revisions
-// to tell which of two views is the newer one. Then the store is restored from a backup.
-// Its revisions go back and are given out again for other changes. A revision alone
-// no longer says which history it belongs to: a view from before the restore looks newer
-// than all that the store says, or, once the revision has been passed again, as if only
-// the changes after it were missing.
+// The platform's store counts its changes with revisions, and hosts compare revisions to decide
+// which of two states is newer. When the store is restored from a backup, its revisions go back
+// and are assigned again to other changes. A revision alone then no longer identifies the
+// history that it belongs to: a state from before the restore looks newer than that of the
+// store, or, once the store has passed the same revision again, as if it lacked only the
+// changes after it.
 //
-// The answer: each restore begins an era, and a point in the history is an era with a
-// revision (Position). Eras go first. Two positions of different eras say nothing of
-// what lies between them, so whoever crosses an era reads everything anew (Continues).
+// Each restore therefore begins an era, and a point in the history is an era with a revision
+// (Position). Positions are ordered by era first. Between two positions of different eras the
+// changes are unknown, so a host that moves from one era to another reads the full state again
+// (ContinuesFrom).
 //
-// Weighed and left: to notice restores by revisions that go back. A reader that was cut
-// off meanwhile sees none go back.
+// Rejected alternative: detecting a restore by revisions that go back. A host that was isolated
+// during the restore does not see them go back.
 //
-// The package knows no network and no clock.
+// The package does no I/O and reads no clock.
 package sequencer
 
 import (
@@ -23,27 +24,28 @@
 	"time"
 )
 
-// RewriteGracePeriod is how long a host waits for what the platform lost, by a restore or while it
-// was away: writers write it again within about two seconds, the rest is for a read.
+// RewriteGracePeriod is how long a host waits for the platform to regain what it lost in a
+// restore or while it was unavailable: writers write it again within about two seconds, and the
+// rest is for reading it.
 const RewriteGracePeriod = 2500 * time.Millisecond
 
-// Position is a point in the platform's history. It is immutable and may be compared with
-// ==. The zero value is before any history.
+// Position is a point in the platform's history. It is immutable and can be compared with ==.
+// The zero value is before any history.
 type Position struct {
-	// Era counts the restores of the store; 0 if the platform tells none.
+	// Era counts the restores of the store; 0 if the platform reports no era.
 	Era uint64
-	// Revision counts the changes within the history that the era belongs to; 0 if none
-	// is known.
+	// Revision counts the changes within the history that the era belongs to; 0 if it is
+	// unknown.
 	Revision uint64
 }
 
-// At makes a position.
+// At returns the position with the given era and revision.
 func At(era, revision uint64) Position { return Position{Era: era, Revision: revision} }
 
-// Known reports whether the position is one in a history.
+// Known reports whether the position has a revision.
 func (p Position) Known() bool { return p.Revision != 0 }
 
-// Compare returns -1 if p is before other, 1 if it is after, and 0 if they are the same.
+// Compare returns -1 if p is before other, 1 if it is after, and 0 if they are equal.
 func (p Position) Compare(other Position) int {
 	if c := cmp.Compare(p.Era, other.Era); c != 0 {
 		return c
@@ -51,11 +53,11 @@
 	return cmp.Compare(p.Revision, other.Revision)
 }
 
-// Before reports whether p comes before other.
+// Before reports whether p is before other.
 func (p Position) Before(other Position) bool { return p.Compare(other) < 0 }
 
-// ContinuesFrom reports whether changes alone lead from one position to the other: both are of
-// one era, and the other is known.
+// ContinuesFrom reports whether p can be reached from other by applying changes alone: both are
+// of the same era, and other has a revision.
 func (p Position) ContinuesFrom(other Position) bool {
 	return other.Known() && p.Era == other.Era
 }
@@ -68,14 +70,14 @@
 	return p
 }
 
-// WithRevision returns the position after a change of the same era, or p if it includes
-// the change already.
+// WithRevision returns the position after a change of the same era, or p if it already includes
+// the change.
 func (p Position) WithRevision(revision uint64) Position {
 	p.Revision = max(p.Revision, revision)
 	return p
 }
 
-// String writes the revision, with the era before it if there is one.
+// String returns the revision, preceded by the era if there is one.
 func (p Position) String() string {
 	revision := strconv.FormatUint(p.Revision, 10)
 	if p.Era == 0 {
--- a/core/warmer/warmer.go
+++ b/core/warmer/warmer.go
@@ -1,22 +1,22 @@
-// Package warmer decides which host may place a new flow on a target that is cold.
+// Package warmer decides which host may place a new flow on a cold target (slow start).
 //
-// The pattern: targets that have just started bear a few flows a second each, and fall
-// over beyond that. A zone's hosts all see the same idle targets in the same moment. No
-// host sees what the others send, what they report of it is a quarter of a second old,
-// and hosts come, go, and are cut off from each other meanwhile. All hosts together may
-// not exceed what a target bears in any second.
+// Targets that have just started sustain a few new flows per second each, and fail under more.
+// All hosts of a zone see the same idle targets at once. No host sees the flows that the others
+// place, their reports of these are a quarter of a second old, and meanwhile hosts start, stop,
+// and are partitioned from each other. Together all hosts must not exceed, in any second, the
+// rate that a target sustains.
 //
-// The answer: for each cold target a few hosts of its zone hold a ticket, found by
-// rendezvous hashing, so nobody has to be asked. A holder leaves a pause after each flow
-// that it places there; all others look elsewhere. Together the holders use half of
-// what the target bears in a second, so that a second set of holders, seen by hosts that
-// know a different list of hosts, does no harm.
+// For each cold target, a few hosts of its zone therefore hold a ticket. Rendezvous hashing
+// determines them, so that no host has to be asked. A holder waits for an interval after each
+// flow that it places on the target; all other hosts choose other targets. The holders together
+// use half of what the target sustains in a second, so that a second set of holders, chosen by
+// hosts with a different list of hosts, does no harm.
 //
-// A host counts whoever it has heard of in its zone within the last minute, dead or
-// not: a host that is cut off from the others must not take their tickets. And it holds
-// none until it has had the time to hear of the others.
+// A host counts every host of its zone that it has learned of within the last minute, alive or
+// not: a host that is isolated from the others must not take over their tickets. After its
+// start it holds no tickets until it has had time to learn of the others.
 //
-// The package knows no network and no clock.
+// The package does no I/O and reads no clock: the current time is passed in.
 package warmer
 
 import (
@@ -29,51 +29,53 @@
 )
 
 const (
-	// maxHolders is how many hosts hold a ticket for one target at most. With one, a
-	// single dead host leaves the target idle while it is cold; with many, each has to
-	// wait so long between two flows that most tickets are of no use.
+	// maxHolders is the maximum number of hosts that hold a ticket for one target. With one
+	// holder, a single failed host leaves the target idle while it is cold; with many, each has
+	// to wait so long between two flows that most tickets are unused.
 	maxHolders = 4
-	// flowsPerHolder is how many flows a second a target has to bear for each holder: one
-	// at each moment, one more for the pause that ends in the same second, and both for
-	// a second set of holders.
+	// flowsPerHolder is the rate, in flows per second, that a target has to sustain for each
+	// holder: one flow at any time, another for an interval that ends within the same second,
+	// and both again for a second set of holders.
 	flowsPerHolder = 4
-	// holderSets is how many sets of holders together may not exceed what a target bears.
+	// holderSets is the number of sets of holders that together must not exceed the rate that a
+	// target sustains.
 	holderSets = 2
 	// discoveryPeriod is how long after its start a host holds no tickets. By then it has
-	// heard of most hosts of a zone of a hundred, of all in a small one.
+	// learned of most hosts of a zone with a hundred, and of all hosts of a small zone.
 	discoveryPeriod = 3 * time.Second
-	// singleFlowRate is how often a holder places a flow if one a second is all that its
-	// part allows: a little less, so that two never fall into one second.
+	// singleFlowRate is the rate, in flows per second, of a holder whose share of the rate
+	// limit is one flow per second. It is slightly lower, so that no second contains two flows.
 	singleFlowRate = 0.95
 )
 
-// RateLimit is what a cold target bears, from the settings.
+// RateLimit is the rate of new flows that a cold target sustains, from the settings.
 type RateLimit struct {
-	// PerSecond is how many new flows a second it bears for long; 0 is any number.
+	// PerSecond is the sustained rate of new flows per second; 0 means no limit.
 	PerSecond float64
-	// BurstFactor times that, and Allowance more, is the most in any one second.
+	// PerSecond times BurstFactor, plus BurstAllowance, is the maximum number of new flows in
+	// any one second.
 	BurstFactor    float64
 	BurstAllowance float64
 }
 
-// Limited reports whether there is a bound at all.
+// Limited reports whether there is a rate limit.
 func (b RateLimit) Limited() bool { return b.PerSecond > 0 }
 
-// maxInOneSecond is how many new flows may come in any one second.
+// maxInOneSecond returns the maximum number of new flows in any one second.
 func (b RateLimit) maxInOneSecond() float64 {
 	return b.PerSecond*max(b.BurstFactor, 1) + b.BurstAllowance
 }
 
-// Allocation is how a target's bound is divided.
+// Allocation is how the rate limit of a target is divided among hosts.
 type Allocation struct {
-	// Holders is how many hosts hold a ticket, Pause how long each waits between two
-	// flows.
+	// Holders is the number of hosts that hold a ticket, and Interval how long each of them
+	// waits between two flows.
 	Holders  int
 	Interval time.Duration
 }
 
-// Allocate divides a bound. A holder that leaves a pause of a k-th of a second places
-// k + 1 flows at the most in any second.
+// Allocate divides a rate limit. A holder with an interval of 1/k seconds places at most k + 1
+// flows in any second.
 func Allocate(limit RateLimit) Allocation {
 	burst := limit.maxInOneSecond()
 	holders := min(max(int(burst/flowsPerHolder), 1), maxHolders)
@@ -83,31 +85,32 @@
 	return Allocation{Holders: holders, Interval: time.Duration(float64(time.Second) / rate)}
 }
 
-// Warmer is one host's tickets. It belongs to one owner.
+// Warmer manages the tickets of one host. It is not safe for concurrent use.
 type Warmer struct {
 	self string
 	// discoveredAt is when this host may hold its first ticket.
 	discoveredAt timekeeper.Instant
-	// hosts are those of the zone, this one among them, sorted. epoch counts its changes.
+	// hosts are those of the zone including this one, sorted. hostsVersion counts the changes
+	// of the list.
 	hosts        []string
 	hostsVersion uint64
 	tickets      map[string]*ticket
 }
 
-// ticket is what a host keeps of a cold target.
+// ticket is the state that a host keeps for a cold target.
 type ticket struct {
 	hostsVersion uint64
 	held         bool
-	// nextFlowAt is when this host may place its next flow there.
+	// nextFlowAt is when this host may next place a flow on the target.
 	nextFlowAt timekeeper.Instant
 }
 
-// New makes the Warmer of a host that started at a moment.
+// New returns the Warmer of a host that started at the given time.
 func New(self string, start timekeeper.Instant) *Warmer {
 	return &Warmer{self: self, discoveredAt: start.Add(discoveryPeriod), hosts: []string{self}, tickets: map[string]*ticket{}}
 }
 
-// SetHosts replaces the other hosts of the zone that may live.
+// SetHosts replaces the list of other hosts of the zone, alive or not, that may hold tickets.
 func (w *Warmer) SetHosts(others []string) {
 	hosts := append(slices.Clone(others), w.self)
 	slices.Sort(hosts)
@@ -130,18 +133,18 @@
 	return t.held && t.nextFlowAt.Passed(now)
 }
 
-// RecordPlacement takes in that this host has placed a flow on a cold target.
+// RecordPlacement records that this host has placed a flow on a cold target.
 func (w *Warmer) RecordPlacement(target string, limit RateLimit, now timekeeper.Instant) {
 	if limit.Limited() {
 		w.ticket(target, limit).nextFlowAt = now.Add(Allocate(limit).Interval)
 	}
 }
 
-// Forget drops what is kept of a target.
+// Forget discards the state of a target.
 func (w *Warmer) Forget(target string) { delete(w.tickets, target) }
 
-// ticket returns this host's ticket for a target, held or not. Who holds one is worked
-// out again when the zone's hosts have changed.
+// ticket returns this host's ticket for a target, held or not. It recomputes whether the ticket
+// is held if the hosts of the zone have changed.
 func (w *Warmer) ticket(target string, limit RateLimit) *ticket {
 	t, ok := w.tickets[target]
 	if !ok {
@@ -155,8 +158,8 @@
 	return t
 }
 
-// holdersOf returns the hosts that hold a ticket for a target: equal lists of hosts give
-// equal holders, and a host that comes or goes changes few of them.
+// holdersOf returns the hosts that hold a ticket for a target. Equal lists of hosts give equal
+// holders, and a host that is added or removed changes few of them.
 func holdersOf(target string, hosts []string, count int) []string {
 	weights := make(map[string]uint64, len(hosts))
 	for _, host := range hosts {
