--- a/core/placer/lookup_table.go
+++ b/core/placer/lookup_table.go
@@ -6,29 +6,29 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Candidate is a target that a Table may choose.
+// Candidate is a target that a LookupTable may select.
 type Candidate struct {
 	Name   string
 	Weight int
 }
 
-// CandidatesPerEntry is how many candidates a Table keeps for each slot.
+// CandidatesPerEntry is the number of candidates that a LookupTable keeps for each entry.
 const CandidatesPerEntry = 4
 
-// LookupTable maps the slots of a service to ranked candidates. It is immutable.
+// LookupTable maps the hashes of a service's flows to ranked candidates. It is immutable.
 //
-// Plain rendezvous hashing gives 14 targets shares that differ by about a tenth
-// at 1,024 slots. So each target takes at most its exact share of the slots: a
-// slot whose best candidate is full goes to the next one. A change of the
-// candidates moves somewhat more slots than the least possible, which costs
-// nothing, since established flows stay where they are (see reducer).
+// Plain rendezvous hashing gives 14 targets fractions of the entries that differ by about a
+// tenth at 1,024 entries. So each target is the first candidate of at most its exact fraction
+// of the entries: an entry whose best candidate has reached that limit goes to the next one. A
+// change of the candidates moves somewhat more entries than the minimum, which costs nothing,
+// since established flows stay on their targets (see reducer).
 type LookupTable struct {
-	// entries holds Ranks indexes into the candidates for each slot; -1 is none.
+	// entries holds, for each entry, the indexes of its candidates; -1 means none.
 	entries [][CandidatesPerEntry]int16
 }
 
-// tableSize returns the number of slots for so many candidates: a power of two,
-// with steps far apart, since a change of it moves most slots.
+// tableSize returns the number of entries for a number of candidates: a power of two, in large
+// steps, since a change of the size moves most entries.
 func tableSize(candidates int) int {
 	switch {
 	case candidates <= 16:
@@ -39,8 +39,8 @@
 	return 1 << 15
 }
 
-// NewLookupTable computes the table for candidates. Equal candidates in equal order
-// give equal tables on every host.
+// NewLookupTable computes the table for candidates. Equal candidates in equal order give equal
+// tables on every host.
 func NewLookupTable(candidates []Candidate) *LookupTable {
 	t := &LookupTable{}
 	if len(candidates) == 0 {
@@ -67,8 +67,8 @@
 	return t
 }
 
-// rankCandidates picks the best candidate that has room as the first, and then the
-// best of the others.
+// rankCandidates selects as the first candidate the one with the highest score among those with
+// entries remaining, followed by the others by score.
 func rankCandidates(scores []float64, remaining []int) [CandidatesPerEntry]int16 {
 	ranked := [CandidatesPerEntry]int16{-1, -1, -1, -1}
 	first := -1
@@ -103,10 +103,10 @@
 	return false
 }
 
-// Size returns the number of slots.
+// Size returns the number of entries.
 func (t *LookupTable) Size() int { return len(t.entries) }
 
-// Lookup returns the ranked candidates, as indexes, for a flow's Hash.
+// Lookup returns the ranked candidates, as indexes, for the Hash of a flow.
 func (t *LookupTable) Lookup(hash uint64) [CandidatesPerEntry]int16 {
 	if len(t.entries) == 0 {
 		return [CandidatesPerEntry]int16{-1, -1, -1, -1}
--- a/core/placer/placer.go
+++ b/core/placer/placer.go
@@ -1,5 +1,5 @@
-// Package placer computes where flows belong from published settings alone, so
-// that hosts with the same revision agree without talking to each other.
+// Package placer computes which host owns a flow and which target it belongs to from published
+// settings alone, so that hosts with the same revision agree without communicating.
 package placer
 
 import (
@@ -11,9 +11,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Hash spreads a flow key over 64 bits. The highest 16 bits are the flow's
-// bucket, by which hosts own flows; the lowest bits are its slot, by which
-// targets get flows.
+// Hash hashes a flow key to 64 bits. The highest 16 bits are the flow's bucket, which
+// determines the host that owns the flow; the lowest bits are its entry in a LookupTable, which
+// determines its target.
 func Hash(key resolver.FlowKey) uint64 {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], uint64(key))
@@ -23,14 +23,14 @@
 // Bucket is the unit in which hosts own flows.
 type Bucket uint16
 
-// Buckets is how many buckets there are. With 610 hosts each owns about 107,
-// so that the busiest owner has about a third more than the mean.
+// Buckets is the number of buckets. With 610 hosts each owns about 107, and the host with the
+// most owns about a third more than the mean.
 const Buckets = 1 << 16
 
 // BucketOf returns the bucket of a flow's Hash.
 func BucketOf(hash uint64) Bucket { return Bucket(hash >> 48) }
 
-// score is a pseudo-random 64-bit number for a pair.
+// score returns a pseudo-random 64-bit number for a pair.
 func score(a, b uint64) uint64 {
 	var buffer [16]byte
 	binary.LittleEndian.PutUint64(buffer[:8], a)
@@ -38,14 +38,15 @@
 	return xxhash.Sum64(buffer[:])
 }
 
-// Ranker orders names for each bucket by rendezvous hashing: taking a name away
-// changes nothing in the order of the others.
+// Ranker ranks names for each bucket by rendezvous hashing: removing a name does not change the
+// order of the others.
 type Ranker struct {
 	names  []string
 	hashes []uint64
 }
 
-// NewRanker makes a Ranker over names, at most resolver.MaxCellHosts for Rank.
+// NewRanker returns a Ranker over names. Rank requires that there are at most
+// resolver.MaxCellHosts names.
 func NewRanker(names []string) Ranker {
 	r := Ranker{names: slices.Clone(names)}
 	for _, name := range names {
@@ -63,7 +64,7 @@
 // Names returns the ranked names.
 func (o *Ranking) Names() []string { return o.names[:o.count] }
 
-// Rank orders the names for a bucket.
+// Rank ranks the names for a bucket.
 func (r Ranker) Rank(bucket Bucket) Ranking {
 	var ranking Ranking
 	var scores [resolver.MaxCellHosts]uint64
@@ -85,8 +86,8 @@
 	return ranking
 }
 
-// InTop reports whether a name is one of the first few in a bucket's order. It
-// takes any number of names.
+// InTop reports whether a name is one of the first n in the ranking for a bucket. Unlike Rank
+// it accepts any number of names.
 func (r Ranker) InTop(bucket Bucket, name string, n int) bool {
 	ownScore := score(xxhash.Sum64String(name), uint64(bucket))
 	higher := 0
@@ -98,17 +99,16 @@
 	return higher < n
 }
 
-// CellMap maps every bucket to its home cell, by weighted rendezvous hashing over
-// the cells of the settings. Which host lives plays no part: only published
-// settings decide, so two sides of a partition never both believe that a
-// bucket's home is with them.
+// CellMap maps every bucket to its home cell, by weighted rendezvous hashing over the cells of
+// the settings. The liveness of hosts has no influence: only published settings decide, so two
+// sides of a partition never both consider themselves the home of a bucket.
 type CellMap struct {
 	names     []string
 	homeIndex []uint16
 }
 
-// NewCellMap computes the map from the hosts of a revision. It costs one hash for
-// each bucket and cell.
+// NewCellMap computes the map from the hosts of a settings revision. It computes one hash for
+// each pair of a bucket and a cell.
 func NewCellMap(hosts []resolver.Host) CellMap {
 	sizes := map[string]int{}
 	var c CellMap
@@ -146,8 +146,8 @@
 	return c.names[c.homeIndex[bucket]]
 }
 
-// weightedScore turns a uniform hash into a score under which a name wins in
-// proportion to its weight (weighted rendezvous hashing).
+// weightedScore converts a uniformly distributed hash into a score such that a name has the
+// highest score in proportion to its weight (weighted rendezvous hashing).
 func weightedScore(hash uint64, weight float64) float64 {
 	uniform := (float64(hash>>11) + 0.5) / (1 << 53)
 	return -weight / math.Log(uniform)
