--- a/core/diagnoser/diagnoser_test.go
+++ b/core/diagnoser/diagnoser_test.go
@@ -28,9 +28,8 @@
 	// 60ms
 }
 
-// Symptom: a host that has to wait for its processor resets flows whose targets work.
-// Sequence: its share is used up, and it sees answers late. Cause: it takes its own delay
-// for the targets' silence.
+// Guards against resetting flows of targets that work: when a host has used up its processor
+// share, it processes responses late and must not attribute its own delay to the targets.
 func TestSchedulingLagExtendsResponseTimeout(t *testing.T) {
 	d := diagnoser.New()
 	d.ObserveRoundTrip("a", 3*time.Millisecond)
@@ -42,7 +41,8 @@
 	require.Equal(t, 40*time.Millisecond, d.ResponseTimeout("a", start.Add(5*time.Second)), "and an end")
 }
 
-// newWithRecentActivity makes a host that has heard from zones a and b every 50 ms until now.
+// newWithRecentActivity returns a Diagnoser that has observed activity in zones a and b every
+// 50 ms until now.
 func newWithRecentActivity(now timekeeper.Instant) *diagnoser.Diagnoser {
 	d := diagnoser.New()
 	for n := 40; n >= 0; n-- {
@@ -53,9 +53,9 @@
 	return d
 }
 
-// Symptom: callers of a zone that has crashed are sent from one dead target to the next.
-// Sequence: one is found silent, nothing comes from the others. Cause: each target is
-// judged by itself.
+// Guards against sending callers of a crashed zone from one failed target to the next: when one
+// target is found unresponsive and the others show no activity, judging each target alone
+// detects them one by one.
 func TestUnresponsiveTargetMakesItsZoneSuspect(t *testing.T) {
 	crash := start.Add(10 * time.Second)
 	d := newWithRecentActivity(crash)
@@ -70,8 +70,8 @@
 	require.False(t, d.ZoneSuspect("a", detected.Add(100*time.Millisecond)), "any sign of life ends it")
 }
 
-// Symptom: on a quiet evening flows go to other zones for no reason. Sequence: a packet is
-// lost; nothing else happens meanwhile. Cause: silence where nothing was to be heard.
+// Guards against moving flows to other zones for no reason at low load: when a packet is lost
+// and nothing else happens meanwhile, there was no other activity to expect from the zone.
 func TestZoneWithLittleTrafficIsNotSuspect(t *testing.T) {
 	d := diagnoser.New()
 	now := start
--- a/core/estimator/estimator_test.go
+++ b/core/estimator/estimator_test.go
@@ -13,7 +13,8 @@
 
 const start = timekeeper.Instant(time.Minute)
 
-// callAtRate calls do so many times a second for some time, and returns when that ended.
+// callAtRate calls call perSecond times a second for the given duration, and returns the time
+// at which that ends.
 func callAtRate(from timekeeper.Instant, perSecond int, duration time.Duration, call func(now timekeeper.Instant)) timekeeper.Instant {
 	interval := time.Second / time.Duration(perSecond)
 	for now := from; now < from.Add(duration); now = now.Add(interval) {
@@ -22,8 +23,8 @@
 	return from.Add(duration)
 }
 
-// randomLogSlowdown is the logarithm of a time of work: most within a half and twice the usual, and
-// three in a hundred seven times as long.
+// randomLogSlowdown returns the log slowdown of a random request duration: most are between
+// half and twice the baseline, and three in a hundred are seven times as long.
 func randomLogSlowdown(random *rand.Rand) float64 {
 	logSlowdown := 0.47 * random.NormFloat64() / math.Ln2
 	if random.IntN(100) < 3 {
@@ -32,14 +33,14 @@
 	return logSlowdown
 }
 
-// clampLogSlowdown is an excess as Excess gives it.
+// clampLogSlowdown returns a log slowdown as LogSlowdown clamps it.
 func clampLogSlowdown(logSlowdown float64) float64 {
 	return estimator.LogSlowdown(time.Duration(float64(time.Second)*math.Exp2(logSlowdown)), time.Second, 1)
 }
 
-// Symptom: targets that wait in their own queue count as slow, and are shunned for what
-// was sent there. Sequence: four requests are under way at a target with two slots.
-// Cause: an answer that is judged without what came before it.
+// Guards against avoiding targets for their own queue: when four requests are in flight at a
+// target with two slots, the response to the next one must be judged with the wait behind them,
+// or the target counts as slow because of the load that was sent to it.
 func TestQueueingDelayIsNotCountedAsSlowdown(t *testing.T) {
 	require.InDelta(t, 1, estimator.QueueingFactor(0, 2), 0)
 	require.InDelta(t, 1, estimator.QueueingFactor(1, 2), 0)
@@ -48,8 +49,9 @@
 	require.InDelta(t, 2.32, estimator.LogSlowdown(250*time.Millisecond, 50*time.Millisecond, 1), 0.01)
 }
 
-// Symptom: targets that work as usual get fewer flows. Sequence: times of work spread, and
-// some are seven times as long. Cause: few samples that are believed at once.
+// Guards against fewer flows for targets at normal speed: when request durations vary and some
+// are seven times as long, an estimate that relies on a few samples takes such a target for
+// slow.
 func TestLatencyVarianceDoesNotMarkTargetsSlow(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	slow, checks := 0, 0
@@ -67,8 +69,9 @@
 	require.Less(t, float64(slow)/float64(checks), 0.01)
 }
 
-// Symptom: every host has to find out for itself. Sequence: a target takes five times as
-// long; each of twelve hosts meets it once a second. Cause: what hosts keep to themselves.
+// Guards against each host having to detect a slow target alone: when a target takes five times
+// as long and each of twelve hosts sends it one request a second, hosts that do not share their
+// samples detect it late.
 func TestHostsDetectSlowTargetFromSharedReports(t *testing.T) {
 	random := rand.New(rand.NewPCG(2, 2))
 	hosts := make([]estimator.Target, 12)
@@ -92,8 +95,8 @@
 	}
 }
 
-// Symptom: a target looks ever slower the longer others speak of it. Sequence: a host tells
-// the same samples in each of its reports. Cause: what is told again is added up.
+// Guards against a slowdown that grows with each report: when a host sends the same samples in
+// each of its reports, adding them up makes the target look slower and slower.
 func TestRepeatedReportIsCountedOnce(t *testing.T) {
 	var one estimator.Target
 	report := estimator.SlowdownReport{LogSlowdownEighths: 16, Samples: 2}
@@ -105,9 +108,10 @@
 	require.Zero(t, own)
 }
 
-// Symptom: a host whose link is full, or that is short of processor time, makes its whole
-// zone avoid targets that work; so does work that became heavier. Sequence: all answers of
-// a host take three times as long. Cause: lateness that is blamed on whoever was asked.
+// Guards against blaming targets for a slow host or for requests that have become more
+// expensive: when a host's link is congested or it lacks processor time, all its responses take
+// three times as long, and its reports must not make the whole zone avoid targets that work
+// normally.
 func TestSlowdownOfAllTargetsMarksNoneSlow(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 3))
 	var zone estimator.Zone
@@ -132,9 +136,9 @@
 	require.InDelta(t, math.Log2(3)-0.5, zone.LogSlowdown(), 0.6)
 }
 
-// Symptom: a zone whose targets are all slow keeps its callers. Sequence: all answers of a
-// zone take six times as long; a host gets 45 of them a second. Cause: each target is
-// compared with its equally slow neighbours.
+// Guards against a zone of slow targets keeping its callers: when all responses of a zone take
+// six times as long, comparing each target with its equally slow neighbors shows nothing. A
+// host gets 45 responses a second here.
 func TestSlowZoneIsDetectedWithinHalfASecond(t *testing.T) {
 	random := rand.New(rand.NewPCG(4, 4))
 	var zone estimator.Zone
@@ -148,8 +152,9 @@
 	require.Zero(t, zone.LogSlowdown(), "a zone of which nothing is heard gets another chance")
 }
 
-// Symptom: half of the targets are slow, and callers leave for another zone, where bytes
-// are dear. Sequence: each second answer takes five times as long. Cause: a mean of all.
+// Guards against sending callers to another zone, where traffic is expensive, because half of
+// the targets are slow: when every second response takes five times as long, a mean over all
+// responses makes the zone look slow.
 func TestHalfSlowTargetsDoNotMakeZoneSlow(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 5))
 	var zone estimator.Zone
@@ -165,8 +170,8 @@
 	require.Less(t, float64(slow)/float64(checks), 0.01)
 }
 
-// Symptom: callers wait at a target that hangs until their deadlines. Sequence: it gives
-// no answers any more. Cause: only answers count.
+// Guards against callers waiting until their deadlines at a target that hangs: when it sends no
+// responses any more, an estimate that only counts responses does not change.
 func TestPendingRequestsCountBeforeTheirResponses(t *testing.T) {
 	var one estimator.Target
 	var zone estimator.Zone
@@ -184,9 +189,9 @@
 	require.Less(t, all, 3.0, "a request counts once")
 }
 
-// Symptom: a target that is quick again idles for many seconds. Sequence: it was slow and
-// has no open flows left; the zone's hosts send trials only. Cause: a slow target gets no
-// flows, so nobody learns that it is quick.
+// Guards against a recovered target that stays idle for many seconds: when a slow target has no
+// open flows left, it gets no requests that could show its recovery. The hosts of the zone send
+// it trial requests only.
 func TestTrialsDetectRecoveredTarget(t *testing.T) {
 	var one estimator.Target
 	random := rand.New(rand.NewPCG(6, 6))
@@ -214,8 +219,8 @@
 	require.False(t, one.Slow())
 }
 
-// Symptom: a slow target gets a queue of trials. Sequence: the hosts of a large zone learn
-// of it in one moment. Cause: trials whose number grows with the hosts.
+// Guards against a queue of trial requests at a slow target: when all hosts of a large zone
+// detect it at once, the number of trials must not grow with the number of hosts.
 func TestTrialRateIsBoundedAcrossHosts(t *testing.T) {
 	random := rand.New(rand.NewPCG(7, 7))
 	hosts := make([]estimator.Target, 100)
@@ -240,8 +245,8 @@
 	require.InDelta(t, 120, trials, 40)
 }
 
-// Symptom: many slow targets take a large part of the callers for trials. Sequence: all
-// targets of a zone are due. Cause: a bound for each target only.
+// Guards against many slow targets taking a large fraction of the callers for trials: when
+// trials are due at all targets of a zone, a limit for each target alone is not enough.
 func TestAtMostOneInSixteenFlowsIsATrial(t *testing.T) {
 	var trials estimator.TrialLimiter
 	count := 0
@@ -253,8 +258,8 @@
 	require.Equal(t, 10, count)
 }
 
-// Symptom: a target that fails its work looks like the quickest. Sequence: it answers two
-// requests in less time than work takes. Cause: only speed counts.
+// Guards against preferring a target that fails its requests: when it responds to two requests
+// in less time than processing takes, it looks like the fastest target if only speed counts.
 func TestTwoFastFailuresReachThreshold(t *testing.T) {
 	require.True(t, estimator.ImplausiblyFast(10*time.Millisecond, 50*time.Millisecond))
 	require.False(t, estimator.ImplausiblyFast(20*time.Millisecond, 50*time.Millisecond))
--- a/core/estimator/fast_failure_reports_internal_test.go
+++ b/core/estimator/fast_failure_reports_internal_test.go
@@ -10,9 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: memory grows with hosts times targets. Sequence: each host of a large zone
-// says at times that a target's answers come too quickly. Cause: a report of each is kept.
-// Two of them are as good as all, since nobody asks for more than two.
+// Guards against memory that grows with hosts times targets: when each host of a large zone
+// occasionally reports fast failures of a target, a report of each host would be kept. Two
+// reports are enough, since no decision depends on more than two.
 func TestBoundedFastFailureReportsMatchUnboundedCount(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	var reports fastFailureReports
--- a/core/estimator/simulation_test.go
+++ b/core/estimator/simulation_test.go
@@ -14,12 +14,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// scenario is hosts of a zone before targets, half of which turn slow after two seconds.
-// Each host meets each target once a second, as in a large fleet. What it knows of the
-// others is a quarter of a second old, and comes from a few of them.
+// scenario describes hosts that send requests to the targets of a zone, half of which become
+// slow after two seconds. Each host sends each target one request a second, as in a large
+// fleet. Its data from other hosts is a quarter of a second old, and comes from a few of them.
 type scenario struct {
 	hosts, targets, slots int
-	// requestsPerSecond is how many requests a second come for each target.
+	// requestsPerSecond is how many requests arrive per second for each target.
 	requestsPerSecond float64
 	slowdown          float64
 	slowFrom          time.Duration
@@ -33,7 +33,7 @@
 	reportFanout   = 3
 )
 
-// ranker is a way to place requests. rank is less for a better target.
+// ranker is a strategy for placing requests. rank is lower for a better target.
 type ranker interface {
 	rank(host, target int) float64
 	onPlaced(host, target int)
@@ -46,7 +46,7 @@
 	host, target int
 	startedAt    timekeeper.Instant
 	inFlight     int
-	// service is 0 for the arrival of a request, else its answer.
+	// serviceTime is 0 for the arrival of a request; otherwise the event is its response.
 	serviceTime time.Duration
 }
 
@@ -62,11 +62,13 @@
 	return last
 }
 
-// result is what callers saw while targets were slow, and how work was spread.
+// result holds the latencies of callers while targets are slow, and the distribution of
+// requests.
 type result struct {
 	latencies []time.Duration
-	// slowRequests and quick count the requests that went to slow and quick targets while some
-	// were slow, back those that the slow ones got from two seconds after that.
+	// slowRequests and fastRequests count the requests to slow and fast targets while some are
+	// slow. requestsAfterRecovery counts all requests from two seconds after their recovery,
+	// and recoveredRequests those of them that went to the recovered targets.
 	slowRequests, fastRequests               int
 	recoveredRequests, requestsAfterRecovery int
 }
@@ -76,7 +78,8 @@
 	return o.latencies[int(q*float64(len(o.latencies)-1))]
 }
 
-// simulate lets requests come. counts is the view of requests under way that rankers share.
+// simulate runs the scenario. counts holds the numbers of requests in flight that rankers
+// share.
 func (l scenario) simulate(newRanker func(l scenario, counts *inFlightCounts, random *rand.Rand) ranker) result {
 	random := rand.New(rand.NewPCG(7, 7))
 	c := newInFlightCounts(l.hosts, l.targets)
@@ -86,7 +89,7 @@
 	queue := &eventQueue{}
 	rate := l.requestsPerSecond * float64(l.targets)
 	heap.Push(queue, event{at: 1})
-	// Hosts tell others in turn, each once in a reportInterval.
+	// In each reportInterval every host reports to others once, in turn.
 	tickInterval := reportInterval / time.Duration(l.hosts)
 	nextTick := timekeeper.Instant(tickInterval)
 	reporter := 0
@@ -161,7 +164,7 @@
 	}
 }
 
-// newSlots is when each slot of each target is free.
+// newSlots returns the time at which each slot of each target is free.
 func newSlots(n, slots int) [][]timekeeper.Instant {
 	all := make([][]timekeeper.Instant, n)
 	for i := range all {
@@ -170,8 +173,8 @@
 	return all
 }
 
-// inFlightCounts is what each host knows of requests under way: its own, and what others told
-// it of late.
+// inFlightCounts holds, for each host, the numbers of requests in flight: its own, and those
+// that other hosts reported recently.
 type inFlightCounts struct {
 	local    [][]int
 	remote   [][]int
@@ -193,10 +196,10 @@
 	return c
 }
 
-// countTTL is how long counts that were told hold.
+// countTTL is how long reported counts are used.
 const countTTL = 600 * time.Millisecond
 
-// report lets one host tell another its counts.
+// report sends the counts of one host to another.
 func (c *inFlightCounts) report(from, to int, now timekeeper.Instant) {
 	if from == to {
 		return
@@ -215,7 +218,7 @@
 	delete(c.reported[to], from)
 }
 
-// expire drops what a host was told too long ago.
+// expire drops reported counts that are older than countTTL.
 func (c *inFlightCounts) expire(host int, now timekeeper.Instant) {
 	for from, one := range c.reported[host] {
 		if now.Since(one.at) > countTTL {
@@ -232,7 +235,7 @@
 	return float64(c.total(host, target)) / float64(slots)
 }
 
-// leastRequests places by requests under way.
+// leastRequests ranks targets by requests in flight per slot.
 type leastRequests struct {
 	*inFlightCounts
 	slots int
@@ -243,12 +246,12 @@
 func (r *leastRequests) onResponse(int, int, int, time.Duration, timekeeper.Instant) {}
 func (r *leastRequests) report(int, int, timekeeper.Instant)                         {}
 
-// latencyEWMA is each host's own moving mean of answer times.
+// latencyEWMA is a moving average of response times that each host keeps by itself.
 type latencyEWMA struct {
 	leastRequests
 	mean [][]float64
 	last [][]timekeeper.Instant
-	// trackPeaks lets a time above the mean replace it.
+	// trackPeaks makes a response time above the average replace it.
 	trackPeaks bool
 }
 
@@ -272,12 +275,14 @@
 	*mean = kept**mean + (1-kept)*elapsed.Seconds()
 }
 
-// peakEWMA is the mean that follows peaks at once, times a host's own requests.
+// peakEWMA ranks by the average that follows peaks at once, times the host's own requests in
+// flight.
 type peakEWMA struct{ *latencyEWMA }
 
 func (r peakEWMA) rank(h, t int) float64 { return r.mean[h][t] * float64(r.local[h][t]+1) }
 
-// c3 is the time of an answer and the cube of the queue, times the time of work.
+// c3 ranks by the response time, with the service time weighted by the cube of the queue
+// length.
 type c3 struct {
 	*latencyEWMA
 	hosts int
@@ -289,7 +294,8 @@
 	return r.mean[h][t] - service + q*q*q*service
 }
 
-// prequal takes the quickest of a few targets that are not among the busiest quarter.
+// prequal selects the target with the lowest latency out of a few random ones, avoiding those
+// in the quarter with the most load.
 type prequal struct {
 	*latencyEWMA
 	random       *rand.Rand
@@ -321,7 +327,7 @@
 
 func (r *prequal) onPlaced(int, int) { clear(r.sampled) }
 
-// slowdownRanker is what this package does.
+// slowdownRanker is the strategy of package estimator.
 type slowdownRanker struct {
 	leastRequests
 	targets      [][]estimator.Target
@@ -369,7 +375,8 @@
 	}
 }
 
-// report lets one host tell another how fast targets are, and grow older itself.
+// report reports the slowdowns of targets from one host to another, and refreshes those of the
+// sender.
 func (r *slowdownRanker) report(from, to int, now timekeeper.Instant) {
 	r.now = now
 	reported := 0
@@ -385,8 +392,8 @@
 	}
 }
 
-// halfSlow is 20 targets of which each second one takes five times as long for four
-// seconds. Two thirds of what all can do then are asked for.
+// halfSlow has 20 targets, of which every second one takes five times as long for four seconds.
+// Callers demand two thirds of the capacity that remains then.
 func halfSlow(hosts int) scenario {
 	return scenario{
 		hosts: hosts, targets: 20, slots: hosts/8 + 1, requestsPerSecond: float64(hosts), slowdown: 5,
@@ -394,9 +401,9 @@
 	}
 }
 
-// Symptom: callers wait at targets that take five times as long, while others idle.
-// Sequence: half of the targets of a zone turn slow; each host meets each of them once a
-// second. Cause: a target that does a fifth of the work gets half of it.
+// Guards against callers waiting at slow targets while others are idle: when half of the
+// targets of a zone start to take five times as long, and each host sends each of them one
+// request a second, targets with a fifth of the throughput must not get half of the requests.
 func TestSlowTargetsGetLoadByTheirCapacity(t *testing.T) {
 	strategies := []struct {
 		name string
@@ -430,9 +437,9 @@
 	}
 }
 
-// Symptom: all of the work goes to the quick half, which then is as late as the slow one.
-// Sequence: half of the targets turn slow, and callers ask for a little more than both
-// halves together can do. Cause: targets that are slow get nothing but trials.
+// Guards against overloading the fast half of the targets, which would then be as late as the
+// slow half: when half of the targets become slow and callers demand a little more than all of
+// them can serve, slow targets must get more than trials.
 func TestSlowTargetsTakeOverflowWhenFastOnesAreSaturated(t *testing.T) {
 	l := halfSlow(35)
 	l.requestsPerSecond *= 1.7
