--- a/core/estimator/estimator_test.go
+++ b/core/estimator/estimator_test.go
@@ -190,8 +190,7 @@
 }
 
 // Guards against a recovered target that stays idle for many seconds: when a slow target has no
-// open flows left, it gets no requests that could show its recovery. The hosts of the zone send
-// it trial requests only.
+// open flows left, only the trial requests of the zone's hosts can show that it has recovered.
 func TestTrialsDetectRecoveredTarget(t *testing.T) {
 	var one estimator.Target
 	random := rand.New(rand.NewPCG(6, 6))
--- a/core/evacuator/evacuator_test.go
+++ b/core/evacuator/evacuator_test.go
@@ -25,9 +25,10 @@
 	// [{pa-hall false}] false
 }
 
-// Symptom: a zone that was taken back gets no flows, or one that is evacuated gets some.
-// Sequence: an order is given, taken back and given again; a host that was cut off
-// tells one of the earlier states. Cause: the last that was heard holds, not the newest.
+// Guards against obsolete orders: when an order is issued, withdrawn and reissued, and a host
+// that was isolated reports one of the earlier states, the latest state must apply rather than
+// the last one received. Otherwise a zone whose order was withdrawn gets no flows, or an
+// evacuated zone gets some.
 func TestOlderOrdersAreIgnored(t *testing.T) {
 	e := evacuator.New()
 	issued := evacuator.Orders{}.WithZone("a", 5)
@@ -56,8 +57,8 @@
 	require.False(t, ok, "an order that is given again ends the memory of the one before")
 }
 
-// Any host that has heard the newest state, from whomever and in whatever order, obeys
-// exactly the orders that an oracle lists: the operators' own sequence.
+// Whichever hosts it receives the states from and in whatever order, a host with the latest
+// state applies exactly the orders of the oracle, which follows the sequence of the operators.
 func TestOrdersAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones := []string{"a", "b", "c"}
@@ -89,9 +90,9 @@
 	})
 }
 
-// Symptom: new flows go into a zone that is about to fail. Sequence: an order is given; the
-// platform is restored from a copy that lacks it; the order is given again, or not.
-// Cause: an order that ends though nobody has taken it back.
+// Guards against new flows to a zone that is about to fail: when the platform is restored from
+// a backup that lacks an order, the order must not end before it could be reissued, since the
+// operators have not withdrawn it.
 func TestOrdersLostInRestoreAreRetainedForGracePeriod(t *testing.T) {
 	e := evacuator.New()
 	given := evacuator.Orders{Position: sequencer.At(3, 500)}.WithZone("a", 501).WithZone("b", 502)
@@ -109,8 +110,9 @@
 	require.True(t, lifted)
 }
 
-// Symptom: an order ends that nobody has taken back. Sequence: word comes of a new era, with
-// no revision. Cause: 0 of a later era is after all of the earlier.
+// Guards against ending an order that the operators have not withdrawn: when a host receives
+// orders of a new era without a revision, revision 0 of the later era counts as after all
+// revisions of the earlier.
 func TestOrdersWithoutRevisionAreIgnored(t *testing.T) {
 	e := evacuator.New()
 	given := evacuator.Orders{Position: sequencer.At(3, 500)}.WithZone("a", 501)
@@ -119,9 +121,8 @@
 	require.Equal(t, given, e.Orders())
 }
 
-// Symptom: an order that two restores in a row have undone ends before operators could give
-// it again. Sequence: the second restore comes two seconds after the first. Cause: a time
-// that runs from the first.
+// Guards against ending an order before operators could reissue it: when a second restore
+// follows the first within two seconds, a grace period that runs from the first is too short.
 func TestSecondRestoreRestartsGracePeriod(t *testing.T) {
 	e := evacuator.New()
 	e.Apply(evacuator.Orders{Position: sequencer.At(3, 500)}.WithZone("a", 501), start)
--- a/core/placer/placer_test.go
+++ b/core/placer/placer_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// A new target of 15 should take a fifteenth of the slots; the exact shares cost
-// somewhat more moves than that.
+// A 15th target should get a fifteenth of the entries. The exact fractions cost somewhat more
+// moves than that.
 func TestAddedTargetMovesFewEntries(t *testing.T) {
 	before, after := firstCandidates(placer.NewLookupTable(candidates(14))), firstCandidates(placer.NewLookupTable(candidates(15)))
 	moved := 0
--- a/core/sequencer/sequencer_test.go
+++ b/core/sequencer/sequencer_test.go
@@ -19,7 +19,8 @@
 	// 3/500 500
 }
 
-// Positions are ordered like pairs, and only those of one era continue each other.
+// Positions are ordered as pairs of an era and a revision, and only positions of one era
+// continue from each other.
 func TestPositionsOrderByEraThenRevision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		small := rapid.Uint64Range(0, 4)
--- a/core/warmer/simulation_test.go
+++ b/core/warmer/simulation_test.go
@@ -12,14 +12,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The ways that were weighed to keep a zone's hosts under what its cold targets bear.
-// Each is asked whether a host may place a flow on a target, and told that it has.
+// strategy is one of the evaluated ways to keep the hosts of a zone within the rate that its
+// cold targets sustain. admits reports whether a host may place a flow on a target, and placed
+// records that it has.
 type strategy interface {
 	admits(host, target int, now timekeeper.Instant) bool
 	placed(host, target int, now timekeeper.Instant)
 }
 
-// tickets is package warmer.
+// tickets is the strategy of package warmer.
 type tickets struct {
 	limit warmer.RateLimit
 	hosts []*warmer.Warmer
@@ -33,11 +34,11 @@
 	w.hosts[host].RecordPlacement(fmt.Sprint(target), w.limit, now)
 }
 
-// equalShares gives each host its part of the bound, in a bucket that holds one flow: by how
-// many hosts live as far as it knows.
+// equalShares gives each host an equal share of the rate limit, in a token bucket that holds
+// one flow. A host divides by the number of hosts that are alive in its view.
 type equalShares struct {
 	limit warmer.RateLimit
-	// knownHosts is how many hosts each host counts.
+	// knownHosts is the number of hosts that each host counts.
 	knownHosts []int
 	nextFlowAt map[[2]int]timekeeper.Instant
 }
@@ -51,12 +52,12 @@
 	w.nextFlowAt[[2]int{host, target}] = now.Add(time.Duration(pause))
 }
 
-// reportedCounts has each host add up what the others have reported, a report ago.
+// reportedCounts has each host add up the placements that the others have reported.
 type reportedCounts struct {
 	limit warmer.RateLimit
-	// reportDelay is how old what others report is.
+	// reportDelay is the age of the reported data.
 	reportDelay time.Duration
-	// hears says which hosts hear each other.
+	// hears reports whether two hosts receive each other's reports.
 	hears      func(x, y int) bool
 	placements map[int][]placement
 }
@@ -81,25 +82,25 @@
 	w.placements[target] = append(w.placements[target], placement{host, now})
 }
 
-// scenario is a zone's hosts and cold targets, and what hosts know of each other.
+// scenario describes the hosts and cold targets of a zone, and which hosts know each other.
 type scenario struct {
 	hosts, targets int
 	limitPerSecond float64
-	// flowsPerSecond is how many new flows a second come to the whole zone.
+	// flowsPerSecond is the number of new flows per second of the whole zone.
 	flowsPerSecond float64
-	// partitioned says that hosts with even and odd numbers do not hear each other.
+	// partitioned says that hosts with even and odd numbers are partitioned from each other.
 	partitioned bool
-	// knownShare is the part of the hosts that each host has heard of.
+	// knownShare is the fraction of the hosts that each host has learned of.
 	knownShare float64
 }
 
 type result struct {
-	admittedPerSecond float64 // A second, by all targets.
-	maxInOneSecond    int     // In any second, at any target.
+	admittedPerSecond float64 // Per second, over all targets.
+	maxInOneSecond    int     // Maximum over all targets and all intervals of one second.
 }
 
-// simulate lets flows come for some seconds. Each goes to the admitted target that has had
-// the fewest from its host.
+// simulate runs two seconds of arriving flows. Each flow goes to the first admitted target in a
+// random order.
 func (z scenario) simulate(w strategy, seed uint64) result {
 	random := rand.New(rand.NewPCG(seed, 1))
 	const duration = 2 * time.Second
@@ -134,11 +135,12 @@
 
 func (z scenario) name(i int) string { return fmt.Sprintf("a%d", i) }
 
-// hears reports whether one host knows of another.
+// hears reports whether one host receives the reports of another.
 func (z scenario) hears(x, y int) bool { return !z.partitioned || x%2 == y%2 }
 
-// strategies makes all ways for a zone. With tickets hosts remember who was there before a
-// split; the other two count who lives.
+// strategies returns all strategies for a scenario. With tickets, hosts count those that they
+// learned of before a partition; with the other two, they consider only those that are alive in
+// their view.
 func (z scenario) strategies(seed uint64) map[string]strategy {
 	random := rand.New(rand.NewPCG(seed, 2))
 	byTickets := &tickets{limit: z.limit()}
@@ -166,13 +168,13 @@
 	}
 }
 
-// Symptom: cold targets get more than they bear and fall over; one request in a hundred
-// fails. Sequence: a zone's targets come back cold and idle, and all hosts of the zone
-// place their flows on them. Cause: nobody knows what the others place.
+// Guards against overloading cold targets, where one request in a hundred then fails: when the
+// targets of a zone return cold and idle, all hosts of the zone place their flows on them, and
+// no host sees what the others place.
 //
-// Grounds of the figures: a zone has a third of a fleet's hosts, so 3, 30 and 100; as
-// many cold targets as a zone of that size has; what targets are said to bear; eight
-// new flows a second come to each host, as callers with a flow for each request make.
+// The parameters: a zone has a third of the hosts of a fleet, so 3, 30 and 100; twice as many
+// cold targets as hosts, as in a zone of that size; rate limits as in settings; eight new flows
+// per second for each host, as with callers that open a flow for each request.
 func TestOnlyTicketsStayWithinColdTargetRateLimit(t *testing.T) {
 	violations := map[string]int{}
 	for _, hosts := range []int{3, 30, 100} {
--- a/core/warmer/warmer_test.go
+++ b/core/warmer/warmer_test.go
@@ -21,8 +21,8 @@
 	// {4 111.111111ms}
 }
 
-// Whatever the bound, two sets of holders that all place as often as they may stay
-// within it in any second, and within what a target bears for long.
+// Whatever the rate limit, two sets of holders that place flows as often as they may stay
+// within it in any second, and one set stays within the sustained rate.
 func TestTwoSetsOfHoldersStayWithinRateLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := warmer.RateLimit{
@@ -45,9 +45,9 @@
 	}
 }
 
-// Symptom: cold targets get many times what they bear just after all hosts were lost.
-// Sequence: all hosts start at once, targets are cold. Cause: each host has heard of
-// nobody yet and takes itself for the only one.
+// Guards against exceeding the rate limit of cold targets after all hosts were lost: when all
+// hosts start at once, none has learned of the others yet, and each would consider itself the
+// only host.
 func TestHostHoldsNoTicketsDuringDiscoveryPeriod(t *testing.T) {
 	w := warmer.New("a1", start)
 	b := warmer.RateLimit{PerSecond: 12, BurstFactor: 1.5, BurstAllowance: 5}
