--- a/core/messenger/message.go
+++ b/core/messenger/message.go
@@ -93,7 +93,7 @@
 	Host        string `cbor:"host"`
 	Incarnation uint64 `cbor:"inc"`
 	// Refutations counts how often the host has refuted a report that it is suspect or dead. It
-	// does not tell whether the host has kept its state; Incarnation does.
+	// says nothing about whether the host still has its state.
 	Refutations uint64   `cbor:"ref,omitempty"`
 	Liveness    Liveness `cbor:"live"`
 	Phase       Phase    `cbor:"phase"`
