--- a/core/admitter/admitter_test.go
+++ b/core/admitter/admitter_test.go
@@ -83,12 +83,12 @@
 	demand.New[2] = 150
 	a := overloadedAdmitter(100, demand)
 	ratio := a.AdmitRatio(2)
-	in := 0
+	admitted := 0
 	for n := 1; n <= 300; n++ {
 		if a.Admit(2) {
-			in++
+			admitted++
 		}
-		require.InDelta(t, ratio*float64(n), float64(in), 1)
+		require.InDelta(t, ratio*float64(n), float64(admitted), 1)
 	}
 }
 
@@ -167,8 +167,8 @@
 	now := timekeeper.Instant(time.Millisecond)
 	for range 200 {
 		a := admitter.New()
-		view := admitter.ServiceState{Capacity: 1, ZoneHosts: 1, HasPeerReports: true}
-		a.Assess(0, view)
+		state := admitter.ServiceState{Capacity: 1, ZoneHosts: 1, HasPeerReports: true}
+		a.Assess(0, state)
 		for i := range 12 {
 			var d admitter.Demand
 			d.New[0] = 0.1 * float64(i*i+1) / 3
@@ -176,7 +176,7 @@
 			a.ApplyZoneReport(string(rune('a'+i)), d, now)
 		}
 		hosts[a.ZoneDemand(now).New[0]]++
-		a.Assess(now, view)
+		a.Assess(now, state)
 		zones[a.Demand().New[0]]++
 	}
 	require.Len(t, hosts, 1)
--- a/core/admitter/demand.go
+++ b/core/admitter/demand.go
@@ -60,18 +60,18 @@
 // depend on it.
 type fixedPointSum struct{ open, new [PriorityLevels]int64 }
 
-func (t *fixedPointSum) add(d *Demand) {
+func (s *fixedPointSum) add(d *Demand) {
 	for i := range PriorityLevels {
-		t.open[i] += int64(d.Open[i] * fixedPointScale)
-		t.new[i] += int64(d.New[i] * fixedPointScale)
+		s.open[i] += int64(d.Open[i] * fixedPointScale)
+		s.new[i] += int64(d.New[i] * fixedPointScale)
 	}
 }
 
-func (t *fixedPointSum) demand() Demand {
+func (s *fixedPointSum) demand() Demand {
 	var d Demand
 	for i := range PriorityLevels {
-		d.Open[i] = float64(t.open[i]) / fixedPointScale
-		d.New[i] = float64(t.new[i]) / fixedPointScale
+		d.Open[i] = float64(s.open[i]) / fixedPointScale
+		d.New[i] = float64(s.new[i]) / fixedPointScale
 	}
 	return d
 }
--- a/core/admitter/simulation_test.go
+++ b/core/admitter/simulation_test.go
@@ -59,7 +59,7 @@
 
 type message struct {
 	deliverAt timekeeper.Instant
-	do        func(now timekeeper.Instant)
+	apply     func(now timekeeper.Instant)
 }
 
 func newFleet(capacity float64, zones, hosts int) *fleet {
@@ -152,17 +152,17 @@
 	}
 }
 
-func (f *fleet) send(do func(now timekeeper.Instant)) {
+func (f *fleet) send(apply func(now timekeeper.Instant)) {
 	if f.random.Float64() >= f.lossRate {
-		f.pendingMessages = append(f.pendingMessages, message{deliverAt: f.now.Add(f.reportDelay), do: do})
+		f.pendingMessages = append(f.pendingMessages, message{deliverAt: f.now.Add(f.reportDelay), apply: apply})
 	}
 }
 
 func (f *fleet) deliver() {
-	f.pendingMessages = slices.DeleteFunc(f.pendingMessages, func(l message) bool {
-		due := l.deliverAt.Passed(f.now)
+	f.pendingMessages = slices.DeleteFunc(f.pendingMessages, func(m message) bool {
+		due := m.deliverAt.Passed(f.now)
 		if due {
-			l.do(f.now)
+			m.apply(f.now)
 		}
 		return due
 	})
@@ -172,17 +172,17 @@
 func (f *fleet) report() {
 	for _, z := range f.zones {
 		for i, a := range z.hosts {
-			own, all := a.LocalDemand(f.now), a.ZoneDemand(f.now)
+			local, total := a.LocalDemand(f.now), a.ZoneDemand(f.now)
 			name := z.name + string(rune('0'+i))
 			for _, at := range f.random.Perm(len(z.hosts))[:f.reportFanout(z)] {
 				if to := z.hosts[at]; to != a {
-					f.send(func(now timekeeper.Instant) { to.ApplyHostReport(name, own, now) })
+					f.send(func(now timekeeper.Instant) { to.ApplyHostReport(name, local, now) })
 				}
 			}
 			for _, other := range f.zones {
 				if other != z && !z.partitioned && !other.partitioned {
 					to := other.hosts[f.random.IntN(len(other.hosts))]
-					f.send(func(now timekeeper.Instant) { to.ApplyZoneReport(z.name, all, now) })
+					f.send(func(now timekeeper.Instant) { to.ApplyZoneReport(z.name, total, now) })
 				}
 			}
 		}
--- a/core/encoder/encoder_test.go
+++ b/core/encoder/encoder_test.go
@@ -188,7 +188,7 @@
 func TestTargetsAreCompatibleWithPreviousRelease(t *testing.T) {
 	address := netip.MustParseAddrPort("10.2.0.1:80")
 	earlier := []previousReleaseTarget{{ID: "i-0a", Seen: 9, Service: "ledger", Address: address, Slots: 4, Draining: true, Born: 7, Unreadable: true}}
-	current := []messenger.TargetState{{ID: "i-0a", Revision: 9, Service: "ledger", Address: address, Slots: 4, Draining: true, Incarnation: 7, Unreadable: true}}
+	current := []messenger.TargetState{{ID: "i-0a", Revision: 9, Service: "ledger", Address: address, Slots: 4, Draining: true, Incarnation: 7, Malformed: true}}
 
 	old, err := cbor.Marshal(earlier)
 	require.NoError(t, err)
--- a/core/estimator/estimator_test.go
+++ b/core/estimator/estimator_test.go
@@ -201,12 +201,12 @@
 	require.True(t, one.Slow())
 	one.ScheduleTrial(1, 0.5, now)
 	trials := 0
-	runTrial := func(excess float64) func(now timekeeper.Instant) {
+	runTrial := func(logSlowdown float64) func(now timekeeper.Instant) {
 		return func(now timekeeper.Instant) {
 			if one.TrialDue(now) {
 				trials++
 				one.ScheduleTrial(1, 0.5, now)
-				one.Observe(excess, now)
+				one.Observe(logSlowdown, now)
 			}
 			one.Refresh(now)
 		}
--- a/core/estimator/simulation_test.go
+++ b/core/estimator/simulation_test.go
@@ -84,7 +84,7 @@
 	random := rand.New(rand.NewPCG(7, 7))
 	c := newInFlightCounts(l.hosts, l.targets)
 	r := newRanker(l, c, random)
-	slotFreeAt := newSlots(l.targets, l.slots)
+	slotFreeAt := newSlotFreeTimes(l.targets, l.slots)
 	var o result
 	queue := &eventQueue{}
 	rate := l.requestsPerSecond * float64(l.targets)
@@ -109,7 +109,7 @@
 		if e.serviceTime > 0 {
 			c.local[e.host][e.target]--
 			r.onResponse(e.host, e.target, e.inFlight, e.at.Since(e.startedAt), e.at)
-			if began := time.Duration(e.startedAt); began > l.slowFrom+500*time.Millisecond && began < l.slowUntil {
+			if startedAt := time.Duration(e.startedAt); startedAt > l.slowFrom+500*time.Millisecond && startedAt < l.slowUntil {
 				o.latencies = append(o.latencies, e.at.Since(e.startedAt))
 			}
 			continue
@@ -140,23 +140,23 @@
 				slot = i
 			}
 		}
-		underWay := c.total(host, best)
+		inFlight := c.total(host, best)
 		c.local[host][best]++
 		slotFreeAt[best][slot] = max(slotFreeAt[best][slot], e.at).Add(service)
-		heap.Push(queue, event{at: slotFreeAt[best][slot], host: host, target: best, startedAt: e.at, inFlight: underWay, serviceTime: service})
+		heap.Push(queue, event{at: slotFreeAt[best][slot], host: host, target: best, startedAt: e.at, inFlight: inFlight, serviceTime: service})
 	}
 	return o
 }
 
 func (o *result) count(l scenario, at timekeeper.Instant, target int) {
-	switch begun := time.Duration(at); {
-	case begun >= l.slowFrom+time.Second && begun < l.slowUntil:
+	switch startedAt := time.Duration(at); {
+	case startedAt >= l.slowFrom+time.Second && startedAt < l.slowUntil:
 		if target%2 == 0 {
 			o.slowRequests++
 		} else {
 			o.fastRequests++
 		}
-	case begun >= l.slowUntil+2*time.Second:
+	case startedAt >= l.slowUntil+2*time.Second:
 		o.requestsAfterRecovery++
 		if target%2 == 0 {
 			o.recoveredRequests++
@@ -164,8 +164,8 @@
 	}
 }
 
-// newSlots returns the time at which each slot of each target is free.
-func newSlots(n, slots int) [][]timekeeper.Instant {
+// newSlotFreeTimes returns the time at which each slot of each target is free.
+func newSlotFreeTimes(n, slots int) [][]timekeeper.Instant {
 	all := make([][]timekeeper.Instant, n)
 	for i := range all {
 		all[i] = make([]timekeeper.Instant, slots)
@@ -281,14 +281,14 @@
 
 func (r peakEWMA) rank(h, t int) float64 { return r.mean[h][t] * float64(r.local[h][t]+1) }
 
-// c3 ranks by the response time, with the service time weighted by the cube of the queue
+// cubicQueue ranks by the response time, with the service time weighted by the cube of the queue
 // length.
-type c3 struct {
+type cubicQueue struct {
 	*latencyEWMA
 	hosts int
 }
 
-func (r c3) rank(h, t int) float64 {
+func (r cubicQueue) rank(h, t int) float64 {
 	service := r.mean[h][t] / float64(r.slots)
 	q := 1 + float64(r.local[h][t]*r.hosts) + float64(r.remote[h][t])
 	return r.mean[h][t] - service + q*q*q*service
@@ -412,7 +412,7 @@
 		{"requests under way", func(l scenario, c *inFlightCounts, _ *rand.Rand) ranker { return &leastRequests{c, l.slots} }},
 		{"peak EWMA", func(l scenario, c *inFlightCounts, _ *rand.Rand) ranker { return peakEWMA{newLatencyEWMA(l, c, true)} }},
 		{"cubic queue", func(l scenario, c *inFlightCounts, _ *rand.Rand) ranker {
-			return c3{newLatencyEWMA(l, c, false), l.hosts}
+			return cubicQueue{newLatencyEWMA(l, c, false), l.hosts}
 		}},
 		{"hot and cold", func(l scenario, c *inFlightCounts, random *rand.Rand) ranker {
 			return &prequal{latencyEWMA: newLatencyEWMA(l, c, false), random: random, sampled: map[int]bool{}}
--- a/core/evacuator/evacuator_test.go
+++ b/core/evacuator/evacuator_test.go
@@ -32,9 +32,9 @@
 func TestOlderOrdersAreIgnored(t *testing.T) {
 	e := evacuator.New()
 	issued := evacuator.Orders{}.WithZone("a", 5)
-	revoked := issued.WithoutZone("a", 8)
-	again := revoked.WithZone("a", 9)
-	for _, orders := range []evacuator.Orders{issued, again, revoked, issued, {Position: sequencer.At(0, 2)}} {
+	withdrawn := issued.WithoutZone("a", 8)
+	again := withdrawn.WithZone("a", 9)
+	for _, orders := range []evacuator.Orders{issued, again, withdrawn, issued, {Position: sequencer.At(0, 2)}} {
 		e.Apply(orders, start)
 	}
 	require.True(t, e.Evacuates("a"))
--- a/core/limiter/limiter.go
+++ b/core/limiter/limiter.go
@@ -125,8 +125,8 @@
 	partial bool
 	// timedOut says that the host has sent no reports for too long; the number of its flows
 	// decays.
-	timedOut  bool
-	lastHeard timekeeper.Instant
+	timedOut   bool
+	reportedAt timekeeper.Instant
 	// flows is the last reported number of the host's flows by target.
 	flows map[uint32]uint16
 	// previousFlows is the number of flows that the host had before it restarted, as of
@@ -267,19 +267,19 @@
 }
 
 // ApplyReport applies the report of another host.
-func (l *Limiter) ApplyReport(host string, w Report, now timekeeper.Instant) {
+func (l *Limiter) ApplyReport(host string, r Report, now timekeeper.Instant) {
 	h, ok := l.hosts[host]
 	if !ok {
-		h = &remoteHost{incarnation: w.Incarnation, sameZone: w.SameZone, flows: map[uint32]uint16{}, contribution: map[uint32]int{}}
+		h = &remoteHost{incarnation: r.Incarnation, sameZone: r.SameZone, flows: map[uint32]uint16{}, contribution: map[uint32]int{}}
 		l.hosts[host] = h
 		l.adjustReporters(h, 1)
 	}
-	if h.incarnation != w.Incarnation {
+	if h.incarnation != r.Incarnation {
 		l.movePreviousFlows(h)
-		h.incarnation = w.Incarnation
+		h.incarnation = r.Incarnation
 	}
-	l.markHeard(h, w, now)
-	for tag, n := range w.Flows {
+	l.recordReport(h, r, now)
+	for tag, n := range r.Flows {
 		if _, listed := h.flows[tag]; !listed && h.reportsPartially() {
 			l.Target(tag).partialReporters++
 		}
@@ -288,11 +288,11 @@
 	}
 }
 
-// markHeard records that a host has sent a report.
-func (l *Limiter) markHeard(h *remoteHost, w Report, now timekeeper.Instant) {
+// recordReport records that a host has sent a report.
+func (l *Limiter) recordReport(h *remoteHost, r Report, now timekeeper.Instant) {
 	wasTimedOut := h.timedOut
 	l.adjustReporters(h, -1)
-	h.timedOut, h.partial, h.lastHeard = false, w.Partial, now
+	h.timedOut, h.partial, h.reportedAt = false, r.Partial, now
 	l.adjustReporters(h, 1)
 	if !wasTimedOut {
 		return
@@ -303,18 +303,18 @@
 }
 
 // adjustReporters adds a host to the reporters, or removes it.
-func (l *Limiter) adjustReporters(h *remoteHost, by int) {
+func (l *Limiter) adjustReporters(h *remoteHost, delta int) {
 	switch {
 	case !h.sameZone || h.timedOut:
 		return
 	case h.partial:
 		for tag := range h.flows {
-			l.Target(tag).partialReporters += by
+			l.Target(tag).partialReporters += delta
 		}
 	default:
-		l.fullReporters += by
+		l.fullReporters += delta
 	}
-	l.reporters += by
+	l.reporters += delta
 }
 
 // reportsPartially reports whether a host counts as a reporter only for the targets it has listed.
@@ -336,9 +336,9 @@
 	}
 	l.adjustReporters(h, -1)
 	for tag, n := range h.previousFlows {
-		h.flows[tag] = max(h.flows[tag], uint16(l.remaining(int(n), h.previousSince, h.lastHeard)))
+		h.flows[tag] = max(h.flows[tag], uint16(l.remaining(int(n), h.previousSince, h.reportedAt)))
 	}
-	h.previousFlows, h.previousSince = h.flows, h.lastHeard
+	h.previousFlows, h.previousSince = h.flows, h.reportedAt
 	h.flows = map[uint32]uint16{}
 	l.adjustReporters(h, 1)
 }
@@ -347,7 +347,7 @@
 func (l *Limiter) updateContribution(h *remoteHost, tag uint32, now timekeeper.Instant) {
 	reported := int(h.flows[tag])
 	if h.timedOut {
-		reported = l.remaining(reported, h.lastHeard, now)
+		reported = l.remaining(reported, h.reportedAt, now)
 	}
 	n := max(reported, l.remaining(int(h.previousFlows[tag]), h.previousSince, now))
 	l.Target(tag).reported += n - h.contribution[tag]
@@ -361,11 +361,11 @@
 // remaining returns how many of some flows are still open if they were last reported at since:
 // they are assumed to end at a constant rate within the idle timeout.
 func (l *Limiter) remaining(flows int, since, now timekeeper.Instant) int {
-	span := l.idleTimeout - now.Since(since)
-	if flows == 0 || span <= 0 {
+	left := l.idleTimeout - now.Since(since)
+	if flows == 0 || left <= 0 {
 		return 0
 	}
-	return int(float64(flows)*float64(span)/float64(l.idleTimeout) + 0.5)
+	return int(float64(flows)*float64(left)/float64(l.idleTimeout) + 0.5)
 }
 
 // Sweep decays the flows of hosts that have timed out or restarted, and drops hosts whose reports
@@ -373,11 +373,11 @@
 func (l *Limiter) Sweep(now timekeeper.Instant) {
 	timeout := l.hostTimeout()
 	for name, h := range l.hosts {
-		if now.Since(h.lastHeard) > max(l.idleTimeout, timeout) {
+		if now.Since(h.reportedAt) > max(l.idleTimeout, timeout) {
 			l.removeHost(name, h)
 			continue
 		}
-		if h.sameZone && !h.timedOut && now.Since(h.lastHeard) > timeout {
+		if h.sameZone && !h.timedOut && now.Since(h.reportedAt) > timeout {
 			l.adjustReporters(h, -1)
 			h.timedOut = true
 		}
@@ -409,15 +409,15 @@
 
 // EstimateFlows returns this host's estimate of the flows at a target. The parameter bound is the
 // connection limit of the target.
-func (l *Limiter) EstimateFlows(t *TargetFlows, bound int, g UnreportedEstimate, now timekeeper.Instant) FlowEstimate {
+func (l *Limiter) EstimateFlows(t *TargetFlows, maxFlows int, estimate UnreportedEstimate, now timekeeper.Instant) FlowEstimate {
 	b := FlowEstimate{Local: t.local, Reported: t.reported}
 	reporters := l.Reporters(t)
-	unreported := g.PerHost*float64(max(l.peerCount()-reporters, 0)) + g.Growth*float64(reporters)
+	unreported := estimate.PerHost*float64(max(l.peerCount()-reporters, 0)) + estimate.Growth*float64(reporters)
 	b.Estimated = l.estimateForgotten(t, now) + int(unreported+0.5)
-	b.Estimated = max(b.Estimated, g.Min-b.Local-b.Reported)
+	b.Estimated = max(b.Estimated, estimate.Min-b.Local-b.Reported)
 	// No target exceeds its connection limit, so flows reported since then replace unaccounted
 	// ones.
-	unaccounted := min(l.remaining(t.unaccounted, t.unaccountedSince, now), max(bound-b.Total(), 0))
+	unaccounted := min(l.remaining(t.unaccounted, t.unaccountedSince, now), max(maxFlows-b.Total(), 0))
 	if unaccounted == 0 {
 		t.unaccounted = 0
 	}
@@ -436,8 +436,8 @@
 }
 
 // Available returns how many more flows this host may open to a target; 0 if none.
-func (l *Limiter) Available(t *TargetFlows, b FlowLimit, g UnreportedEstimate, now timekeeper.Instant) int {
-	return b.available(l.EstimateFlows(t, b.MaxFlows, g, now).Total())
+func (l *Limiter) Available(t *TargetFlows, b FlowLimit, estimate UnreportedEstimate, now timekeeper.Instant) int {
+	return b.available(l.EstimateFlows(t, b.MaxFlows, estimate, now).Total())
 }
 
 // available returns how many more flows the limit allows beside the given number of flows.
@@ -452,8 +452,8 @@
 // since each host's data on the others is a second old, which shows as opening packets that wait
 // at targets with an estimated one connection left. A connection freed by a local flow is
 // available to this host for one second: no other host knows that it is free.
-func (l *Limiter) Evaluate(t *TargetFlows, tag uint32, b FlowLimit, g UnreportedEstimate, now timekeeper.Instant) (flows int, admits bool) {
-	flows = l.EstimateFlows(t, b.MaxFlows, g, now).Total()
+func (l *Limiter) Evaluate(t *TargetFlows, tag uint32, b FlowLimit, estimate UnreportedEstimate, now timekeeper.Instant) (flows int, admits bool) {
+	flows = l.EstimateFlows(t, b.MaxFlows, estimate, now).Total()
 	return flows, l.admits(t, tag, b.available(flows), b.ShortLived, now)
 }
 
@@ -486,9 +486,9 @@
 
 // MarkFull records that a target has turned out to be full: the difference between its connection
 // limit and the estimate counts as unaccounted flows.
-func (l *Limiter) MarkFull(t *TargetFlows, bound int, g UnreportedEstimate, now timekeeper.Instant) {
+func (l *Limiter) MarkFull(t *TargetFlows, maxFlows int, estimate UnreportedEstimate, now timekeeper.Instant) {
 	t.unaccounted, t.unaccountedSince = 0, now
-	t.unaccounted = max(bound-l.EstimateFlows(t, bound, g, now).Total(), 0)
+	t.unaccounted = max(maxFlows-l.EstimateFlows(t, maxFlows, estimate, now).Total(), 0)
 }
 
 // UsedTargets returns the given targets at which this host has, or has had, flows.
--- a/core/limiter/limiter_test.go
+++ b/core/limiter/limiter_test.go
@@ -110,13 +110,13 @@
 	for range 15 {
 		one.AddOpened(start)
 	}
-	bound := limiter.FlowLimit{MaxFlows: 40}
-	require.Equal(t, 25, l.Available(one, bound, limiter.UnreportedEstimate{}, start))
-	l.MarkFull(one, bound.MaxFlows, limiter.UnreportedEstimate{}, start)
-	require.Zero(t, l.Available(one, bound, limiter.UnreportedEstimate{}, start))
+	limit := limiter.FlowLimit{MaxFlows: 40}
+	require.Equal(t, 25, l.Available(one, limit, limiter.UnreportedEstimate{}, start))
+	l.MarkFull(one, limit.MaxFlows, limiter.UnreportedEstimate{}, start)
+	require.Zero(t, l.Available(one, limit, limiter.UnreportedEstimate{}, start))
 	one.RemoveOpened(start)
-	require.Equal(t, 1, l.Available(one, bound, limiter.UnreportedEstimate{}, start), "a flow that ends leaves a place")
-	require.Equal(t, 11, l.Available(one, bound, limiter.UnreportedEstimate{}, start.Add(idle*2/5)), "those unseen end, too")
+	require.Equal(t, 1, l.Available(one, limit, limiter.UnreportedEstimate{}, start), "a flow that ends leaves a place")
+	require.Equal(t, 11, l.Available(one, limit, limiter.UnreportedEstimate{}, start.Add(idle*2/5)), "those unseen end, too")
 }
 
 func TestSilentPeersAreEstimatedFromReporters(t *testing.T) {
@@ -125,12 +125,12 @@
 	one.AddOpened(start)
 	one.AddOpened(start)
 	l.SetLivePeers(4)
-	guess := limiter.UnreportedEstimate{PerHost: l.PerHost(20, 0, 10, 0)}
-	require.Equal(t, limiter.FlowEstimate{Local: 2, Estimated: 8}, l.EstimateFlows(one, 40, guess, start.Add(idle)))
+	estimate := limiter.UnreportedEstimate{PerHost: l.PerHost(20, 0, 10, 0)}
+	require.Equal(t, limiter.FlowEstimate{Local: 2, Estimated: 8}, l.EstimateFlows(one, 40, estimate, start.Add(idle)))
 	l.ApplyReport("a1", limiter.Report{Incarnation: 1, SameZone: true, Flows: map[uint32]uint16{1: 1}}, start.Add(idle))
 	l.SetLivePeers(4)
-	guess.PerHost = l.PerHost(20, 15, 10, 10)
-	require.Equal(t, limiter.FlowEstimate{Local: 2, Reported: 1, Estimated: 5}, l.EstimateFlows(one, 40, guess, start.Add(idle)))
+	estimate.PerHost = l.PerHost(20, 15, 10, 10)
+	require.Equal(t, limiter.FlowEstimate{Local: 2, Reported: 1, Estimated: 5}, l.EstimateFlows(one, 40, estimate, start.Add(idle)))
 }
 
 // Guards against delays of flows that end within milliseconds: when a target has one free
@@ -139,7 +139,7 @@
 	l := limiter.New("a0", start, idle)
 	l.SetLivePeers(50)
 	one := l.Target(1)
-	bound := limiter.FlowLimit{MaxFlows: 5, ShortLived: true}
+	limit := limiter.FlowLimit{MaxFlows: 5, ShortLived: true}
 	for range 4 {
 		one.AddDiscovered()
 	}
@@ -149,14 +149,14 @@
 		if admits(l, one, 1, limiter.FlowLimit{MaxFlows: 5}, limiter.UnreportedEstimate{}, now) {
 			longLived++
 		}
-		if admits(l, one, 1, bound, limiter.UnreportedEstimate{}, now) {
+		if admits(l, one, 1, limit, limiter.UnreportedEstimate{}, now) {
 			shortLived++
 		}
 	}
 	require.Equal(t, 100, shortLived)
 	require.Less(t, longLived, 10, "one host of 51 has its turn")
 	one.AddOpened(start)
-	require.False(t, admits(l, one, 1, bound, limiter.UnreportedEstimate{}, start))
+	require.False(t, admits(l, one, 1, limit, limiter.UnreportedEstimate{}, start))
 }
 
 // simulation is the hosts of a zone and some targets with a connection limit. Reports may be lost,
@@ -196,17 +196,17 @@
 }
 
 func newSimulation(seed uint64, hosts, targets, maxFlows int, lossRate float64) *simulation {
-	w := &simulation{random: rand.New(rand.NewPCG(seed, 1)), now: start, maxFlows: maxFlows, targets: targets, lossRate: lossRate, flowsByTarget: make([]int, targets)}
-	w.netOpened, w.growth = map[*limiter.Limiter][]int{}, map[*limiter.Limiter]float64{}
+	s := &simulation{random: rand.New(rand.NewPCG(seed, 1)), now: start, maxFlows: maxFlows, targets: targets, lossRate: lossRate, flowsByTarget: make([]int, targets)}
+	s.netOpened, s.growth = map[*limiter.Limiter][]int{}, map[*limiter.Limiter]float64{}
 	for range hosts {
-		w.hosts = append(w.hosts, limiter.New(fmt.Sprint(len(w.hosts)), w.now, idle))
-		w.incarnations = append(w.incarnations, 1)
+		s.hosts = append(s.hosts, limiter.New(fmt.Sprint(len(s.hosts)), s.now, idle))
+		s.incarnations = append(s.incarnations, 1)
 	}
-	return w
+	return s
 }
 
-func (w *simulation) tags() []uint32 {
-	tags := make([]uint32, w.targets)
+func (s *simulation) tags() []uint32 {
+	tags := make([]uint32, s.targets)
 	for i := range tags {
 		tags[i] = uint32(i + 1)
 	}
@@ -214,15 +214,15 @@
 }
 
 // report sends a host's report to three others, as happens every quarter of a second.
-func (w *simulation) report(from int) {
+func (s *simulation) report(from int) {
 	for range 3 {
-		to := w.random.IntN(len(w.hosts))
-		if to == from || w.random.Float64() < w.lossRate {
+		to := s.random.IntN(len(s.hosts))
+		if to == from || s.random.Float64() < s.lossRate {
 			continue
 		}
-		word := limiter.Report{Incarnation: w.incarnations[from], SameZone: true, Flows: w.hosts[from].LocalFlows(w.tags())}
-		if len(word.Flows) > 0 {
-			w.hosts[to].ApplyReport(fmt.Sprint(from), word, w.now)
+		report := limiter.Report{Incarnation: s.incarnations[from], SameZone: true, Flows: s.hosts[from].LocalFlows(s.tags())}
+		if len(report.Flows) > 0 {
+			s.hosts[to].ApplyReport(fmt.Sprint(from), report, s.now)
 		}
 	}
 }
@@ -230,105 +230,105 @@
 // openFlow opens a flow from one host to the target with the most available connections by the
 // host's estimate. A target that turns out to be full costs a round trip and a probe; the opening
 // packet is then redispatched, a few times at most, before its caller gives up.
-func (w *simulation) openFlow(host int) {
-	w.attempts++
+func (s *simulation) openFlow(host int) {
+	s.attempts++
 	for range 1 + maxRetries {
-		target := w.chooseTarget(host)
+		target := s.chooseTarget(host)
 		if target < 0 {
 			return // Refused immediately.
 		}
-		l := w.hosts[host]
+		l := s.hosts[host]
 		one := l.Target(uint32(target + 1))
-		if w.flowsByTarget[target] < w.maxFlows {
-			one.AddOpened(w.now)
-			w.flowsByTarget[target]++
-			w.flows = append(w.flows, simFlow{host: host, target: target, incarnation: w.incarnations[host]})
+		if s.flowsByTarget[target] < s.maxFlows {
+			one.AddOpened(s.now)
+			s.flowsByTarget[target]++
+			s.flows = append(s.flows, simFlow{host: host, target: target, incarnation: s.incarnations[host]})
 			return
 		}
-		w.fullTargetHits++
-		l.MarkFull(one, w.maxFlows, w.unreportedEstimate(l), w.now)
+		s.fullTargetHits++
+		l.MarkFull(one, s.maxFlows, s.unreportedEstimate(l), s.now)
 	}
-	w.exhausted++
+	s.exhausted++
 }
 
 // chooseTarget returns the target with the most available connections by one host's estimate; -1 if
 // none has any.
-func (w *simulation) chooseTarget(host int) int {
-	l := w.hosts[host]
-	l.SetLivePeers(len(w.hosts) - 1)
-	guess, bound := w.unreportedEstimate(l), limiter.FlowLimit{MaxFlows: w.maxFlows, Reserved: 1}
+func (s *simulation) chooseTarget(host int) int {
+	l := s.hosts[host]
+	l.SetLivePeers(len(s.hosts) - 1)
+	estimate, limit := s.unreportedEstimate(l), limiter.FlowLimit{MaxFlows: s.maxFlows, Reserved: 1}
 	best, most := -1, 0
-	for _, i := range w.random.Perm(w.targets) {
+	for _, i := range s.random.Perm(s.targets) {
 		tag := uint32(i + 1)
-		if room := l.Available(l.Target(tag), bound, guess, w.now); room > most && admits(l, l.Target(tag), tag, bound, guess, w.now) {
-			best, most = i, room
+		if available := l.Available(l.Target(tag), limit, estimate, s.now); available > most && admits(l, l.Target(tag), tag, limit, estimate, s.now) {
+			best, most = i, available
 		}
 	}
 	return best
 }
 
-func (w *simulation) unreportedEstimate(l *limiter.Limiter) limiter.UnreportedEstimate {
-	own, told, tellers := 0, 0, 0
-	for _, tag := range w.tags() {
-		own += l.Target(tag).Local()
-		told += l.Target(tag).Reported()
-		tellers += l.Reporters(l.Target(tag))
+func (s *simulation) unreportedEstimate(l *limiter.Limiter) limiter.UnreportedEstimate {
+	local, reported, reporters := 0, 0, 0
+	for _, tag := range s.tags() {
+		local += l.Target(tag).Local()
+		reported += l.Target(tag).Reported()
+		reporters += l.Reporters(l.Target(tag))
 	}
-	return limiter.UnreportedEstimate{PerHost: l.PerHost(own, told, w.targets, tellers), Growth: w.growth[l]}
+	return limiter.UnreportedEstimate{PerHost: l.PerHost(local, reported, s.targets, reporters), Growth: s.growth[l]}
 }
 
 // endFlow ends a flow, and removes it from the counts of its host if the host has seen it since it
 // started.
-func (w *simulation) endFlow(at int) {
-	f := w.flows[at]
-	w.flows = slices.Delete(w.flows, at, at+1)
-	w.flowsByTarget[f.target]--
-	if f.incarnation != w.incarnations[f.host] {
+func (s *simulation) endFlow(at int) {
+	f := s.flows[at]
+	s.flows = slices.Delete(s.flows, at, at+1)
+	s.flowsByTarget[f.target]--
+	if f.incarnation != s.incarnations[f.host] {
 		return
 	}
-	one := w.hosts[f.host].Target(uint32(f.target + 1))
+	one := s.hosts[f.host].Target(uint32(f.target + 1))
 	if f.discovered {
-		one.RemoveDiscovered(w.now)
+		one.RemoveDiscovered(s.now)
 	} else {
-		one.RemoveOpened(w.now)
+		one.RemoveOpened(s.now)
 	}
 }
 
 // redispatchFlow sends a packet of a flow, so that its host counts it again after a restart.
-func (w *simulation) redispatchFlow(at int) {
-	f := &w.flows[at]
-	if f.incarnation != w.incarnations[f.host] {
-		f.incarnation = w.incarnations[f.host]
+func (s *simulation) redispatchFlow(at int) {
+	f := &s.flows[at]
+	if f.incarnation != s.incarnations[f.host] {
+		f.incarnation = s.incarnations[f.host]
 		f.discovered = true
-		w.hosts[f.host].Target(uint32(f.target + 1)).AddDiscovered()
+		s.hosts[f.host].Target(uint32(f.target + 1)).AddDiscovered()
 	}
 }
 
 // restart restarts a host without any state.
-func (w *simulation) restart(host int) {
-	w.incarnations[host]++
-	w.hosts[host] = limiter.New(fmt.Sprint(host), w.now, idle)
+func (s *simulation) restart(host int) {
+	s.incarnations[host]++
+	s.hosts[host] = limiter.New(fmt.Sprint(host), s.now, idle)
 }
 
 // run advances the simulation by some seconds, with perSecond new flows per second over all hosts.
 // Each flow sends a packet about every three seconds, and one in fifteen ends per second.
-func (w *simulation) run(seconds, perSecond int) {
+func (s *simulation) run(seconds, perSecond int) {
 	for range seconds * 4 {
-		w.now = w.now.Add(250 * time.Millisecond)
-		for host := range w.hosts {
-			w.report(host)
-			w.hosts[host].Sweep(w.now)
-			w.measureGrowth(w.hosts[host])
+		s.now = s.now.Add(250 * time.Millisecond)
+		for host := range s.hosts {
+			s.report(host)
+			s.hosts[host].Sweep(s.now)
+			s.measureGrowth(s.hosts[host])
 		}
 		for range perSecond / 4 {
-			w.openFlow(w.random.IntN(len(w.hosts)))
+			s.openFlow(s.random.IntN(len(s.hosts)))
 		}
-		for at := len(w.flows) - 1; at >= 0; at-- {
-			switch p := w.random.Float64(); {
+		for at := len(s.flows) - 1; at >= 0; at-- {
+			switch p := s.random.Float64(); {
 			case p < 1.0/60:
-				w.endFlow(at)
+				s.endFlow(at)
 			case p < 1.0/12:
-				w.redispatchFlow(at)
+				s.redispatchFlow(at)
 			}
 		}
 	}
@@ -336,30 +336,30 @@
 
 // measureGrowth computes by how much the net number of flows that a host has opened has grown
 // within half a second.
-func (w *simulation) measureGrowth(l *limiter.Limiter) {
+func (s *simulation) measureGrowth(l *limiter.Limiter) {
 	sum := 0
-	for _, tag := range w.tags() {
+	for _, tag := range s.tags() {
 		sum += l.Target(tag).NetOpened()
 	}
-	looks := append(w.netOpened[l], sum)
-	looks = looks[max(len(looks)-3, 0):]
-	w.netOpened[l] = looks
-	w.growth[l] = float64(max(sum-looks[0], 0)) / float64(w.targets)
+	samples := append(s.netOpened[l], sum)
+	samples = samples[max(len(samples)-3, 0):]
+	s.netOpened[l] = samples
+	s.growth[l] = float64(max(sum-samples[0], 0)) / float64(s.targets)
 }
 
 // flowRange returns the minimum and the maximum number of flows of a target.
-func (w *simulation) flowRange() (least, most int) {
-	return slices.Min(w.flowsByTarget), slices.Max(w.flowsByTarget)
+func (s *simulation) flowRange() (least, most int) {
+	return slices.Min(s.flowsByTarget), slices.Max(s.flowsByTarget)
 }
 
 // Guards against uneven targets: when the flows need three quarters of all connections, twelve
 // hosts that receive each other's reports about once per second keep every target below its limit.
 func TestFlowsWithinCapacityAreSpreadEvenly(t *testing.T) {
-	w := newSimulation(1, 12, 40, 40, 0)
-	w.run(40, 80)
-	least, most := w.flowRange()
-	t.Logf("%d of %d openings met a full target, targets hold %d to %d", w.fullTargetHits, w.attempts, least, most)
-	require.Zero(t, w.fullTargetHits)
+	s := newSimulation(1, 12, 40, 40, 0)
+	s.run(40, 80)
+	least, most := s.flowRange()
+	t.Logf("%d of %d openings met a full target, targets hold %d to %d", s.fullTargetHits, s.attempts, least, most)
+	require.Zero(t, s.fullTargetHits)
 	require.Less(t, most, 38)
 	require.Greater(t, least, 22)
 }
@@ -367,37 +367,37 @@
 // Guards against many opening packets to full targets in a thundering herd: when flows for twice
 // the number of all connections arrive within two seconds, before any host has reported.
 func TestThunderingHerdRarelyHitsFullTargets(t *testing.T) {
-	w := newSimulation(2, 12, 40, 40, 0)
-	w.run(2, 1600)
-	t.Logf("%d of %d openings met a full target", w.fullTargetHits, w.attempts)
-	require.Less(t, w.fullTargetHits, w.attempts/10)
-	require.Zero(t, w.exhausted)
-	require.Greater(t, len(w.flows), 40*40*9/10, "and places are used")
+	s := newSimulation(2, 12, 40, 40, 0)
+	s.run(2, 1600)
+	t.Logf("%d of %d openings met a full target", s.fullTargetHits, s.attempts)
+	require.Less(t, s.fullTargetHits, s.attempts/10)
+	require.Zero(t, s.exhausted)
+	require.Greater(t, len(s.flows), 40*40*9/10, "and places are used")
 }
 
 // Guards against opening packets to full targets when every host restarts once within a minute of
 // overload: the flows that a host has lost track of still use connections.
 func TestRestartsUnderLoadRarelyHitFullTargets(t *testing.T) {
-	w := newSimulation(3, 12, 40, 40, 0)
-	w.run(20, 200)
-	for host := range w.hosts {
-		w.restart(host)
-		w.run(3, 200)
+	s := newSimulation(3, 12, 40, 40, 0)
+	s.run(20, 200)
+	for host := range s.hosts {
+		s.restart(host)
+		s.run(3, 200)
 	}
-	t.Logf("%d of %d openings met a full target, %d nothing else, %d of %d places used", w.fullTargetHits, w.attempts, w.exhausted, len(w.flows), 40*40)
-	require.Zero(t, w.exhausted)
-	require.Greater(t, len(w.flows), 40*40*9/10)
+	t.Logf("%d of %d openings met a full target, %d nothing else, %d of %d places used", s.fullTargetHits, s.attempts, s.exhausted, len(s.flows), 40*40)
+	require.Zero(t, s.exhausted)
+	require.Greater(t, len(s.flows), 40*40*9/10)
 }
 
 // Guards against exceeded limits when hosts receive no reports of each other: they assume an even
 // spread of flows, and correct their estimates at targets that turn out to be full.
 func TestPartitionedHostsStayWithinLimit(t *testing.T) {
-	w := newSimulation(4, 12, 40, 40, 1)
-	w.run(40, 200)
-	t.Logf("%d of %d openings met a full target, %d of %d places used", w.fullTargetHits, w.attempts, len(w.flows), 40*40)
-	require.Less(t, w.fullTargetHits, w.attempts/10)
-	require.Zero(t, w.exhausted)
-	require.Greater(t, len(w.flows), 40*40*3/4)
+	s := newSimulation(4, 12, 40, 40, 1)
+	s.run(40, 200)
+	t.Logf("%d of %d openings met a full target, %d of %d places used", s.fullTargetHits, s.attempts, len(s.flows), 40*40)
+	require.Less(t, s.fullTargetHits, s.attempts/10)
+	require.Zero(t, s.exhausted)
+	require.Greater(t, len(s.flows), 40*40*3/4)
 }
 
 // Property over numbers of hosts and targets, lost reports and restarts, with more new flows than
@@ -407,22 +407,22 @@
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := rapid.IntRange(2, 12).Draw(t, "hosts")
 		targets := rapid.IntRange(5, 12).Draw(t, "targets")
-		bound := rapid.IntRange(10, 40).Draw(t, "bound")
-		w := newSimulation(rapid.Uint64().Draw(t, "seed"), hosts, targets, bound, rapid.Float64Range(0, 0.5).Draw(t, "lost"))
-		perSecond := max(targets*bound/5, 8)
-		w.run(15, perSecond)
+		limit := rapid.IntRange(10, 40).Draw(t, "bound")
+		s := newSimulation(rapid.Uint64().Draw(t, "seed"), hosts, targets, limit, rapid.Float64Range(0, 0.5).Draw(t, "lost"))
+		perSecond := max(targets*limit/5, 8)
+		s.run(15, perSecond)
 		for range rapid.IntRange(0, 4).Draw(t, "restarts") {
-			w.restart(rapid.IntRange(0, hosts-1).Draw(t, "host"))
-			w.run(2, perSecond)
+			s.restart(rapid.IntRange(0, hosts-1).Draw(t, "host"))
+			s.run(2, perSecond)
 		}
-		for _, l := range w.hosts {
-			for _, tag := range w.tags() {
+		for _, l := range s.hosts {
+			for _, tag := range s.tags() {
 				require.GreaterOrEqual(t, l.Target(tag).Reported(), 0)
-				require.LessOrEqual(t, l.Target(tag).Local(), bound)
+				require.LessOrEqual(t, l.Target(tag).Local(), limit)
 			}
 		}
-		require.LessOrEqual(t, w.exhausted, w.attempts/100)
-		require.Greater(t, len(w.flows), targets*bound*3/5)
+		require.LessOrEqual(t, s.exhausted, s.attempts/100)
+		require.Greater(t, len(s.flows), targets*limit*3/5)
 	})
 }
 
@@ -464,9 +464,9 @@
 		l.ApplyReport(string(rune('A'+n)), limiter.Report{Incarnation: 1, SameZone: true, Flows: flows, Partial: true}, start)
 	}
 	l.SetLivePeers(99)
-	told, tellers := l.Target(1).Reported()*120, l.Reporters(l.Target(1))*120
+	reported, reporters := l.Target(1).Reported()*120, l.Reporters(l.Target(1))*120
 	require.Zero(t, l.Reporters(l.Target(600)))
-	b := l.EstimateFlows(l.Target(600), 400, limiter.UnreportedEstimate{PerHost: l.PerHost(0, told, 1200, tellers)}, start)
+	b := l.EstimateFlows(l.Target(600), 400, limiter.UnreportedEstimate{PerHost: l.PerHost(0, reported, 1200, reporters)}, start)
 	require.Greater(t, b.Total(), 100, "some 200 are there")
 }
 
@@ -501,9 +501,9 @@
 			case 1:
 				l.Forget(rapid.Uint32Range(1, 3).Draw(t, "forgotten"))
 			default:
-				word := limiter.Report{Incarnation: rapid.Uint64Range(1, 2).Draw(t, "incarnation"), SameZone: true, Partial: rapid.Bool().Draw(t, "partial")}
-				word.Flows = rapid.MapOf(rapid.Uint32Range(1, 3), rapid.Uint16Max(5)).Draw(t, "flows")
-				l.ApplyReport(rapid.SampledFrom([]string{"a1", "a2", "a3"}).Draw(t, "host"), word, now)
+				report := limiter.Report{Incarnation: rapid.Uint64Range(1, 2).Draw(t, "incarnation"), SameZone: true, Partial: rapid.Bool().Draw(t, "partial")}
+				report.Flows = rapid.MapOf(rapid.Uint32Range(1, 3), rapid.Uint16Max(5)).Draw(t, "flows")
+				l.ApplyReport(rapid.SampledFrom([]string{"a1", "a2", "a3"}).Draw(t, "host"), report, now)
 			}
 			for tag := range uint32(4) {
 				require.GreaterOrEqual(t, l.Reporters(l.Target(tag)), 0)
@@ -532,9 +532,9 @@
 	}
 	l.MarkFull(one, 100, limiter.UnreportedEstimate{}, start)
 	now := start.Add(900 * time.Millisecond)
-	bound, admitted := limiter.FlowLimit{MaxFlows: 100}, 0
-	require.Greater(t, l.Available(one, bound, limiter.UnreportedEstimate{}, now), 4)
-	for admitted < 9 && admits(l, one, 1, bound, limiter.UnreportedEstimate{}, now) {
+	limit, admitted := limiter.FlowLimit{MaxFlows: 100}, 0
+	require.Greater(t, l.Available(one, limit, limiter.UnreportedEstimate{}, now), 4)
+	for admitted < 9 && admits(l, one, 1, limit, limiter.UnreportedEstimate{}, now) {
 		one.AddOpened(now)
 		admitted++
 	}
@@ -560,7 +560,7 @@
 // free connections at a target, they together open about as many flows in a turn, and every host
 // gets turns.
 func TestHostsTakeTurnsForLastFreeConnections(t *testing.T) {
-	const hosts, room = 20, 5
+	const hosts, free = 20, 5
 	turns := map[int]int{}
 	for turn := range 60 {
 		now := start.Add(time.Duration(turn) * time.Second)
@@ -571,18 +571,18 @@
 			l.ApplyReport("other", limiter.Report{Incarnation: 1, SameZone: true, Flows: map[uint32]uint16{1: 15}}, now)
 			one := l.Target(1)
 			one.AddDiscovered()
-			for admits(l, one, 1, limiter.FlowLimit{MaxFlows: 16 + room}, limiter.UnreportedEstimate{}, now.Add(idle)) {
+			for admits(l, one, 1, limiter.FlowLimit{MaxFlows: 16 + free}, limiter.UnreportedEstimate{}, now.Add(idle)) {
 				one.AddOpened(now.Add(idle))
 				admitted++
 				turns[host]++
 			}
 		}
-		require.LessOrEqual(t, admitted, 3*room, "in turn %d", turn)
+		require.LessOrEqual(t, admitted, 3*free, "in turn %d", turn)
 	}
 	sum := 0
 	for _, n := range turns {
 		sum += n
 	}
 	require.Len(t, turns, hosts)
-	require.InDelta(t, 60*room, sum, 60)
+	require.InDelta(t, 60*free, sum, 60)
 }
--- a/core/messenger/report.go
+++ b/core/messenger/report.go
@@ -131,9 +131,9 @@
 	// Incarnation is when the target's process started, in milliseconds since 1970; 0 if
 	// unknown.
 	Incarnation int64
-	// Unreadable says of a missing target that the platform has an entry under its ID that is
+	// Malformed says of a missing target that the platform has an entry under its ID that is
 	// malformed.
-	Unreadable bool
+	Malformed bool
 }
 
 // HostHint gives the address at which a host can be reached.
--- a/core/pacer/pacer.go
+++ b/core/pacer/pacer.go
@@ -99,21 +99,21 @@
 //
 // It ignores responses whose baseline latency or objective is not known, and those whose objective
 // would be missed without any wait: queueing helps no request then.
-func (l *Load) RecordResponse(a Response) bool {
-	slack := a.Objective - a.BaselineLatency
-	if a.BaselineLatency <= 0 || slack <= 0 {
+func (l *Load) RecordResponse(r Response) bool {
+	slack := r.Objective - r.BaselineLatency
+	if r.BaselineLatency <= 0 || slack <= 0 {
 		return false
 	}
-	waited := float64(a.Latency+a.QueueDelay-a.BaselineLatency) / float64(slack)
+	waited := float64(r.Latency+r.QueueDelay-r.BaselineLatency) / float64(slack)
 	l.pressure += pressureSmoothing * (min(max(waited, 0), maxPressure) - l.pressure)
 	if l.slowdown == 0 {
 		l.slowdown = 1
 	}
-	l.slowdown += slowdownSmoothing * (min(float64(a.Latency)/float64(a.BaselineLatency), maxSlowdown) - l.slowdown)
+	l.slowdown += slowdownSmoothing * (min(float64(r.Latency)/float64(r.BaselineLatency), maxSlowdown) - l.slowdown)
 	before := l.congested
 	l.congested = l.pressure > congestionOnThreshold || (before && l.pressure > congestionOffThreshold)
 	if l.congested && !before {
-		l.window = max(float64(a.InFlight), minWindow)
+		l.window = max(float64(r.InFlight), minWindow)
 	}
 	if l.congested {
 		l.resize()
--- a/core/pacer/queue.go
+++ b/core/pacer/queue.go
@@ -46,11 +46,11 @@
 }
 
 // Len returns the number of queued requests.
-func (l *Queue[T]) Len() int { return len(l.requests) }
+func (q *Queue[T]) Len() int { return len(q.requests) }
 
 // Add appends a request to the queue.
-func (l *Queue[T]) Add(payload T, now timekeeper.Instant, params RouteParams) {
-	l.requests = append(l.requests, queuedRequest[T]{
+func (q *Queue[T]) Add(payload T, now timekeeper.Instant, params RouteParams) {
+	q.requests = append(q.requests, queuedRequest[T]{
 		payload:        payload,
 		priority:       params.Priority,
 		onTimeDeadline: now.Add(params.Objective - latencyAllowance*params.BaselineLatency),
@@ -60,45 +60,45 @@
 }
 
 // Remove removes a request from the queue.
-func (l *Queue[T]) Remove(payload T) {
-	l.requests = slices.DeleteFunc(l.requests, func(r queuedRequest[T]) bool { return r.payload == payload })
+func (q *Queue[T]) Remove(payload T) {
+	q.requests = slices.DeleteFunc(q.requests, func(r queuedRequest[T]) bool { return r.payload == payload })
 }
 
 // Oldest returns the request that has waited longest; false if the queue is empty.
-func (l *Queue[T]) Oldest() (T, bool) { return l.at(min(len(l.requests), 1) - 1) }
+func (q *Queue[T]) Oldest() (T, bool) { return q.at(min(len(q.requests), 1) - 1) }
 
 // Next returns the request to forward next: the oldest request past its aging deadline, or else,
 // among those that can be on time, the oldest of the highest priority. If all will be late, it
 // returns one only if the target has free slots: the request would take the slot of another one
 // that is about to arrive and can be on time.
-func (l *Queue[T]) Next(now timekeeper.Instant, hasFreeSlots bool) (T, bool) {
+func (q *Queue[T]) Next(now timekeeper.Instant, hasFreeSlots bool) (T, bool) {
 	best := -1
-	for i := range l.requests {
-		r := &l.requests[i]
+	for i := range q.requests {
+		r := &q.requests[i]
 		if r.agingDeadline.Passed(now) {
 			return r.payload, true
 		}
 		onTime := !r.onTimeDeadline.Passed(now)
-		if onTime && (best < 0 || r.priority < l.requests[best].priority) {
+		if onTime && (best < 0 || r.priority < q.requests[best].priority) {
 			best = i
 		}
 	}
 	if best < 0 && hasFreeSlots {
-		return l.Oldest()
+		return q.Oldest()
 	}
-	return l.at(best)
+	return q.at(best)
 }
 
 // Overdue returns a request past its forced deadline; false if there is none.
-func (l *Queue[T]) Overdue(now timekeeper.Instant) (T, bool) {
-	return l.at(slices.IndexFunc(l.requests, func(r queuedRequest[T]) bool { return r.forcedDeadline.Passed(now) }))
+func (q *Queue[T]) Overdue(now timekeeper.Instant) (T, bool) {
+	return q.at(slices.IndexFunc(q.requests, func(r queuedRequest[T]) bool { return r.forcedDeadline.Passed(now) }))
 }
 
 // at returns the request at an index; false if the index is negative.
-func (l *Queue[T]) at(i int) (T, bool) {
+func (q *Queue[T]) at(i int) (T, bool) {
 	if i < 0 {
 		var none T
 		return none, false
 	}
-	return l.requests[i].payload, true
+	return q.requests[i].payload, true
 }
--- a/core/pacer/queue_test.go
+++ b/core/pacer/queue_test.go
@@ -17,83 +17,83 @@
 func at(d time.Duration) timekeeper.Instant { return start.Add(d) }
 
 func newQueue(names ...string) *pacer.Queue[string] {
-	l := &pacer.Queue[string]{}
+	q := &pacer.Queue[string]{}
 	for i, name := range names {
-		l.Add(name, at(time.Duration(i)*10*millis), routeParams)
+		q.Add(name, at(time.Duration(i)*10*millis), routeParams)
 	}
-	return l
+	return q
 }
 
-func takeNext(t *testing.T, l *pacer.Queue[string], now timekeeper.Instant, hasFreeSlots bool) string {
+func takeNext(t *testing.T, q *pacer.Queue[string], now timekeeper.Instant, hasFreeSlots bool) string {
 	t.Helper()
-	before := l.Len()
-	name, ok := l.Next(now, hasFreeSlots)
+	before := q.Len()
+	name, ok := q.Next(now, hasFreeSlots)
 	if !ok {
 		return ""
 	}
 	require.Positive(t, before)
-	l.Remove(name)
-	require.Equal(t, before-1, l.Len())
+	q.Remove(name)
+	require.Equal(t, before-1, q.Len())
 	return name
 }
 
 func TestOldestRequestStillOnTimeGoesFirst(t *testing.T) {
-	l := newQueue("a", "b", "c")
-	require.Equal(t, "a", takeNext(t, l, at(20*millis), false))
-	require.Equal(t, "b", takeNext(t, l, at(159*millis), false))
+	q := newQueue("a", "b", "c")
+	require.Equal(t, "a", takeNext(t, q, at(20*millis), false))
+	require.Equal(t, "b", takeNext(t, q, at(159*millis), false))
 }
 
 // Guards against a long queue that makes every response a little late: when the oldest request
 // always goes first, each one is forwarded when it has just become too old to be on time.
 func TestLateRequestsYieldToOnTimeRequests(t *testing.T) {
-	l := newQueue("a", "b")
-	l.Add("fresh", at(200*millis), routeParams)
-	require.Equal(t, "fresh", takeNext(t, l, at(201*millis), true))
-	require.Empty(t, takeNext(t, l, at(202*millis), false), "a slot to spare is needed for the others")
-	require.Equal(t, "a", takeNext(t, l, at(203*millis), true))
+	q := newQueue("a", "b")
+	q.Add("fresh", at(200*millis), routeParams)
+	require.Equal(t, "fresh", takeNext(t, q, at(201*millis), true))
+	require.Empty(t, takeNext(t, q, at(202*millis), false), "a slot to spare is needed for the others")
+	require.Equal(t, "a", takeNext(t, q, at(203*millis), true))
 }
 
 func TestUrgentRequestsGoFirst(t *testing.T) {
-	l := newQueue("a")
+	q := newQueue("a")
 	urgent := routeParams
 	urgent.Priority = 1
-	l.Add("urgent", at(5*millis), urgent)
-	require.Equal(t, "urgent", takeNext(t, l, at(10*millis), false))
+	q.Add("urgent", at(5*millis), urgent)
+	require.Equal(t, "urgent", takeNext(t, q, at(10*millis), false))
 }
 
 // Guards against a request that waits until its timeout: when new requests keep arriving, and those
 // that will be late are never forwarded.
 func TestQueueDelayIsBounded(t *testing.T) {
-	l := newQueue("old")
-	l.Add("fresh", at(750*millis), routeParams)
-	require.Equal(t, "old", takeNext(t, l, at(751*millis), false), "after 0.35 of the time it goes before all others")
-	l = newQueue("old")
-	_, due := l.Overdue(at(899 * millis))
+	q := newQueue("old")
+	q.Add("fresh", at(750*millis), routeParams)
+	require.Equal(t, "old", takeNext(t, q, at(751*millis), false), "after 0.35 of the time it goes before all others")
+	q = newQueue("old")
+	_, due := q.Overdue(at(899 * millis))
 	require.False(t, due)
-	name, due := l.Overdue(at(900 * millis))
+	name, due := q.Overdue(at(900 * millis))
 	require.True(t, due, "after 0.45 of the time it goes without room")
 	require.Equal(t, "old", name)
-	l.Remove(name)
-	require.Zero(t, l.Len())
+	q.Remove(name)
+	require.Zero(t, q.Len())
 }
 
 func TestRemove(t *testing.T) {
-	l := newQueue("a", "b")
-	l.Remove("a")
-	first, waits := l.Oldest()
-	require.True(t, waits)
+	q := newQueue("a", "b")
+	q.Remove("a")
+	first, ok := q.Oldest()
+	require.True(t, ok)
 	require.Equal(t, "b", first)
 }
 
 func ExampleLoad() {
 	var load pacer.Load
 	slow := pacer.Response{Latency: 300 * millis, BaselineLatency: 60 * millis, Objective: 250 * millis, InFlight: 10}
-	answers := 0
+	responses := 0
 	for !load.Congested() {
 		load.RecordResponse(slow)
-		answers++
+		responses++
 	}
-	fmt.Printf("pressed after %d slow answers; room for an eleventh request: %v\n", answers, load.HasCapacity(10))
+	fmt.Printf("pressed after %d slow answers; room for an eleventh request: %v\n", responses, load.HasCapacity(10))
 	// Output: pressed after 6 slow answers; room for an eleventh request: false
 }
 
@@ -129,13 +129,13 @@
 
 // BenchmarkNext measures Next and Remove on a queue as long as in a load peak.
 func BenchmarkNext(b *testing.B) {
-	l := &pacer.Queue[int]{}
+	q := &pacer.Queue[int]{}
 	for n := range 64 {
-		l.Add(n, start, routeParams)
+		q.Add(n, start, routeParams)
 	}
 	for b.Loop() {
-		n, _ := l.Next(start, true)
-		l.Remove(n)
-		l.Add(n, start, routeParams)
+		n, _ := q.Next(start, true)
+		q.Remove(n)
+		q.Add(n, start, routeParams)
 	}
 }
--- a/core/pacer/simulation_test.go
+++ b/core/pacer/simulation_test.go
@@ -144,8 +144,8 @@
 func (s *simulation) request(k kind, host, target int) {
 	s.requested[k.name]++
 	h, j := s.hosts[host], &job{kind: k, host: host, target: target, arrivedAt: s.now}
-	waits := h.load.Congested() && (h.queues[target].Len() > 0 || !h.load.HasCapacity(h.inFlight))
-	if s.pacingEnabled && k.persistentFlow && waits {
+	queued := h.load.Congested() && (h.queues[target].Len() > 0 || !h.load.HasCapacity(h.inFlight))
+	if s.pacingEnabled && k.persistentFlow && queued {
 		h.queues[target].Add(j, s.now, pacer.RouteParams{BaselineLatency: k.meanWork, Objective: k.objective, Timeout: k.timeout})
 		return
 	}
--- a/core/steerer/reports.go
+++ b/core/steerer/reports.go
@@ -171,7 +171,7 @@
 	if state.Missing {
 		if ok && !known.missing && known.olderThan(state.Incarnation, seen) {
 			known.Incarnation = state.Incarnation
-			known.malformed = state.Unreadable
+			known.malformed = state.Malformed
 			s.markMissing(known, seen, from)
 		}
 		return
@@ -424,6 +424,6 @@
 	return messenger.TargetState{
 		ID: t.ID, Revision: seen.Revision, Service: t.Service, Address: t.Address, AvailabilityZone: t.AvailabilityZone,
 		Slots: t.Slots, Draining: t.Draining, Missing: t.missing, WarmUp: max(t.warmUpDeadline.Until(s.now), 0),
-		Incarnation: t.Incarnation, Unreadable: t.malformed,
+		Incarnation: t.Incarnation, Malformed: t.malformed,
 	}
 }
--- a/core/throttler/fairness_test.go
+++ b/core/throttler/fairness_test.go
@@ -48,44 +48,44 @@
 }
 
 // run advances the simulation by a duration, after it has reset the groups' counters.
-func (c *simulation) run(span time.Duration) {
-	for _, g := range c.groups {
+func (s *simulation) run(duration time.Duration) {
+	for _, g := range s.groups {
 		g.requested, g.served, g.throttled = 0, 0, 0
 	}
-	for end := c.now.Add(span); c.now < end; c.now = c.now.Add(step) {
-		c.capacity = min(c.capacity+c.perSecond*step.Seconds(), c.perSecond*flowDuration.Seconds())
-		for _, r := range c.ends[c.now] {
-			c.throttler.FlowEnded(r, c.now)
+	for end := s.now.Add(duration); s.now < end; s.now = s.now.Add(step) {
+		s.capacity = min(s.capacity+s.perSecond*step.Seconds(), s.perSecond*flowDuration.Seconds())
+		for _, r := range s.ends[s.now] {
+			s.throttler.FlowEnded(r, s.now)
 		}
-		delete(c.ends, c.now)
-		var asking []*callerGroup
-		for _, g := range c.groups {
+		delete(s.ends, s.now)
+		var requesting []*callerGroup
+		for _, g := range s.groups {
 			for g.pendingRequests += g.perSecond * step.Seconds(); g.pendingRequests >= 1; g.pendingRequests-- {
-				asking = append(asking, g)
+				requesting = append(requesting, g)
 			}
 		}
-		c.random.Shuffle(len(asking), func(i, j int) { asking[i], asking[j] = asking[j], asking[i] })
-		for _, g := range asking {
-			c.request(g)
+		s.random.Shuffle(len(requesting), func(i, j int) { requesting[i], requesting[j] = requesting[j], requesting[i] })
+		for _, g := range requesting {
+			s.request(g)
 		}
 	}
 }
 
-func (c *simulation) request(g *callerGroup) {
+func (s *simulation) request(g *callerGroup) {
 	g.requested++
-	r := throttler.Request{Caller: g.address(g.requested), Service: "ledger", Overloaded: c.overloaded}
-	if c.throttler.Check(r, c.now).Refused {
+	r := throttler.Request{Caller: g.address(g.requested), Service: "ledger", Overloaded: s.overloaded}
+	if s.throttler.Check(r, s.now).Refused {
 		g.throttled++
 		return
 	}
-	if c.capacity < 1 {
+	if s.capacity < 1 {
 		return
 	}
-	c.capacity--
+	s.capacity--
 	g.served++
-	c.throttler.FlowStarted(r, c.now)
-	end := c.now.Add(flowDuration)
-	c.ends[end] = append(c.ends[end], r)
+	s.throttler.FlowStarted(r, s.now)
+	end := s.now.Add(flowDuration)
+	s.ends[end] = append(s.ends[end], r)
 }
 
 func (g *callerGroup) servedRatio() float64 { return float64(g.served) / float64(max(g.requested, 1)) }
@@ -109,12 +109,12 @@
 // capacity.
 func TestRetryLoopDoesNotStarveOtherCallers(t *testing.T) {
 	loop, others := singleAddress("203.0.113.9", 5), distributedCallers(100)
-	c := newSimulation(1000, loop, others)
-	c.run(30 * time.Second)
+	s := newSimulation(1000, loop, others)
+	s.run(30 * time.Second)
 	require.Equal(t, 1.0, others.servedRatio())
-	loop.perSecond, c.perSecond, c.overloaded = 1000, 150, true
-	c.run(3 * time.Second)
-	c.run(20 * time.Second)
+	loop.perSecond, s.perSecond, s.overloaded = 1000, 150, true
+	s.run(3 * time.Second)
+	s.run(20 * time.Second)
 	t.Logf("others get %.2f, the loop %.3f", others.servedRatio(), loop.servedRatio())
 	require.Greater(t, others.servedRatio(), 0.9)
 	require.Greater(t, float64(loop.served)/20, 25.0, "what the others leave goes to the loop")
@@ -125,11 +125,11 @@
 // send 400 requests per second, 200 others 100, and one program retries without pause.
 func TestCallersBehindNATGetMoreThanOneShare(t *testing.T) {
 	loop, nat, others := singleAddress("203.0.113.9", 5), singleAddress("198.51.100.7", 400), distributedCallers(100)
-	c := newSimulation(1000, loop, nat, others)
-	c.run(30 * time.Second)
-	loop.perSecond, c.perSecond, c.overloaded = 1000, 250, true
-	c.run(3 * time.Second)
-	c.run(20 * time.Second)
+	s := newSimulation(1000, loop, nat, others)
+	s.run(30 * time.Second)
+	loop.perSecond, s.perSecond, s.overloaded = 1000, 250, true
+	s.run(3 * time.Second)
+	s.run(20 * time.Second)
 	t.Logf("others get %.2f, the office %.2f, the loop %.3f", others.servedRatio(), nat.servedRatio(), loop.servedRatio())
 	require.InDelta(t, 0.5, nat.servedRatio(), 0.15, "half is an equal part for each of all")
 	require.InDelta(t, 0.5, others.servedRatio(), 0.15)
@@ -142,11 +142,11 @@
 func TestRotatingAddressesShareOnePrefixAllocation(t *testing.T) {
 	neighbour, others := singleAddress("203.0.113.200", 2), distributedCallers(100)
 	loop := &callerGroup{address: func(n int) netip.Addr { return netip.AddrFrom4([4]byte{203, 0, 113, byte(n % 180)}) }}
-	c := newSimulation(1000, neighbour, loop, others)
-	c.run(30 * time.Second)
-	loop.perSecond, c.perSecond, c.overloaded = 1000, 150, true
-	c.run(3 * time.Second)
-	c.run(20 * time.Second)
+	s := newSimulation(1000, neighbour, loop, others)
+	s.run(30 * time.Second)
+	loop.perSecond, s.perSecond, s.overloaded = 1000, 150, true
+	s.run(3 * time.Second)
+	s.run(20 * time.Second)
 	t.Logf("others get %.2f, the neighbour %.2f, the loop %.3f", others.servedRatio(), neighbour.servedRatio(), loop.servedRatio())
 	require.Greater(t, others.servedRatio(), 0.85)
 	require.Zero(t, neighbour.throttled)
@@ -156,11 +156,11 @@
 // times as many requests as before, and fair shares differ from the callers' demand.
 func TestEqualDemandIsServedEqually(t *testing.T) {
 	nat, others := singleAddress("198.51.100.7", 100), distributedCallers(100)
-	c := newSimulation(1000, nat, others)
-	c.run(30 * time.Second)
-	nat.perSecond, others.perSecond, c.perSecond, c.overloaded = 300, 300, 300, true
-	c.run(3 * time.Second)
-	c.run(20 * time.Second)
+	s := newSimulation(1000, nat, others)
+	s.run(30 * time.Second)
+	nat.perSecond, others.perSecond, s.perSecond, s.overloaded = 300, 300, 300, true
+	s.run(3 * time.Second)
+	s.run(20 * time.Second)
 	t.Logf("others get %.2f, the office %.2f", others.servedRatio(), nat.servedRatio())
 	require.InDelta(t, 0.5, nat.servedRatio(), 0.15, "half is an equal part for each of all")
 	require.InDelta(t, 0.5, others.servedRatio(), 0.15)
@@ -171,9 +171,9 @@
 // refuses no request, and fair shares are reduced nevertheless.
 func TestNothingIsThrottledWithinCapacity(t *testing.T) {
 	loop, others := singleAddress("203.0.113.9", 200), distributedCallers(100)
-	c := newSimulation(1000, loop, others)
-	c.overloaded = true
-	c.run(20 * time.Second)
+	s := newSimulation(1000, loop, others)
+	s.overloaded = true
+	s.run(20 * time.Second)
 	require.Zero(t, loop.throttled+others.throttled)
 }
 
@@ -196,11 +196,11 @@
 func TestOneTimeAddressesDoNotEvictOthers(t *testing.T) {
 	nat, others := singleAddress("198.51.100.7", 200), distributedCallers(20)
 	flood := &callerGroup{address: func(n int) netip.Addr { return netip.AddrFrom4([4]byte{10, byte(n >> 16), byte(n >> 8), byte(n)}) }}
-	c := newSimulation(1000, flood, nat, others)
-	c.run(30 * time.Second)
-	flood.perSecond, c.perSecond, c.overloaded = 5000, 150, true
-	c.run(3 * time.Second)
-	c.run(10 * time.Second)
+	s := newSimulation(1000, flood, nat, others)
+	s.run(30 * time.Second)
+	flood.perSecond, s.perSecond, s.overloaded = 5000, 150, true
+	s.run(3 * time.Second)
+	s.run(10 * time.Second)
 	t.Logf("the office gets %.2f, others %.2f, the flood %.3f", nat.servedRatio(), others.servedRatio(), flood.servedRatio())
 	require.Greater(t, nat.servedRatio(), 0.4)
 }
@@ -225,11 +225,11 @@
 func TestCallersMovedFromFailedZoneAreServedEqually(t *testing.T) {
 	others := distributedCallers(100)
 	moved := &callerGroup{address: func(n int) netip.Addr { return netip.AddrFrom4([4]byte{100, 65, byte(n % 40), byte(n / 40 % 10)}) }}
-	c := newSimulation(1000, others, moved)
-	c.run(30 * time.Second)
-	moved.perSecond, c.perSecond, c.overloaded = 200, 150, true
-	c.run(3 * time.Second)
-	c.run(20 * time.Second)
+	s := newSimulation(1000, others, moved)
+	s.run(30 * time.Second)
+	moved.perSecond, s.perSecond, s.overloaded = 200, 150, true
+	s.run(3 * time.Second)
+	s.run(20 * time.Second)
 	t.Logf("others get %.2f, those who moved %.2f", others.servedRatio(), moved.servedRatio())
 	require.InDelta(t, 0.5, others.servedRatio(), 0.15)
 	require.InDelta(t, 0.5, moved.servedRatio(), 0.15)
--- a/core/throttler/quota.go
+++ b/core/throttler/quota.go
@@ -53,8 +53,8 @@
 func ParseQuotas(specs []QuotaSpec) ([]Quota, error) {
 	quotas := make([]Quota, 0, len(specs))
 	seen := map[Quota]int{}
-	for i, text := range specs {
-		q, err := text.parse()
+	for i, spec := range specs {
+		q, err := spec.parse()
 		if err != nil {
 			return nil, &Error{Op: "check quotas", Kind: KindInvalid, Err: fmt.Errorf("quotas[%d]: %w", i, err)}
 		}
@@ -69,18 +69,18 @@
 }
 
 // parse checks and converts one quota.
-func (t QuotaSpec) parse() (Quota, error) {
-	q := Quota{Route: t.Route, PerSecond: t.RequestsPerSecond}
-	if t.Prefix == "" && t.Route == "" {
+func (s QuotaSpec) parse() (Quota, error) {
+	q := Quota{Route: s.Route, PerSecond: s.RequestsPerSecond}
+	if s.Prefix == "" && s.Route == "" {
 		return q, fmt.Errorf("neither prefix nor route is set; set at least one of them")
 	}
-	if !(t.RequestsPerSecond > 0) || math.IsInf(t.RequestsPerSecond, 1) {
-		return q, fmt.Errorf("requestsPerSecond: %g is no rate above 0", t.RequestsPerSecond)
+	if !(s.RequestsPerSecond > 0) || math.IsInf(s.RequestsPerSecond, 1) {
+		return q, fmt.Errorf("requestsPerSecond: %g is no rate above 0", s.RequestsPerSecond)
 	}
-	if t.Prefix == "" {
+	if s.Prefix == "" {
 		return q, nil
 	}
-	prefix, err := parsePrefix(t.Prefix)
+	prefix, err := parsePrefix(s.Prefix)
 	q.Prefix = prefix
 	return q, err
 }
@@ -120,8 +120,8 @@
 
 // hostShare returns the host's share of the quota, in requests per second, and the burst size.
 func (b *bucket) hostShare() (perSecond rate.Limit, burst int) {
-	part := b.quota.PerSecond / float64(b.hosts)
-	return rate.Limit(part), max(int(math.Ceil(part)), 1)
+	share := b.quota.PerSecond / float64(b.hosts)
+	return rate.Limit(share), max(int(math.Ceil(share)), 1)
 }
 
 // HasQuotas reports whether there is any quota.
--- a/core/throttler/quota_test.go
+++ b/core/throttler/quota_test.go
@@ -38,7 +38,7 @@
 	quotas := parse(t, throttler.QuotaSpec{Prefix: "203.0.113.0/24", RequestsPerSecond: 10}, throttler.QuotaSpec{Route: "read", RequestsPerSecond: 30})
 	for _, c := range []struct {
 		caller, route string
-		most          int
+		want          int
 	}{
 		{"203.0.113.9", "check", 110},
 		{"203.0.113.9", "read", 110},
@@ -46,7 +46,7 @@
 		{"198.51.100.7", "check", 1000},
 	} {
 		passed := countAdmitted(throttler.New(quotas), c.caller, c.route, 100, 10)
-		require.InDelta(t, c.most, passed, 12, c.caller+" "+c.route)
+		require.InDelta(t, c.want, passed, 12, c.caller+" "+c.route)
 	}
 }
 
--- a/core/throttler/table.go
+++ b/core/throttler/table.go
@@ -98,13 +98,13 @@
 
 // addOpenFlows changes the number of open flows. The flows open until now count towards the weight,
 // but only for the time under normal load, which began at learningSince.
-func (c *caller) addOpenFlows(by int, learningSince, now timekeeper.Instant) {
+func (c *caller) addOpenFlows(delta int, learningSince, now timekeeper.Instant) {
 	if learningSince.Passed(now) {
-		kept := math.Exp(-float64(now.Since(max(c.updatedAt, learningSince))) / float64(weightTimeConstant))
+		decay := math.Exp(-float64(now.Since(max(c.updatedAt, learningSince))) / float64(weightTimeConstant))
 		c.hasHistory = true
-		c.weight = max(c.weight*kept+float64(c.openFlows)*(1-kept), minWeight)
+		c.weight = max(c.weight*decay+float64(c.openFlows)*(1-decay), minWeight)
 	}
-	c.openFlows += by
+	c.openFlows += delta
 	c.updatedAt = now
 }
 
@@ -124,7 +124,7 @@
 
 // weighNewcomers gives each prefix without a history the mean weight of those with one, but all
 // newcomers together no more than the total weight of those, however many there are.
-func (d *allocation) weighNewcomers(prefixes *callerTable, now timekeeper.Instant) {
+func (a *allocation) weighNewcomers(prefixes *callerTable, now timekeeper.Instant) {
 	established, newcomers, sum := 0, 0, 0.0
 	for _, c := range prefixes.callers.Values() {
 		switch {
@@ -135,33 +135,33 @@
 			newcomers++
 		}
 	}
-	most := float64(max(established, newcomers, 1))
-	d.newcomerWeight = max(sum/most, minWeight)
-	d.newcomerGuaranteedRate = guaranteedRate * float64(max(established, 1)) / most
+	divisor := float64(max(established, newcomers, 1))
+	a.newcomerWeight = max(sum/divisor, minWeight)
+	a.newcomerGuaranteedRate = guaranteedRate * float64(max(established, 1)) / divisor
 }
 
 // guaranteedRateOf returns the rate that a caller is entitled to whatever its fair share.
-func (d *allocation) guaranteedRateOf(c *caller) float64 {
+func (a *allocation) guaranteedRateOf(c *caller) float64 {
 	if c.hasHistory {
 		return guaranteedRate
 	}
-	return d.newcomerGuaranteedRate
+	return a.newcomerGuaranteedRate
 }
 
 // weightOf returns a caller's weight, in open flows.
-func (d *allocation) weightOf(c *caller) float64 {
+func (a *allocation) weightOf(c *caller) float64 {
 	if c.hasHistory {
 		return c.weight
 	}
-	return d.newcomerWeight
+	return a.newcomerWeight
 }
 
 // exceedsOthers reports whether a caller requests much more than the others do for their weight.
 // Callers without a history are also compared as a group: a caller that changes its address
 // requests little from each address.
-func (d *allocation) exceedsOthers(c *caller, now timekeeper.Instant) bool {
-	own := demand{rate: c.requestedRate.at(now), weight: d.weightOf(c)}
-	return d.total.minus(own).exceededBy(own) || (!c.hasHistory && d.total.minus(d.newcomers).exceededBy(d.newcomers))
+func (a *allocation) exceedsOthers(c *caller, now timekeeper.Instant) bool {
+	requested := demand{rate: c.requestedRate.at(now), weight: a.weightOf(c)}
+	return a.total.minus(requested).exceededBy(requested) || (!c.hasHistory && a.total.minus(a.newcomers).exceededBy(a.newcomers))
 }
 
 // demand is the rate that callers request, in new flows per second, and their weight in open flows.
@@ -175,13 +175,13 @@
 	d.weight += other.weight
 }
 
-func (d demand) minus(some demand) demand {
-	return demand{rate: max(d.rate-some.rate, 0), weight: max(d.weight-some.weight, 0)}
+func (d demand) minus(other demand) demand {
+	return demand{rate: max(d.rate-other.rate, 0), weight: max(d.weight-other.weight, 0)}
 }
 
 // exceededBy reports whether some callers request much more for their weight than those of d.
-func (d demand) exceededBy(some demand) bool {
-	return some.rate*d.weight > excessFactor*d.rate*some.weight
+func (d demand) exceededBy(other demand) bool {
+	return other.rate*d.weight > excessFactor*d.rate*other.weight
 }
 
 // maxMinSharePerWeight returns the fair share of weight one if capacity is divided by max-min
--- a/core/throttler/throttler.go
+++ b/core/throttler/throttler.go
@@ -126,8 +126,8 @@
 	if s.learningWeights(now) {
 		return s.addresses.getOrCreate(key, now)
 	}
-	if own, ok := s.addresses.callers.Get(key); ok {
-		return own
+	if known, ok := s.addresses.callers.Get(key); ok {
+		return known
 	}
 	return s.prefixes.getOrCreate(prefix, now)
 }
@@ -151,33 +151,33 @@
 // is nothing to divide. If few are refused for reasons other than fair shares, there may be more
 // capacity, so the shares grow.
 func (s *service) allocate(now timekeeper.Instant) allocation {
-	d := allocation{sharePerWeight: math.Inf(1)}
-	d.weighNewcomers(s.prefixes, now)
+	a := allocation{sharePerWeight: math.Inf(1)}
+	a.weighNewcomers(s.prefixes, now)
 	var demands []demand
 	forwarded := 0.0
 	for _, t := range []*callerTable{s.addresses, s.prefixes} {
 		for _, c := range t.callers.Values() {
-			one := demand{rate: c.requestedRate.at(now), weight: d.weightOf(c)}
-			if one.rate < negligibleRate {
+			requested := demand{rate: c.requestedRate.at(now), weight: a.weightOf(c)}
+			if requested.rate < negligibleRate {
 				continue
 			}
-			demands = append(demands, one)
-			d.total.add(one)
+			demands = append(demands, requested)
+			a.total.add(requested)
 			if !c.hasHistory {
-				d.newcomers.add(one)
+				a.newcomers.add(requested)
 			}
 			forwarded += c.forwardedRate.at(now)
 		}
 	}
-	refused := d.total.rate - forwarded
+	refused := a.total.rate - forwarded
 	if refused < negligibleRate {
-		return d
+		return a
 	}
-	d.sharePerWeight = maxMinSharePerWeight(demands, forwarded)
+	a.sharePerWeight = maxMinSharePerWeight(demands, forwarded)
 	if refused-s.throttledRate.at(now) < lowRefusalRatio*forwarded {
-		d.sharePerWeight *= shareGrowth
+		a.sharePerWeight *= shareGrowth
 	}
-	return d
+	return a
 }
 
 // FlowStarted records that a new flow is forwarded. Its end has to be reported to FlowEnded.
@@ -186,9 +186,9 @@
 	key, prefix := keysOf(r.Caller)
 	chargedCaller := s.prefixes.getOrCreate(prefix, now)
 	chargedCaller.addOpenFlows(1, s.weightFreezeDeadline, now)
-	if own, ok := s.addresses.callers.Peek(key); ok {
-		own.addOpenFlows(1, s.weightFreezeDeadline, now)
-		chargedCaller = own
+	if known, ok := s.addresses.callers.Peek(key); ok {
+		known.addOpenFlows(1, s.weightFreezeDeadline, now)
+		chargedCaller = known
 	}
 	chargedCaller.forwardedRate.add(now)
 }
--- a/core/warmer/simulation_test.go
+++ b/core/warmer/simulation_test.go
@@ -57,9 +57,9 @@
 	limit warmer.RateLimit
 	// reportDelay is the age of the reported data.
 	reportDelay time.Duration
-	// hears reports whether two hosts receive each other's reports.
-	hears      func(x, y int) bool
-	placements map[int][]placement
+	// receivesReportsOf reports whether two hosts receive each other's reports.
+	receivesReportsOf func(x, y int) bool
+	placements        map[int][]placement
 }
 
 type placement struct {
@@ -70,7 +70,7 @@
 func (w *reportedCounts) admits(host, target int, now timekeeper.Instant) bool {
 	count := 0
 	for _, one := range w.placements[target] {
-		heard := one.host == host || (w.hears(host, one.host) && one.at.Add(w.reportDelay) <= now)
+		heard := one.host == host || (w.receivesReportsOf(host, one.host) && one.at.Add(w.reportDelay) <= now)
 		if heard && now.Since(one.at) < time.Second {
 			count++
 		}
@@ -90,8 +90,8 @@
 	flowsPerSecond float64
 	// partitioned says that hosts with even and odd numbers are partitioned from each other.
 	partitioned bool
-	// knownShare is the fraction of the hosts that each host has learned of.
-	knownShare float64
+	// knownFraction is the fraction of the hosts that each host has learned of.
+	knownFraction float64
 }
 
 type result struct {
@@ -135,36 +135,36 @@
 
 func (z scenario) name(i int) string { return fmt.Sprintf("a%d", i) }
 
-// hears reports whether one host receives the reports of another.
-func (z scenario) hears(x, y int) bool { return !z.partitioned || x%2 == y%2 }
+// receivesReportsOf reports whether one host receives the reports of another.
+func (z scenario) receivesReportsOf(x, y int) bool { return !z.partitioned || x%2 == y%2 }
 
 // strategies returns all strategies for a scenario. With tickets, hosts count those that they
 // learned of before a partition; with the other two, they consider only those that are alive in
 // their view.
 func (z scenario) strategies(seed uint64) map[string]strategy {
 	random := rand.New(rand.NewPCG(seed, 2))
-	byTickets := &tickets{limit: z.limit()}
+	ticketStrategy := &tickets{limit: z.limit()}
 	known := make([]int, z.hosts)
 	for i := range z.hosts {
 		w := warmer.New(z.name(i), start)
 		var others []string
 		known[i] = 1
 		for j := range z.hosts {
-			if j == i || random.Float64() >= z.knownShare {
+			if j == i || random.Float64() >= z.knownFraction {
 				continue
 			}
 			others = append(others, z.name(j))
-			if z.hears(i, j) {
+			if z.receivesReportsOf(i, j) {
 				known[i]++
 			}
 		}
 		w.SetHosts(others)
-		byTickets.hosts = append(byTickets.hosts, w)
+		ticketStrategy.hosts = append(ticketStrategy.hosts, w)
 	}
 	return map[string]strategy{
-		"tickets": byTickets,
+		"tickets": ticketStrategy,
 		"shares":  &equalShares{limit: z.limit(), knownHosts: known, nextFlowAt: map[[2]int]timekeeper.Instant{}},
-		"counted": &reportedCounts{limit: z.limit(), reportDelay: 250 * time.Millisecond, hears: z.hears, placements: map[int][]placement{}},
+		"counted": &reportedCounts{limit: z.limit(), reportDelay: 250 * time.Millisecond, receivesReportsOf: z.receivesReportsOf, placements: map[int][]placement{}},
 	}
 }
 
@@ -180,12 +180,12 @@
 	for _, hosts := range []int{3, 30, 100} {
 		for _, perSecond := range []float64{2, 12, 50} {
 			for _, state := range []string{"calm", "split", "half known", "crowd", "one target"} {
-				z := scenario{hosts: hosts, targets: 2 * hosts, limitPerSecond: perSecond, flowsPerSecond: 8 * float64(hosts), knownShare: 1}
+				z := scenario{hosts: hosts, targets: 2 * hosts, limitPerSecond: perSecond, flowsPerSecond: 8 * float64(hosts), knownFraction: 1}
 				switch state {
 				case "split":
 					z.partitioned = true
 				case "half known":
-					z.knownShare = 0.6
+					z.knownFraction = 0.6
 				case "crowd":
 					z.flowsPerSecond *= 6
 				case "one target":
--- a/scripts/red.sh
+++ b/scripts/red.sh
@@ -237,7 +237,7 @@
 without "the end of pacing" pacer/pacer.go '(before && l.pressure > congestionOffThreshold)' 'before' TestNormalLoadIsNotQueued
 
 package=encoder
-without "targets in the shape of the release before" messenger/report.go 'Unreadable bool' 'Unreadable bool; Era uint64' TestTargetsAreCompatibleWithPreviousRelease
+without "targets in the shape of the release before" messenger/report.go 'Malformed bool' 'Malformed bool; Era uint64' TestTargetsAreCompatibleWithPreviousRelease
 
 package=sequencer
 without "eras in the order of positions" sequencer/sequencer.go 'if c := cmp.Compare(p.Era, other.Era); c != 0 {' 'if c := cmp.Compare(p.Era, other.Era); false && c != 0 {' TestPositionsOrderByEraThenRevision
@@ -300,15 +300,15 @@
 package=limiter
 without "what a host has forgotten since it started" limiter/limiter.go 'b.Estimated = l.estimateForgotten(t, now) + int(unreported+0.5)' 'b.Estimated = int(unreported + 0.5)' TestRestartedHostEstimatesForgottenFlows
 without "what a host told before it started again" limiter/limiter.go 'n := max(reported, l.remaining(int(h.previousFlows[tag]), h.previousSince, now))' 'n := reported' TestFlowsForgottenByRestartedPeerStillCount
-without "flows unseen at full targets" limiter/limiter.go 't.unaccounted = max(bound-' 't.unaccounted = 0 * max(bound-' 'TestFullTargetStaysFullUntilFlowsEnd|TestPartitionedHostsStayWithinLimit'
-without "growth since others were heard" limiter/limiter.go '+ g.Growth*float64(reporters)' '+ 0*g.Growth' TestThunderingHerdRarelyHitsFullTargets
+without "flows unseen at full targets" limiter/limiter.go 't.unaccounted = max(maxFlows-' 't.unaccounted = 0 * max(maxFlows-' 'TestFullTargetStaysFullUntilFlowsEnd|TestPartitionedHostsStayWithinLimit'
+without "growth since others were heard" limiter/limiter.go '+ estimate.Growth*float64(reporters)' '+ 0*estimate.Growth' TestThunderingHerdRarelyHitsFullTargets
 without "turns at the last places" limiter/limiter.go 'return int(l.turnHash(tag, now)%uint64(hosts)) < available' 'return true || int(l.turnHash(tag, now)%uint64(hosts)) < available' TestHostsTakeTurnsForLastFreeConnections
 without "flows that held no place" limiter/limiter.go 'func (t *TargetFlows) CancelOpened() {' 'func (t *TargetFlows) CancelOpened() { t.recentlyFreed++; t.freedAt = t.openedAt' TestCanceledFlowsFreeNoCapacity
-without "the end of hosts that are gone" limiter/limiter.go 'if now.Since(h.lastHeard) > max(l.idleTimeout, timeout) {' 'if false {' TestFlowsOfDeadHostExpire
-without "word after a silence" limiter/limiter.go 'h.timedOut, h.partial, h.lastHeard = false, w.Partial, now' 'h.partial, h.lastHeard = w.Partial, now' TestReportAfterTimeoutIsApplied
+without "the end of hosts that are gone" limiter/limiter.go 'if now.Since(h.reportedAt) > max(l.idleTimeout, timeout) {' 'if false {' TestFlowsOfDeadHostExpire
+without "word after a silence" limiter/limiter.go 'h.timedOut, h.partial, h.reportedAt = false, r.Partial, now' 'h.partial, h.reportedAt = r.Partial, now' TestReportAfterTimeoutIsApplied
 without "the silence of large zones" limiter/limiter.go 'hostTimeoutPasses*time.Duration(rounds)*ZoneReportInterval' '0*time.Duration(rounds)*ZoneReportInterval' TestHostInLargeZoneDoesNotTimeOutBetweenReports
 without "words of a part of the targets" limiter/limiter.go 'case h.partial:' 'case false:' TestPartialReportDoesNotCoverOtherTargets
-without "hosts that tell no more" limiter/limiter.go 'if h.sameZone && !h.timedOut && now.Since(h.lastHeard) > timeout {' 'if false {' TestDeadHostsAreNotCountedAsReporters
+without "hosts that tell no more" limiter/limiter.go 'if h.sameZone && !h.timedOut && now.Since(h.reportedAt) > timeout {' 'if false {' TestDeadHostsAreNotCountedAsReporters
 
 package=steerer
 without "an even spread of connections" steerer/connection_limits.go 'return connectionWeight * float64(flows)' 'return 0 * connectionWeight * float64(flows)' TestIdleTargetIsNotFilledToItsConnectionLimit
@@ -381,11 +381,11 @@
 		return c.weight' '	if c.hasHistory {
 		return minWeight' 'TestCallersBehindNATGetMoreThanOneShare|TestEqualDemandIsServedEqually'
 without "weights that stay in a shortage" throttler/throttler.go 'return s.weightFreezeDeadline.Passed(now)' 'return true || s.weightFreezeDeadline.Passed(now)' TestRotatingAddressesShareOnePrefixAllocation
-without "prefixes of new addresses" throttler/throttler.go 'if own, ok := s.addresses.callers.Get(key); ok {' 'if own := s.addresses.getOrCreate(key, now); own != nil {' 'TestRotatingAddressesShareOnePrefixAllocation|TestOneTimeAddressesDoNotEvictOthers'
-without "shares that grow again" throttler/throttler.go 'd.sharePerWeight *= shareGrowth' 'd.sharePerWeight *= 1' TestRetryLoopDoesNotStarveOtherCallers
-without "crowds that ask alike" throttler/table.go 'return some.rate*d.weight > excessFactor*d.rate*some.weight' 'return true' TestCallersMovedFromFailedZoneAreServedEqually
+without "prefixes of new addresses" throttler/throttler.go 'if known, ok := s.addresses.callers.Get(key); ok {' 'if known := s.addresses.getOrCreate(key, now); known != nil {' 'TestRotatingAddressesShareOnePrefixAllocation|TestOneTimeAddressesDoNotEvictOthers'
+without "shares that grow again" throttler/throttler.go 'a.sharePerWeight *= shareGrowth' 'a.sharePerWeight *= 1' TestRetryLoopDoesNotStarveOtherCallers
+without "crowds that ask alike" throttler/table.go 'return other.rate*d.weight > excessFactor*d.rate*other.weight' 'return true' TestCallersMovedFromFailedZoneAreServedEqually
 without "unknown callers that ask for much more together" throttler/table.go '|| (!c.hasHistory &&' '|| (false && !c.hasHistory &&' TestOneTimeAddressesDoNotEvictOthers
-without "the weight of those who come from elsewhere" throttler/table.go 'd.newcomerWeight = max(sum/most, minWeight)' 'd.newcomerWeight = minWeight + 0*sum/most' TestCallersMovedFromFailedZoneAreServedEqually
+without "the weight of those who come from elsewhere" throttler/table.go 'a.newcomerWeight = max(sum/divisor, minWeight)' 'a.newcomerWeight = minWeight + 0*sum/divisor' TestCallersMovedFromFailedZoneAreServedEqually
 without "room for all" throttler/throttler.go 'if refused < negligibleRate {' 'if false && refused < negligibleRate {' TestNothingIsThrottledWithinCapacity
 without "bounded services" throttler/throttler.go 'maxServices = 64' 'maxServices = 640' TestCallerTablesAreBounded
 without "bounded callers" throttler/throttler.go 'maxAddresses = 512' 'maxAddresses = 51200' TestCallerTablesAreBounded
