--- a/core/reducer/dispatch.go
+++ b/core/reducer/dispatch.go
@@ -9,8 +9,8 @@
 	"cranberryspan.dev/core/timekeeper"
 )
 
-// dispatch starts a request, queues it while its target is full, or refuses it
-// where waiting is of no use: better at once than at the deadline.
+// dispatch starts a request, queues it while its target has no free slot, or
+// refuses it at once if the queue is full or the wait would exceed the deadline.
 func (r *Reducer) dispatch(q *request) {
 	policy := &q.service.settings.Policy
 	tenant := q.service.settings.Tenant
@@ -40,20 +40,20 @@
 	}
 }
 
-// countForTenant counts a request for its tenant until it leaves.
+// countForTenant counts a request for its tenant until releaseSlot is called.
 func (r *Reducer) countForTenant(q *request) {
 	q.countedForTenant = true
 	r.tenantInFlight[q.service.settings.Tenant]++
 }
 
-// expectedWait estimates how long a request that queues now waits for its turn,
-// from what requests took of late.
+// expectedWait estimates how long a request that is queued now waits before it is
+// sent, from the average service time.
 func (t *target) expectedWait(now timekeeper.Instant) time.Duration {
 	return t.serviceTime * time.Duration(len(t.queue)+1) / time.Duration(t.concurrencyLimit(now))
 }
 
-// updateServiceTime takes in how long a request was at the target, as a moving
-// average over about eight requests.
+// updateServiceTime adds the service time of one request to the target's moving
+// average, which covers about 8 requests.
 func (t *target) updateServiceTime(elapsed time.Duration) {
 	const weight = 8
 	if t.serviceTime == 0 {
@@ -63,8 +63,9 @@
 	t.serviceTime += (elapsed - t.serviceTime) / weight
 }
 
-// start takes a place at the target and sends the request, through the
-// successor if it may run only once.
+// start occupies a slot of the target and sends the request. A non-idempotent
+// request is sent only after the successor, if there is one, has stored its
+// identity.
 func (r *Reducer) start(q *request) {
 	q.inFlight = true
 	q.service.registry[q.target].inFlight++
@@ -94,7 +95,8 @@
 	r.sendTarget(e)
 }
 
-// releaseSlot gives up a request's place at its target and starts the next one.
+// releaseSlot frees a request's slot or queue entry at its target, and starts the
+// next queued request.
 func (r *Reducer) releaseSlot(q *request) {
 	if q.countedForTenant {
 		q.countedForTenant = false
@@ -123,10 +125,11 @@
 	}
 }
 
-// advanceRequests handles deadlines and forgets what is over.
+// advanceRequests handles deadlines, removes finished requests and starts queued
+// ones.
 func (r *Reducer) advanceRequests() {
 	kept := r.active[:0]
-	// Requests that start while the list is walked are added behind it.
+	// Requests that are added during the loop are appended afterwards.
 	current := r.active
 	r.active = nil
 	for _, q := range current {
@@ -147,7 +150,8 @@
 	}
 }
 
-// drainQueues starts queued requests whose room came from a peer's news.
+// drainQueues starts queued requests for which slots became free because a peer
+// reported a lower load or its report expired.
 func (r *Reducer) drainQueues(s *service) {
 	for _, t := range s.registry {
 		if len(t.queue) > 0 {
@@ -185,8 +189,8 @@
 	if q.deadline.Passed(r.now) {
 		r.recordFailure(q)
 		if q.packet.Flags.Has(messenger.FlagStream) {
-			// The answer to a stream's registration may have gone straight to
-			// the caller, so nothing is said here.
+			// The response to a stream's registration may have gone to the caller
+			// without passing this host, so no reply is sent.
 			r.releaseSlot(q)
 			q.state = stateAnswered
 			return
@@ -206,7 +210,8 @@
 	}
 }
 
-// retry sends an idempotent request to another target if the budget allows.
+// retry dispatches an idempotent request to another target if the retry budget
+// allows, and reports whether it did.
 func (r *Reducer) retry(q *request) bool {
 	q.attemptDeadline = timekeeper.Never
 	s := q.service
@@ -237,7 +242,7 @@
 	r.freeRequests = append(r.freeRequests, q)
 }
 
-// removeExpired drops requests that no caller repeats any more.
+// removeExpired removes requests that callers no longer retransmit.
 func (r *Reducer) removeExpired(s *service) {
 	n := 0
 	for n < len(s.retained) && s.retained[n].retainDeadline.Passed(r.now) && !s.retained[n].active {
--- a/core/reducer/reducer.go
+++ b/core/reducer/reducer.go
@@ -1,15 +1,15 @@
-// Package reducer takes every decision of a host. It is one pure function over
-// events: Reduce reads an event, changes the reducer's own state, and returns
-// what has to be done as data. It knows no clock, socket or goroutine, so a
-// test or a foreign harness drives any number of reducers in one process.
+// Package reducer makes every decision of a host as a deterministic state
+// machine: Reduce consumes an event, updates the reducer's state, and returns the
+// resulting actions as data. It uses no clock, socket or goroutine, so a test or
+// an external harness can run any number of reducers in one process.
 //
-// The state falls into parts, each with files of its own: settings in force
-// (adoption.go), who owns a flow (route.go), where a flow goes (target.go,
-// flow.go, pinning.go, exceptions.go, health.go), requests on their way
-// (request.go, dispatch.go, answer.go, refusal.go, hold.go), the identities that
-// make at-most-once hold (witness.go, permission.go, isolation.go), and joining
-// and leaving (joining.go, handover.go, leaving.go). Package detector keeps the
-// leases.
+// The state is divided by file: the settings in force (settings.go), flow
+// ownership (route.go), target selection (target.go, flow_table.go, pinning.go,
+// exceptions.go, health.go), outstanding requests (request.go, dispatch.go,
+// answer.go, refusal.go, hold.go), the request identities that guarantee
+// at-most-once execution (witness.go, permission.go, isolation.go), and joining
+// and graceful shutdown (joining.go, handover.go, leaving.go). Package detector
+// manages the leases.
 package reducer
 
 import (
@@ -25,23 +25,24 @@
 	"cranberryspan.dev/core/timekeeper"
 )
 
-// TickInterval is how often a host sends Tick events.
+// TickInterval is the interval at which a host passes Tick events to its reducer.
 const TickInterval = 20 * time.Millisecond
 
-// Config is what a reducer needs to know of its host.
+// Config describes a reducer's host and its start.
 type Config struct {
 	// Self is the host's name in the settings tree.
 	Self string
-	// Incarnation is higher than at any earlier start of the same host.
+	// Incarnation identifies this start of the host; it is higher than that of any
+	// earlier start.
 	Incarnation uint64
-	// Seed makes every random choice repeatable.
+	// Seed initializes the random generator, so that runs are reproducible.
 	Seed uint64
-	// Timing of failure detection; see detector.DefaultTiming.
+	// Timing configures failure detection; see detector.DefaultTiming.
 	Timing detector.Timing
-	// SeedHosts names hosts that may be asked for settings while the platform does
-	// not answer; empty if none are known.
+	// SeedHosts names hosts from which settings may be requested while the
+	// platform does not respond; empty if none are configured.
 	SeedHosts []string
-	// Start is the present time.
+	// Start is the time at which the host starts.
 	Start timekeeper.Instant
 }
 
@@ -54,7 +55,8 @@
 
 	settings *resolver.Settings
 	document []byte
-	// compressedDocument is the document of compressedRevision, as peers get it.
+	// compressedDocument is the gzipped document of compressedRevision, as sent to
+	// peers.
 	compressedDocument []byte
 	compressedRevision uint64
 	rejectedRevision   uint64
@@ -62,8 +64,9 @@
 	cells              placer.CellMap
 	cellSizes          map[string]int
 	rankers            map[string]placer.Ranker
-	// homeMoveDeadline is until when requests from before a change of home cells
-	// may be repeated; previousCells tells which buckets moved.
+	// homeMoveDeadline is when callers stop retransmitting requests from before the
+	// last change of home cells. previousCells is the cell map before that change
+	// and shows which buckets moved.
 	homeMoveDeadline timekeeper.Instant
 	previousCells    placer.CellMap
 
@@ -71,7 +74,7 @@
 	services    map[resolver.ServiceID]*service
 	serviceIDs  []resolver.ServiceID
 	addressUses map[netip.AddrPort]addressUse
-	// listedLeaving names hosts that the platform's list says are leaving.
+	// listedLeaving is the set of hosts that the platform lists as shutting down.
 	listedLeaving map[string]bool
 
 	flows       *flowTable
@@ -81,7 +84,7 @@
 	byToken      map[tokenKey]*request
 	active       []*request
 	freeRequests []*request
-	// tenantInFlight counts the requests under way by tenant.
+	// tenantInFlight counts the queued and in-flight requests of each tenant.
 	tenantInFlight map[string]int
 	seedHosts      []string
 	heldPackets    []heldPacket
@@ -117,7 +120,7 @@
 	forwards    []messenger.Forward
 }
 
-// New makes the reducer of a host that has just started and knows nothing.
+// New returns the reducer of a host that has just started and has no settings yet.
 func New(config Config) *Reducer {
 	r := &Reducer{
 		self:              config.Self,
@@ -150,8 +153,8 @@
 	return r
 }
 
-// Reduce takes in one event and returns what has to be done. The effects and
-// what they point to are valid until the next call.
+// Reduce handles one event and returns the actions that the host must perform. The
+// effects and the data that they point to are valid until the next call.
 func (r *Reducer) Reduce(event Event) []Effect {
 	r.effects = r.effects[:0]
 	r.targetSends = r.targetSends[:0]
@@ -185,8 +188,8 @@
 	return r.effects
 }
 
-// advanceClock moves time forward; a clock never goes back, even if events were
-// stamped out of order.
+// advanceClock moves the reducer's time forward. It never goes back, even if
+// events are stamped out of order.
 func (r *Reducer) advanceClock(at timekeeper.Instant) {
 	before := r.now
 	r.now = max(r.now, at)
@@ -249,7 +252,8 @@
 	}
 }
 
-// extraPayload adds to a heartbeat what the detector does not know.
+// extraPayload returns the heartbeat fields that the detector does not fill in:
+// the in-flight loads of this host.
 func (r *Reducer) extraPayload(peer string) messenger.Heartbeat {
 	const loadsEvery = 250 * time.Millisecond
 	news := messenger.Heartbeat{}
@@ -281,8 +285,8 @@
 	r.updateIsolation()
 }
 
-// noteQuorum remembers since when this host lacks a quorum, so that a request
-// that only a quorum may run is refused at once when waiting is of no use.
+// noteQuorum records since when this host has lacked a quorum, so that a request
+// that needs one is refused at once when waiting is futile.
 func (r *Reducer) noteQuorum() {
 	if r.detector.HasQuorum(r.now) {
 		r.noQuorumSince = timekeeper.Never
--- a/core/reducer/request.go
+++ b/core/reducer/request.go
@@ -13,49 +13,53 @@
 
 const (
 	maxAttempts = 3
-	// maxRetryTokens bounds how many retries may come in one burst.
+	// maxRetryTokens limits the retries of one burst.
 	maxRetryTokens = 20
-	// maxCachedResponseBytes bounds the answers that are kept for repeats of a request.
+	// maxCachedResponseBytes limits the size of a response that is cached to answer
+	// retransmissions of its request.
 	maxCachedResponseBytes = 1024
-	// maxHeldPackets bounds the packets that wait for this host's permission.
+	// maxHeldPackets limits the packets that are held until this host may run them.
 	maxHeldPackets = 4096
-	// holdTimeout is how long a packet waits for permission at most. A host that has
-	// just got an owner's records waits a lease before it acts, on top of what its
-	// joining takes; the packets that come meanwhile must outlast that.
+	// holdTimeout is the longest time for which a packet is held. A host that has
+	// just received an owner's records waits for the length of a lease before it
+	// acts as the owner, in addition to the time that joining takes; packets that
+	// arrive meanwhile must be held for longer than that.
 	holdTimeout = 4 * time.Second
-	// futileWaitAfter is how long a host may lack what it needs before it refuses at
-	// once instead of holding.
+	// futileWaitAfter is how long a host may lack a quorum or contact before it
+	// refuses requests at once instead of holding them.
 	futileWaitAfter = 2 * time.Second
-	// refuseTimeout is how long a refusal waits until the successor knows of it.
+	// refuseTimeout is how long a refusal waits for the successor to store the
+	// request's identity.
 	refuseTimeout = 500 * time.Millisecond
-	// sendValidity is how long a decision to send stays good: far less than a
-	// lease's grant exceeds the lease.
+	// sendValidity is how long after the decision a request may be sent: far less
+	// than the margin by which a granted vote outlasts the lease.
 	sendValidity = 100 * time.Millisecond
 )
 
-// requestState is how far a request has come.
+// requestState is a request's state of processing.
 type requestState uint8
 
 const (
-	// stateQueued requests wait for room at their target; they have not run.
+	// stateQueued requests wait for a slot of their target; they have not run.
 	stateQueued requestState = iota + 1
-	// stateWitnessing requests wait until the successor holds their identity.
+	// stateWitnessing requests wait until the successor has stored their identity.
 	stateWitnessing
-	// stateSent requests are at their target.
+	// stateSent requests were sent to their target.
 	stateSent
 	// stateInDoubt requests may have been sent by an earlier owner.
 	stateInDoubt
-	// stateRefusing requests will not run here; their caller is told as soon as
-	// the successor holds the identity, so that no late copy runs there either.
+	// stateRefusing requests will not run on this host. The caller gets its reply as
+	// soon as the successor has stored the identity, so that no late retransmission
+	// runs there either.
 	stateRefusing
-	// stateAnswered requests got their target's answer.
+	// stateAnswered requests received their target's response.
 	stateAnswered
-	// stateRefused requests got a final Reply from this host.
+	// stateRefused requests received a final Reply from this host.
 	stateRefused
 )
 
-// request is one request that this host is responsible for, kept for as long
-// as the caller may repeat it if it must not run twice.
+// request is a request that this host is responsible for. A non-idempotent one is
+// retained for as long as the caller may retransmit it.
 type request struct {
 	id             uint64
 	key            resolver.FlowKey
@@ -69,17 +73,17 @@
 	previousTarget uint16
 	attempts       uint8
 	inFlight       bool
-	// countedForTenant says that the request counts for its tenant.
+	// countedForTenant is set while the request counts in tenantInFlight.
 	countedForTenant bool
 	active           bool
 	sentAt           timekeeper.Instant
 	receivedAt       timekeeper.Instant
 	deadline         timekeeper.Instant
-	// attemptDeadline is when an idempotent request is tried elsewhere.
+	// attemptDeadline is when an idempotent request is retried at another target.
 	attemptDeadline timekeeper.Instant
 	retainDeadline  timekeeper.Instant
 	cachedResponse  []byte
-	// witness names the successor that is asked to hold the identity.
+	// witness names the successor that was asked to store the identity.
 	witness string
 }
 
@@ -100,7 +104,8 @@
 	return tokenKey{key: key, token: e.Token, length: e.TokenLength}
 }
 
-// identityOf hashes what makes a request the same request.
+// identityOf returns the request's identity: a hash of its flow, token and message
+// ID, which retransmissions have in common.
 func identityOf(key resolver.FlowKey, e messenger.Exchange) uint64 {
 	var b [19]byte
 	binary.LittleEndian.PutUint64(b[0:], uint64(key))
@@ -110,7 +115,8 @@
 	return xxhash.Sum64(b[:])
 }
 
-// handleRequest takes in a request at the host that is responsible for its flow.
+// handleRequest handles a request for whose flow this host is the owner or the
+// fallback.
 func (r *Reducer) handleRequest(in *inbound, role role) {
 	id := identityOf(in.key, in.packet.Exchange)
 	if q, ok := r.requests[id]; ok {
@@ -139,13 +145,13 @@
 	r.dispatch(q)
 }
 
-// serveAsFallback sends an idempotent request on without keeping anything of it.
+// serveAsFallback forwards an idempotent request to its target without tracking it.
 //
-// What goes wrong if this host waits for the answer: other hosts know the flow's
-// owner and hand the answer there, so it never comes here. The request keeps a
-// place at its target taken until its deadline, later ones queue behind it or go
-// to another target, and the caller is told "unknown" long after its answer. One
-// notices by uploads that are cut while hosts are replaced.
+// If this host tracked the request, it would not see the response, because other
+// hosts forward that to the flow's owner. The request would occupy a slot of its
+// target until its deadline, later requests would queue behind it or go to another
+// target, and the caller would get the outcome "unknown" long after the response.
+// This shows as uploads that are cut while hosts are replaced.
 func (r *Reducer) serveAsFallback(in *inbound) {
 	index, ok := r.targetFor(in)
 	if !ok {
@@ -156,8 +162,9 @@
 	r.passToTarget(in, index)
 }
 
-// admitNonIdempotent decides whether a request that may run only once may run here
-// and now. If not, it holds the packet or notes that it may have run before.
+// admitNonIdempotent reports whether this host may run a non-idempotent request
+// now. If not, it holds the packet, or tracks the request as one that may have run
+// before.
 func (r *Reducer) admitNonIdempotent(in *inbound, id uint64, role role) bool {
 	if r.identities.has(id) {
 		r.trackInDoubt(in, id)
@@ -179,8 +186,9 @@
 	return false
 }
 
-// trackInDoubt notes a request that an earlier owner may have sent to a target. If it
-// did, the answer still finds its caller; if none comes, the outcome is unknown.
+// trackInDoubt tracks a request that an earlier owner may have sent to a target. If
+// it did, the response still reaches the caller; if none arrives before the
+// deadline, the outcome is unknown.
 func (r *Reducer) trackInDoubt(in *inbound, id uint64) {
 	q := r.newRequest(in, id)
 	q.state = stateInDoubt
@@ -220,7 +228,7 @@
 	return q
 }
 
-// handleDuplicate handles a datagram whose request is known.
+// handleDuplicate handles a retransmission of a request that this host tracks.
 func (r *Reducer) handleDuplicate(in *inbound, q *request) {
 	switch q.state {
 	case stateAnswered:
@@ -246,7 +254,8 @@
 	}
 }
 
-// resendToTarget passes a repeated idempotent request on to where it went before.
+// resendToTarget sends a retransmission of an idempotent request to the target that
+// the request was sent to.
 func (r *Reducer) resendToTarget(q *request, in *inbound) {
 	if q.target != noTarget && q.service.registry[q.target].listed {
 		r.passToTarget(in, q.target)
--- a/core/reducer/route.go
+++ b/core/reducer/route.go
@@ -10,41 +10,43 @@
 	"cranberryspan.dev/core/timekeeper"
 )
 
-// maxHops bounds how often a packet is forwarded while hosts disagree on its owner.
+// maxHops limits how often a packet is forwarded between hosts that disagree about
+// its owner.
 const maxHops = 3
 
-// inbound is a packet on its way through this host.
+// inbound is a received packet with the flow and service that it belongs to.
 type inbound struct {
 	key       resolver.FlowKey
 	hash      uint64
 	service   *service
 	direction messenger.Direction
-	// target is where an answer came from.
+	// target is the address that a response came from.
 	target netip.AddrPort
 	packet *messenger.Packet
 	hops   uint8
 }
 
-// role is what this host is to a flow.
+// role is the part that this host plays for a flow.
 type role uint8
 
 const (
-	// roleOwner hosts keep the flow's records.
+	// roleOwner means that this host keeps the flow's records.
 	roleOwner role = iota + 1
-	// roleFallback hosts act because the owner can't be reached. They serve what
-	// may run twice, and nothing else.
+	// roleFallback means that this host serves the flow because its owner can't be
+	// reached. It serves idempotent requests only.
 	roleFallback
-	// roleForward hosts hand the packet on.
+	// roleForward means that this host forwards the packet to another host.
 	roleForward
 )
 
-// staleAfter bounds how long a packet may wait for a host to read it. Together
-// with the network's own bound it must stay below the exchange lifetime.
+// staleAfter limits how long a packet may wait in the socket before the host reads
+// it. Together with the maximum delay of the network it must stay below the exchange
+// lifetime.
 //
-// What goes wrong without it: a host is paused for longer than callers repeat
-// their requests. The datagram that waited in its socket comes out when nobody
-// remembers the request any more, and runs again. One notices by a commitment
-// that is booked a second time when a host wakes.
+// Without this, when a host is paused for longer than callers retransmit their
+// requests, a datagram that waited in its socket is read after every host has
+// dropped the request's identity, and the request runs again. This shows as a
+// commitment that is booked a second time when a host resumes.
 const staleAfter = time.Second
 
 func (r *Reducer) isStale(arrived timekeeper.Instant) bool {
@@ -87,7 +89,8 @@
 	s, ok := r.services[key.Service()]
 	if !ok || !s.settings.ReturnPrefix.Contains(e.Return) || !s.acceptsResponsesFrom(e.Target, r.addressUses) {
 		// A packet from an address that is no target of the service must not
-		// reach the service's caller: the address may have changed hands.
+		// reach the service's caller: the address may belong to another service
+		// now.
 		r.count(DropUnknownTarget)
 		return
 	}
@@ -101,7 +104,8 @@
 	})
 }
 
-// handleForward takes in a packet that another host took for ours.
+// handleForward handles a packet that another host forwarded because it considers
+// this host the owner of the flow.
 func (r *Reducer) handleForward(f *messenger.Forward, arrived timekeeper.Instant) {
 	if f.Direction == messenger.DirectionToTarget && r.isStale(arrived) {
 		return
@@ -130,7 +134,7 @@
 	})
 }
 
-// route hands a packet to the owner of its flow, or acts on it here.
+// route forwards a packet to the owner of its flow, or handles it on this host.
 func (r *Reducer) route(in *inbound) {
 	if in.direction == messenger.DirectionToCaller && bypassesOwner(in.packet) {
 		r.deliverToCaller(in)
@@ -156,9 +160,9 @@
 	r.handleLocally(in, role)
 }
 
-// bypassesOwner reports whether an answer can go to its caller without its
-// owner: notifications of a stream, and control packets. All that they need is
-// in the return address.
+// bypassesOwner reports whether a packet from a target goes to the caller without
+// passing the flow's owner. This holds for notifications of a stream and for control
+// packets: the return address contains all that is needed to deliver them.
 func bypassesOwner(packet *messenger.Packet) bool {
 	if packet.Kind != messenger.KindResponse {
 		return true
@@ -166,8 +170,8 @@
 	return packet.Flags.Has(messenger.FlagStream) && !packet.Flags.Has(messenger.FlagPiggybacked)
 }
 
-// isNonIdempotent reports whether a packet must be handled by its flow's owner or by
-// nobody: a request that may run only once.
+// isNonIdempotent reports whether a packet is a non-idempotent request, which only
+// the flow's owner may handle.
 func isNonIdempotent(in *inbound) bool {
 	return in.direction == messenger.DirectionToTarget &&
 		in.packet.Kind == messenger.KindRequest &&
@@ -199,9 +203,10 @@
 	}
 }
 
-// ownerOf finds the host that owns a bucket: the first of the bucket's home
-// cell, in rank order, that takes part. ownerOnly is set for requests that only the
-// owner may run; for others a silent host is passed over at once.
+// ownerOf returns the host to which packets of a bucket go, and this host's role.
+// The owner is the first host of the bucket's home cell, in rank order, that acts as
+// an owner. ownerOnly is set for requests that only the owner may run; for other
+// requests a suspect host is skipped at once.
 func (r *Reducer) ownerOf(bucket placer.Bucket, ownerOnly bool) (string, role) {
 	order := r.rankers[r.cells.Home(bucket)].Rank(bucket)
 	for i, name := range order.Names() {
@@ -227,8 +232,9 @@
 	return r.self, roleFallback
 }
 
-// relayToOwner returns the host through which a request that only the owner may
-// run goes to an owner that does not answer here although it may own the flow.
+// relayToOwner returns the host that relays a request that only the owner may run,
+// if this host can't reach the owner but the owner's death is not confirmed. It
+// returns "" if there is none.
 func (r *Reducer) relayToOwner(owner string, ownerOnly bool) string {
 	state := r.detector.State(owner)
 	unreachable := state.Liveness == messenger.LivenessDead && state.Phase == messenger.PhaseReady && state.Incarnation != 0
@@ -238,7 +244,8 @@
 	return r.relayTo(owner)
 }
 
-// firstReady returns the first ready host of a rank order's rest.
+// firstReady returns the first of the named hosts that acts as an owner; "" if none
+// does.
 func (r *Reducer) firstReady(names []string) string {
 	for _, name := range names {
 		if r.actsAsOwner(name, false) {
@@ -248,7 +255,8 @@
 	return ""
 }
 
-// actsAsOwner reports whether another host acts as an owner at present.
+// actsAsOwner reports whether another host currently acts as an owner. With
+// ownerOnly, a suspect host counts too.
 func (r *Reducer) actsAsOwner(name string, ownerOnly bool) bool {
 	state := r.detector.State(name)
 	switch state.Liveness {
@@ -262,7 +270,7 @@
 	}
 	switch state.Phase {
 	case messenger.PhaseReady, messenger.PhaseLeaving:
-		// Its records may have come before the news that it leaves.
+		// Its records may arrive before the heartbeat that reports its shutdown.
 		return r.leaveHandoverFrom[name] != state.Incarnation
 	case messenger.PhaseJoining, messenger.PhaseWaited:
 		return r.handedOverTo[name] == state.Incarnation && state.Incarnation != 0
@@ -272,7 +280,7 @@
 	return false
 }
 
-// handleLocally handles a packet at the host that is responsible for it.
+// handleLocally handles a packet for which this host is the owner or the fallback.
 func (r *Reducer) handleLocally(in *inbound, role role) {
 	if in.direction == messenger.DirectionToCaller {
 		r.handleResponse(in)
@@ -286,7 +294,7 @@
 	}
 }
 
-// handleControl passes an acknowledgement or reset on to where its flow is.
+// handleControl sends an acknowledgement or reset to the targets of its flow.
 func (r *Reducer) handleControl(in *inbound) {
 	f, known := r.flows.get(in.key, in.hash)
 	if !known {
@@ -301,8 +309,8 @@
 	if in.service.registry[f.target].listed {
 		r.passToTarget(in, f.target)
 	}
-	// While plain requests go elsewhere, an acknowledgement does not say which
-	// target it is meant for; the wrong one ignores it (RFC 7252, section 4.2).
+	// A flow with two targets gives no clue which of them an acknowledgement is
+	// for; the wrong one ignores it (RFC 7252, section 4.2).
 	if f.otherTarget != noTarget && in.service.registry[f.otherTarget].listed {
 		r.passToTarget(in, f.otherTarget)
 	}
@@ -324,8 +332,9 @@
 	})
 }
 
-// touch notes that a flow is in use. Writing the table for each packet would be
-// a waste, so the time is only as fine as expiry needs.
+// touch updates the time at which a flow was last used. To avoid a write to the flow
+// table for each packet, the time has a resolution of resolutionSeconds, which is
+// enough for expiry.
 func (r *Reducer) touch(in *inbound, f flow) {
 	const resolutionSeconds = 8
 	now := seconds(r.now)
--- a/core/reducer/target.go
+++ b/core/reducer/target.go
@@ -12,35 +12,39 @@
 )
 
 const (
-	// addressQuarantine is how long an address that served one service rests
-	// before it serves another: twice the time within which a revision is in
-	// force everywhere, so that no packet of a host that lags is still under way.
+	// addressQuarantine is how long an address that served one service stays unused
+	// before it may serve another: twice the time within which a revision is in
+	// force on every host, so that no packet of a host with older settings is still
+	// in flight.
 	addressQuarantine = 18 * time.Second
-	// failedProbesToEject is how many probes in a row a target must fail.
+	// failedProbesToEject is the number of consecutive failed probes after which a
+	// target counts as failing.
 	failedProbesToEject = 3
-	// failedRequestsToEject is how many requests in a row must go unanswered
-	// before traffic itself speaks against a target.
+	// failedRequestsToEject is the number of consecutive requests without a
+	// response after which a target counts as failing, whatever its probes say.
 	failedRequestsToEject = 2
-	// responseEvidenceTTL is how long an answer speaks for a target whose health
-	// endpoint says otherwise.
+	// responseEvidenceTTL is how long a response to a request overrides failed
+	// probes of its target.
 	responseEvidenceTTL = 2 * time.Second
-	// loadReportTTL is how long a reported load counts at all.
+	// loadReportTTL is how long the load that a target reports is used.
 	loadReportTTL = 2 * time.Second
 )
 
-// target is a target as this host sees it. Its place in the registry stays the
-// same for the life of the host, whatever revisions come.
+// target is this host's view of a target. Its index in the service's registry
+// never changes while the process runs, whatever revisions are applied.
 type target struct {
 	name    string
 	address netip.AddrPort
 	policy  resolver.Policy
-	// listed says that the revision in force lists the target.
+	// listed is set if the revision in force lists the target.
 	listed bool
-	// settingsIndex is its index in the settings' list, for reports among hosts.
+	// settingsIndex is the target's index in the settings, which identifies it in
+	// messages between hosts.
 	settingsIndex int
-	// quarantineDeadline is when an address that came from another service may be used.
+	// quarantineDeadline is when an address that belonged to another service may be
+	// used.
 	quarantineDeadline timekeeper.Instant
-	// warmUpDeadline is when a new target has its full share.
+	// warmUpDeadline is when a new target gets its full share of new flows.
 	warmUpDeadline timekeeper.Instant
 	warmUpDuration time.Duration
 
@@ -51,11 +55,12 @@
 	loadReportDeadline timekeeper.Instant
 	inFlight           int
 	serviceTime        time.Duration
-	// peerLoads holds what other hosts have in flight at the target.
+	// peerLoads holds the number of requests that each other host has in flight at
+	// the target.
 	peerLoads map[string]peerLoad
 	queue     []*request
-	// failureReports are the hosts whose probes fail, with the time until which their
-	// word holds.
+	// failureReports maps each host that reported failed probes of the target to the
+	// time at which its report expires.
 	failureReports map[string]timekeeper.Instant
 }
 
@@ -64,8 +69,8 @@
 	deadline timekeeper.Instant
 }
 
-// isFailing reports whether health speaks against the target. A health endpoint
-// that fails while requests are being answered is not believed.
+// isFailing reports whether probes or requests show that the target fails. Failed
+// probes are ignored while the target responds to requests.
 func (t *target) isFailing(now timekeeper.Instant) bool {
 	if !t.answerDeadline.Passed(now) && t.answerDeadline != 0 {
 		return false
@@ -73,16 +78,17 @@
 	return t.failedProbes >= failedProbesToEject || t.reportedFailing(now) || t.requestsFailing()
 }
 
-// requestsFailing reports whether requests themselves speak against the target.
+// requestsFailing reports whether the target fails to respond to requests.
 func (t *target) requestsFailing() bool { return t.failedRequests >= failedRequestsToEject }
 
-// usable reports whether new work may go to the target at all.
+// usable reports whether the settings allow new flows on the target.
 func (t *target) usable(now timekeeper.Instant) bool {
 	return t.listed && t.policy.State == resolver.TargetActive && t.quarantineDeadline.Passed(now)
 }
 
-// load estimates the requests at the target: what this host knows exactly, what
-// peers said lately, or what the target reports if that is more.
+// load estimates the number of requests at the target: this host's own plus those
+// that peers reported recently, or the number that the target reports if that is
+// higher.
 func (t *target) load(now timekeeper.Instant) int {
 	sum := t.inFlight + len(t.queue)
 	for _, p := range t.peerLoads {
@@ -93,13 +99,15 @@
 	if t.loadReportDeadline.Passed(now) {
 		return sum
 	}
-	// An older report counts less: it describes work that has since ended.
+	// The weight of a report decreases with its age, because part of the work that
+	// it counts has ended since.
 	remaining := t.loadReportDeadline.Until(now)
 	discounted := int(float64(t.reportedLoad) * float64(remaining) / float64(loadReportTTL))
 	return max(sum, discounted)
 }
 
-// concurrencyLimit is how many requests this host may have in flight at the target.
+// concurrencyLimit returns how many requests this host may have in flight at the
+// target.
 func (t *target) concurrencyLimit(now timekeeper.Instant) int {
 	others := 0
 	for _, p := range t.peerLoads {
@@ -107,27 +115,29 @@
 			others += p.inFlight
 		}
 	}
-	// Peers' figures lag, so that a host never stops for their sake entirely:
-	// the target itself sheds what is too much.
+	// The loads of peers lag behind, so this host may always have one request in
+	// flight; the target sheds the excess itself.
 	return max(1, t.policy.Slots-others)
 }
 
-// service is a service as this host sees it.
+// service is this host's view of a service.
 type service struct {
 	settings *resolver.Service
 	registry []*target
 	byAddr   map[netip.AddrPort]uint16
-	// tables are the placement tables, the current one first.
+	// tables are the placement tables, newest first. Older ones locate flows that
+	// were placed before the targets changed.
 	tables []placementTable
-	// nextEjectUpdate is when the cached list of ejected targets is made anew.
+	// nextEjectUpdate is when the cached list of ejected targets is recomputed.
 	nextEjectUpdate timekeeper.Instant
 	ejected         []bool
 	retryTokens     float64
-	// retained holds requests that may be repeated, oldest first.
+	// retained holds the non-idempotent requests that callers may still retransmit,
+	// oldest first.
 	retained []*request
 }
 
-// placementTable is a placement table with the registry places of its candidates.
+// placementTable is a lookup table with the registry indexes of its candidates.
 type placementTable struct {
 	table           *placer.LookupTable
 	candidates      []placer.Candidate
@@ -145,7 +155,7 @@
 
 const maxTables = 8
 
-// newService makes or renews a service for a revision.
+// updateService creates or updates a service for a revision.
 func (r *Reducer) updateService(old *service, settings *resolver.Service, now timekeeper.Instant) *service {
 	s := old
 	if s == nil {
@@ -209,12 +219,13 @@
 	r.dirtyShards = flowShards
 }
 
-// quarantineDeadline looks whether an address belonged to another service of late.
+// quarantineDeadline returns when the service may use the address: zero unless the
+// address belonged to another service recently.
 //
-// What goes wrong without it: an address moves from intake to ledger. A host
-// that has not heard of it still sends intake's packets there, and a packet
-// that left before the change arrives after it. One notices by requests of one
-// service in another one's log. So the address rests before it is used again.
+// Without this, when an address moves from one service to another, a host that
+// does not have the new revision yet still sends packets of the old service
+// there, and packets sent before the change arrive after it. This shows as
+// requests of one service in the log of another.
 func (r *Reducer) quarantineDeadline(address netip.AddrPort, id resolver.ServiceID) timekeeper.Instant {
 	use, ok := r.addressUses[address]
 	if ok && use.service != id {
@@ -226,17 +237,18 @@
 	return 0
 }
 
-// addressUse is the service that used an address last. deadline is when it has
-// rested since; Never while the service uses it. next is the service that uses it
-// from then on, if any.
+// addressUse records which service used an address last. quarantineDeadline is when
+// the address may serve another service; Never while the service still uses it.
+// nextService is the service that uses the address after that; zero if none.
 type addressUse struct {
 	service            resolver.ServiceID
 	quarantineDeadline timekeeper.Instant
 	nextService        resolver.ServiceID
 }
 
-// releaseAddresses notes, before a revision comes into force, which addresses
-// its services no longer use, and lets rested ones go.
+// releaseAddresses runs before a revision is adopted. It starts the quarantine of
+// addresses that their services no longer use, and ends quarantines that have
+// expired.
 func (r *Reducer) releaseAddresses(next *resolver.Settings, now timekeeper.Instant) {
 	used := map[netip.AddrPort]resolver.ServiceID{}
 	for i := range next.Services {
@@ -260,9 +272,11 @@
 	}
 }
 
-// ejectedTargets computes which targets health excludes, at most MaxEjectedShare of them
-// unless requests themselves fail: health endpoints that lie together must not
-// empty a service, but targets behind a partition may all be gone.
+// ejectedTargets returns, by registry index, which targets are ejected. Failed
+// probes eject at most MaxEjectedShare of the listed targets, so that health
+// endpoints that fail together can't leave a service without targets. Targets that
+// do not respond to requests are ejected without that limit, because a partition
+// may cut off all of them.
 func (s *service) ejectedTargets(now timekeeper.Instant) []bool {
 	const updateInterval = 100 * time.Millisecond
 	if !s.nextEjectUpdate.Passed(now) {
@@ -290,12 +304,13 @@
 	return s.ejected
 }
 
-// choose picks the target of a new flow. avoid is a target that was tried
+// choose selects the target of a new flow. avoid is a target that was tried
 // already, or noTarget.
 //
-// The first candidate of the slot gets the flow unless it is full and the
-// second one has room: two choices even out load, and the condition keeps flows
-// that only their owner can find rare.
+// The flow goes to the first candidate of its table entry, unless that one is full
+// and the second candidate is less loaded. Two choices balance the load, and
+// taking the second one only when needed keeps exceptions rare: flows whose target
+// the table does not give, so that only their owner knows it.
 func (s *service) choose(hash uint64, avoid uint16, now timekeeper.Instant) (index uint16, ok bool) {
 	if len(s.tables) == 0 {
 		return noTarget, false
@@ -330,9 +345,9 @@
 	return s.chooseAny(hash, avoid, ejected, now)
 }
 
-// skipDuringWarmUp keeps a share of new flows away from a target that is warming up: the
-// share shrinks as its deadline comes near. It starts at a tenth, so that the
-// target gets the work that warms it.
+// skipDuringWarmUp reports whether a new flow passes over a target that is warming
+// up. The fraction of flows that the target receives rises linearly to 1 at its
+// deadline, and is at least 0.1, so that it gets enough work to warm up.
 func (s *service) skipDuringWarmUp(t *target, hash uint64, now timekeeper.Instant) bool {
 	if t.warmUpDuration == 0 || t.warmUpDeadline.Passed(now) {
 		return false
@@ -342,9 +357,9 @@
 	return float64(uint16(hash>>20))/(1<<16) > share
 }
 
-// chooseAny takes the first usable target, walking from a place that depends on
-// the flow; if health excludes all, it takes one of those: a target that may be
-// ill is better than none.
+// chooseAny returns the first usable target of the registry, starting at an index
+// that depends on the flow. If all usable targets are ejected, it returns an
+// ejected one, since a target that may fail is better than none.
 func (s *service) chooseAny(hash uint64, avoid uint16, ejected []bool, now timekeeper.Instant) (uint16, bool) {
 	n := len(s.registry)
 	for _, allowEjected := range []bool{false, true} {
@@ -358,8 +373,9 @@
 	return noTarget, false
 }
 
-// previousTarget returns where a flow that nobody remembers was put before the last
-// changes of the table, if that target is still there.
+// previousTarget returns the target of a flow that has no record: the one that an
+// earlier table gave it, if the table has not expired and the target is still
+// listed, or else the one that the current table gives.
 func (s *service) previousTarget(hash uint64, now timekeeper.Instant) (uint16, bool) {
 	for i := 1; i < len(s.tables); i++ {
 		if s.tables[i].deadline.Passed(now) {
@@ -375,7 +391,8 @@
 	return noTarget, false
 }
 
-// acceptsResponsesFrom reports whether an address is, or was until lately, a target's.
+// acceptsResponsesFrom reports whether an address belongs to a target of the
+// service, or did until recently.
 func (s *service) acceptsResponsesFrom(address netip.AddrPort, use map[netip.AddrPort]addressUse) bool {
 	index, ok := s.byAddr[address]
 	if !ok {
@@ -384,7 +401,7 @@
 	return s.registry[index].listed || use[address].service == s.settings.ID
 }
 
-// updatePeerLoads takes over what a peer has in flight.
+// updatePeerLoads records the loads that a peer reports.
 func (r *Reducer) updatePeerLoads(from string, loads map[uint32]uint16, now timekeeper.Instant) {
 	for key, n := range loads {
 		s, ok := r.services[resolver.ServiceID(key>>16)]
@@ -397,7 +414,8 @@
 	}
 }
 
-// inFlightLoads lists what this host has in flight, the largest loads first cut.
+// inFlightLoads returns the number of this host's in-flight requests by target,
+// for at most maxLoads targets.
 func (r *Reducer) inFlightLoads() map[uint32]uint16 {
 	const maxLoads = 32
 	loads := map[uint32]uint16{}
