--- a/core/reducer/answer.go
+++ b/core/reducer/answer.go
@@ -4,13 +4,14 @@
 	"cranberryspan.dev/core/messenger"
 )
 
-// handleResponse takes in a target's answer at the host responsible for its flow. An
-// answer goes to the caller whose request it answers, or nowhere.
+// handleResponse handles a target's response on the host responsible for its flow.
+// If this host tracks a request with the response's token, it delivers the response
+// only if that matches the request, and drops it otherwise.
 func (r *Reducer) handleResponse(in *inbound) {
 	q, ok := r.byToken[tokenOf(in.key, in.packet.Exchange)]
 	if !ok {
-		// The request was sent by another host: an owner that died, or one that
-		// stood in. The return address names the caller, who knows its token.
+		// The request was sent by another host: an owner that died, or a fallback.
+		// The return address gives the caller, which matches the token itself.
 		r.deliverToCaller(in)
 		return
 	}
@@ -29,17 +30,17 @@
 	case stateInDoubt:
 		r.completeRequest(in, q, index)
 	case stateAnswered:
-		// The target repeats its answer until the caller acknowledges it.
+		// The target retransmits its response until the caller acknowledges it.
 		r.deliverToCaller(in)
 	case stateRefused, stateRefusing, stateQueued, stateWitnessing:
-		// The caller has had a final answer, or this answer belongs to an
-		// earlier request with the same token.
+		// The caller has received or will receive a final reply, or this response
+		// belongs to an earlier request with the same token.
 		r.count(DropLateAnswer)
 	}
 }
 
-// handleEarlierResponse handles an answer that acknowledges another message than the
-// token's latest request, as happens when a caller uses a token again.
+// handleEarlierResponse handles a response that acknowledges a message other than
+// the latest request with its token, as happens when a caller reuses a token.
 func (r *Reducer) handleEarlierResponse(in *inbound) {
 	q, ok := r.requests[identityOf(in.key, in.packet.Exchange)]
 	if !ok {
@@ -56,8 +57,8 @@
 	}
 }
 
-// completeRequest hands an answer to its caller, unless the target says that it ran
-// nothing and the request can still run elsewhere.
+// completeRequest delivers a response to its caller, unless the target refused the
+// request without running it and the request can be retried at another target.
 func (r *Reducer) completeRequest(in *inbound, q *request, index uint16) {
 	t := in.service.registry[index]
 	t.failedRequests = 0
--- a/core/reducer/counters.go
+++ b/core/reducer/counters.go
@@ -1,10 +1,10 @@
 package reducer
 
-// Reason says why a packet was dropped, a request refused, or counts something
-// else that operators watch.
+// Reason identifies a counter: why a packet was dropped, why a request was refused,
+// or another occurrence that operators monitor.
 type Reason uint8
 
-// The reasons, in the order of the metrics.
+// The reasons, in the order in which the metrics list them.
 const (
 	DropUnknownService Reason = iota
 	DropUnknownCaller
@@ -73,7 +73,7 @@
 	return "unknown"
 }
 
-// Reasons lists every Reason in order.
+// Reasons returns every Reason in order.
 func Reasons() []Reason {
 	reasons := make([]Reason, numReasons)
 	for i := range reasons {
@@ -84,5 +84,5 @@
 
 func (r *Reducer) count(reason Reason) { r.counts[reason]++ }
 
-// Count returns how often something happened since the start.
+// Count returns how often a reason was counted since the host started.
 func (r *Reducer) Count(reason Reason) uint64 { return r.counts[reason] }
--- a/core/reducer/effect.go
+++ b/core/reducer/effect.go
@@ -10,8 +10,8 @@
 	"cranberryspan.dev/core/timekeeper"
 )
 
-// Effect is something that the host has to do. The set is closed. Effects are
-// data; those of one Reduce call are valid until the next call.
+// Effect is an action that the host must perform. The set of types is closed.
+// Effects are plain data; those of one Reduce call are valid until the next call.
 type Effect interface{ effect() }
 
 func (*ToTarget) effect()  {}
@@ -30,8 +30,9 @@
 type ToTarget struct {
 	Target netip.AddrPort
 	Return netip.Addr
-	// Deadline, if not zero, is when the host's right to send this ends. A host
-	// that was paused between deciding and sending must not send any more.
+	// Deadline, if not zero, is the time after which the packet must not be sent:
+	// the host may have been paused between the decision and the sending, and may
+	// have lost ownership of the flow.
 	Deadline timekeeper.Instant
 	Payload  []byte
 }
@@ -43,14 +44,14 @@
 	Payload []byte
 }
 
-// Outcome is what a Reply says of a request.
+// Outcome is what a Reply states about the execution of a request.
 type Outcome uint8
 
 // The outcomes.
 const (
-	// OutcomeNotRun says that the request certainly did not run.
+	// OutcomeNotRun means that the request certainly did not run.
 	OutcomeNotRun Outcome = iota + 1
-	// OutcomeUnknown says that the request may have run.
+	// OutcomeUnknown means that the request may have run.
 	OutcomeUnknown
 )
 
@@ -61,48 +62,51 @@
 	return "unknown"
 }
 
-// Reply answers a caller on the system's own behalf.
+// Reply sends a caller a reply from the load balancer itself, not from a target.
 type Reply struct {
 	Caller   netip.AddrPort
 	Service  netip.AddrPort
 	Exchange messenger.Exchange
 	Flags    messenger.Flags
 	Outcome  Outcome
-	// Reason is a short word for logs and the diagnostic payload.
+	// Reason appears in logs and in the diagnostic payload.
 	Reason Reason
-	// RetryAfter tells the caller when to come back.
+	// RetryAfter is how long the caller should wait before it sends a new request.
 	RetryAfter time.Duration
 }
 
-// ToPeer sends a message to another host. Forward messages go as datagrams and
-// may be lost; the others go over the control link in order, or not at all.
+// ToPeer sends a message to another host. Forward messages are sent as datagrams and
+// may be lost. Other messages are sent over the control link, which may lose them
+// but keeps their order.
 type ToPeer struct {
 	Host string
 	Body messenger.Body
 }
 
-// Probe asks a target how it is.
+// Probe sends a health check to a target.
 type Probe struct {
 	Target netip.AddrPort
 }
 
-// Watch says whether this host is to watch the platform, or learn from peers.
+// Watch enables or disables this host's watch on the platform. A host that does not
+// watch gets its settings from peers.
 type Watch struct {
 	Enabled bool
 }
 
-// Adopted says that a revision is in force.
+// Adopted reports that a revision of the settings is in force.
 type Adopted struct {
 	Settings *resolver.Settings
 }
 
-// Rejected says that a revision was refused; the last one stays in force.
+// Rejected reports that a revision was rejected; the previous one stays in force.
 type Rejected struct {
 	Revision uint64
 	Err      error
 }
 
-// Completed reports a request whose answer went to its caller, for histograms.
+// Completed reports the latency of a request whose response went to its caller, for
+// histograms.
 type Completed struct {
 	Service *resolver.Service
 	Latency time.Duration
@@ -114,5 +118,5 @@
 // Field is a key and a value of a log line.
 type Field = recorder.Field
 
-// Ended says that the host has left and the process may end.
+// Ended reports that the graceful shutdown is complete and the process may exit.
 type Ended struct{}
--- a/core/reducer/event.go
+++ b/core/reducer/event.go
@@ -7,10 +7,10 @@
 	"cranberryspan.dev/core/timekeeper"
 )
 
-// Event is something that happened to a host. The set is closed. Events carry
-// their own time; they are read, never kept or changed.
+// Event is an input of the reducer. The set of types is closed. Each event carries
+// the time at which it is handled. The reducer neither changes nor keeps events.
 type Event interface {
-	// at is when the event is handled.
+	// at points to the time at which the event is handled.
 	at() *timekeeper.Instant
 }
 
@@ -26,8 +26,8 @@
 // CallerPacket is a packet from a caller to a service address.
 type CallerPacket struct {
 	At timekeeper.Instant
-	// Arrived is when the network took the packet in, before it waited for this
-	// host to read it.
+	// Arrived is when the packet arrived at the host, before it waited in the socket
+	// to be read.
 	Arrived timekeeper.Instant
 	Caller  netip.AddrPort
 	Service netip.AddrPort
@@ -58,32 +58,36 @@
 	Document []byte
 }
 
-// HostsPublished is the platform's list of hosts. It lags, so it is a hint: a
-// host that it lists as leaving does not count as a watcher, nothing more.
+// HostsPublished is the platform's list of hosts. The list may be out of date, so it
+// is only a hint: a host that it lists as shutting down does not count as a watcher,
+// and nothing else depends on it.
 type HostsPublished struct {
 	At      timekeeper.Instant
 	Leaving []string
 }
 
-// ProbeAnswered is what a target's health endpoint said, or that it said nothing.
+// ProbeAnswered is the result of a probe. A probe without a response counts as
+// unhealthy.
 type ProbeAnswered struct {
 	At      timekeeper.Instant
 	Target  netip.AddrPort
 	Healthy bool
-	// InFlight is how many requests the target reports to be running or queued.
+	// InFlight is the number of running and queued requests that the target reports.
 	InFlight int
 }
 
-// Tick lets time pass. It comes every TickInterval.
+// Tick advances time and triggers periodic work. The host sends one every
+// TickInterval.
 type Tick struct {
 	At timekeeper.Instant
 }
 
-// Shutdown asks the host to hand its flows over and leave.
+// Shutdown starts a graceful shutdown: the host hands its flows over and then ends.
 type Shutdown struct {
 	At timekeeper.Instant
 }
 
-// Stamp sets the time at which an event is handled. An event that waited while
-// its host was paused must not look as old as it is: leases are judged by it.
+// Stamp sets the time at which an event is handled. An event that was created before
+// its host was paused must not carry the old time, because leases are checked
+// against the time of the event.
 func Stamp(event Event, now timekeeper.Instant) { *event.at() = now }
--- a/core/reducer/exceptions.go
+++ b/core/reducer/exceptions.go
@@ -11,8 +11,9 @@
 	"cranberryspan.dev/core/timekeeper"
 )
 
-// sweepFlows visits one shard: it drops idle flows, marks flows that the last
-// change made exceptions, and tells successors of exceptions.
+// sweepFlows processes one shard per tick: it removes idle flows, updates which
+// flows are exceptions after a change of the placement tables, and sends the records
+// of exceptions to the successors.
 func (r *Reducer) sweepFlows() {
 	marking := r.dirtyShards > 0
 	if marking {
@@ -35,14 +36,15 @@
 	r.copyExceptions(uncopied)
 }
 
-// uncopiedFlow is an exception of which no successor knows yet.
+// uncopiedFlow is an exception whose record has not been sent to a successor yet.
 type uncopiedFlow struct {
 	key  resolver.FlowKey
 	flow flow
 }
 
-// copyExceptions tells successors of exceptions as far as the budget reaches,
-// streams and uploads first: losing one of those costs more than a request.
+// copyExceptions sends the records of exceptions to the successors, within a byte
+// budget. Flows with streams or uploads come first, because losing one of those
+// costs more than losing a request.
 func (r *Reducer) copyExceptions(uncopied []uncopiedFlow) {
 	r.copyTokens = min(r.copyTokens+copyBytesPerSecond*TickInterval.Seconds(), copyBytesPerSecond)
 	slices.SortFunc(uncopied, func(a, b uncopiedFlow) int {
--- a/core/reducer/flow_table.go
+++ b/core/reducer/flow_table.go
@@ -8,17 +8,18 @@
 	"cranberryspan.dev/core/timekeeper"
 )
 
-// noTarget marks a flow that has no second target.
+// noTarget is a registry index that stands for no target.
 const noTarget = 0xffff
 
-// flow is what an owner remembers of a flow, in 16 bytes with its key.
+// flow is an owner's record of a flow, 16 bytes with its key.
 type flow struct {
-	// target is the place of the flow's target in its service's registry.
+	// target is the index of the flow's target in the service's registry.
 	target uint16
-	// otherTarget is the target of plain requests, where target only keeps streams
-	// and uploads since it drains; noTarget otherwise.
+	// otherTarget is the target of the flow's new requests while target drains or is
+	// ejected and keeps only the existing streams and uploads; noTarget otherwise.
 	otherTarget uint16
-	// lastSeen is when the flow's last packet came, in seconds of the host's clock.
+	// lastSeen is when the flow was last used, in seconds of the host's clock; see
+	// touch for its resolution.
 	lastSeen uint32
 	flags    flowFlags
 }
@@ -28,22 +29,24 @@
 const (
 	// flowLongLived marks a flow with a stream or an upload.
 	flowLongLived flowFlags = 1 << iota
-	// flowException marks a flow that is not where the current table puts it.
+	// flowException marks a flow whose target is not the one that the current
+	// placement table gives.
 	flowException
-	// flowTransferMoved marks a flow whose transfer in blocks began at its other target.
+	// flowTransferMoved marks a flow whose latest blockwise transfer began at
+	// otherTarget.
 	flowTransferMoved
-	// flowCopied marks an exception that the successor has been told of.
+	// flowCopied marks an exception whose record was sent to the successor.
 	flowCopied
 )
 
-// flowShards splits the table so that a sweep visits a small part at a time.
+// flowShards is the number of shards, of which each sweep visits one.
 const flowShards = 256
 
-// flowTable is the one mutable store of the system, and belongs to its reducer
-// alone. Copying an immutable map for each packet would cost far more than the
-// lookup itself (BenchmarkKnownFlow), and nothing else ever reads it.
+// flowTable holds the records of flows. It is the only mutable store, because
+// copying an immutable map for each packet would cost far more than the lookup
+// itself (BenchmarkKnownFlow), and only its reducer accesses it.
 //
-// A shard holds the buckets with the same low byte.
+// A shard holds the flows whose buckets have the same low byte.
 type flowTable struct {
 	shards    [flowShards]map[resolver.FlowKey]flow
 	size      int
@@ -90,7 +93,7 @@
 	}
 }
 
-// nextShard returns the shards one after another.
+// nextShard returns the index of the shard to sweep next, in rotation.
 func (t *flowTable) nextShard() int {
 	shard := t.nextSweep
 	t.nextSweep = (t.nextSweep + 1) % flowShards
--- a/core/reducer/health.go
+++ b/core/reducer/health.go
@@ -11,22 +11,24 @@
 	"cranberryspan.dev/core/timekeeper"
 )
 
-// Probing must not multiply with hosts and targets. Two hosts of each zone probe
-// a target; they are ranked by target, so that the work spreads, and a host
-// sends at most maxProbesPerSecond. What fails is told to the zone's hosts. A
-// prober that lies or sits behind a cut can exclude no more than the service's
-// MaxEjectedShare, and nothing that answers requests.
+// The number of probes must not grow with the product of hosts and targets. Two
+// hosts of each zone probe a target, selected by a ranking per target that spreads
+// the work, and a host sends at most maxProbesPerSecond. Probers report failing
+// targets to the hosts of their zone. A prober that is wrong or partitioned can
+// eject at most the service's MaxEjectedShare of the targets, and none that responds
+// to requests.
 const (
 	probersPerZone             = 2
 	maxProbesPerSecond         = 20
 	probeFailureReportInterval = 5 * time.Second
-	// probeFailureTTL is how long a verdict holds without being repeated.
+	// probeFailureTTL is how long a report of failed probes counts unless it is
+	// repeated.
 	probeFailureTTL = 12 * time.Second
 )
 
-// prober is this host's share of the probing.
+// prober is the state of the probes that this host sends.
 type prober struct {
-	// pending lists the targets still to be probed in this round.
+	// pending lists the targets that remain to be probed in this round.
 	pending      []*target
 	nextRound    timekeeper.Instant
 	tokens       float64
@@ -34,8 +36,8 @@
 	nextReport   timekeeper.Instant
 }
 
-// sendProbes sends the next probes. A round takes a second, or longer if there
-// are more targets than probes to send.
+// sendProbes sends the next probes of the round. A round takes probeInterval, or
+// longer if there are more targets than maxProbesPerSecond.
 func (r *Reducer) sendProbes() {
 	const probeInterval = time.Second
 	p := &r.prober
@@ -55,7 +57,7 @@
 	r.sendProbeFailures()
 }
 
-// targetsToProbe lists the targets that this host has to probe.
+// targetsToProbe returns the targets that this host probes.
 func (r *Reducer) targetsToProbe() []*target {
 	ranker := placer.NewRanker(r.aliveInZone())
 	var targets []*target
@@ -69,7 +71,7 @@
 	return targets
 }
 
-// aliveInZone lists the live hosts of this host's zone, this host included.
+// aliveInZone returns the live hosts of this host's zone, including itself.
 func (r *Reducer) aliveInZone() []string {
 	self, _ := r.settings.HostByName(r.self)
 	var names []string
@@ -109,12 +111,13 @@
 	}
 }
 
-// hasUnansweredRequests reports whether requests wait for the target without any answer,
-// in which case a good probe says little.
+// hasUnansweredRequests reports whether recent requests to the target got no
+// response and others are still in flight, in which case a successful probe does not
+// show that it works.
 func (t *target) hasUnansweredRequests() bool { return t.failedRequests > 0 && t.inFlight > 0 }
 
-// sendProbeFailures tells the zone which targets fail, when that changes and then
-// regularly.
+// sendProbeFailures reports the targets whose probes fail to the hosts of the zone,
+// when the list changes and then every probeFailureReportInterval.
 func (r *Reducer) sendProbeFailures() {
 	failing := r.failingTargets()
 	changed := !slices.Equal(failing, r.prober.lastReported)
@@ -143,7 +146,7 @@
 	return failing
 }
 
-// handleProbeFailures notes which targets another host finds failing.
+// handleProbeFailures records which targets fail the probes of another host.
 func (r *Reducer) handleProbeFailures(from string, failing []uint32) {
 	for _, id := range r.serviceIDs {
 		for _, t := range r.services[id].registry {
@@ -155,7 +158,8 @@
 	}
 }
 
-// reportedFailing reports whether a prober of the zone finds the target failing.
+// reportedFailing reports whether a prober of the zone has reported failed probes of
+// the target.
 func (t *target) reportedFailing(now timekeeper.Instant) bool {
 	for deadline := range maps.Values(t.failureReports) {
 		if !deadline.Passed(now) {
--- a/core/reducer/pinning.go
+++ b/core/reducer/pinning.go
@@ -5,7 +5,7 @@
 	"cranberryspan.dev/core/resolver"
 )
 
-// targetFor finds the target of a request and remembers the flow.
+// targetFor returns the target of a request and updates the flow's record.
 func (r *Reducer) targetFor(in *inbound) (uint16, bool) {
 	f, known := r.flows.get(in.key, in.hash)
 	if !known {
@@ -36,8 +36,8 @@
 	}
 	r.count(CountFlowsMoved)
 	if f.flags&flowLongLived != 0 && t.listed {
-		// The target drains: it keeps the flow's streams and uploads, and the
-		// flow's new work goes elsewhere.
+		// The target drains or is ejected: it keeps the flow's streams and uploads,
+		// and the flow's new requests go to another target.
 		f.otherTarget = index
 		r.noteTransfer(in, &f, true)
 	} else {
@@ -49,8 +49,8 @@
 	return index, true
 }
 
-// noteTransfer remembers at which of a flow's targets a transfer in blocks
-// begins, so that its later blocks follow it.
+// noteTransfer records at which of a flow's two targets a blockwise transfer
+// begins, so that its later blocks go to the same one.
 func (r *Reducer) noteTransfer(in *inbound, f *flow, moved bool) {
 	const begins = messenger.FlagOpensFlow | messenger.FlagBlockwise
 	if !in.packet.Flags.Has(begins) || moved == (f.flags&flowTransferMoved != 0) {
@@ -60,7 +60,8 @@
 	f.lastSeen = 0
 }
 
-// touchLongLived is touch, and marks flows that carry streams or uploads.
+// touchLongLived calls touch, and marks the flow as long-lived if the packet belongs
+// to a stream or an upload.
 func (r *Reducer) touchLongLived(in *inbound, f flow) {
 	if in.packet.Flags&(messenger.FlagStream|messenger.FlagBlockwise) != 0 && f.flags&flowLongLived == 0 {
 		f.flags |= flowLongLived
@@ -69,9 +70,9 @@
 	r.touch(in, f)
 }
 
-// placeFlow places a flow that this host does not know. A packet that can only
-// continue a flow goes where such a flow would have been put before the last
-// change, and never opens a new one elsewhere.
+// placeFlow selects a target for a flow that has no record. A packet that can't open
+// a flow belongs to one that was placed earlier, so it goes to the target that
+// previousTarget gives.
 func (r *Reducer) placeFlow(in *inbound) (uint16, bool) {
 	var index uint16
 	var ok bool
@@ -89,7 +90,8 @@
 	return index, true
 }
 
-// markException sets whether a flow is elsewhere than a newcomer would look.
+// markException updates the flag that marks a flow as an exception: one whose target
+// is not the one that the current placement table gives.
 func (r *Reducer) markException(s *service, hash uint64, f *flow) {
 	first, ok := s.tables[0].firstChoice(hash)
 	if ok && first == f.target && f.otherTarget == noTarget {
--- a/core/reducer/refusal.go
+++ b/core/reducer/refusal.go
@@ -6,13 +6,14 @@
 	"cranberryspan.dev/core/placer"
 )
 
-// refuse gives a request its final answer on the system's behalf.
+// refuse ends a request with a final reply from the load balancer.
 //
-// What goes wrong with a refusal that is simply sent: the caller is told that a
-// check did not run; this host dies; a late copy of the datagram reaches the
-// next owner, which has never heard of it, and runs. One notices by a booked
-// commitment whose order was withdrawn. So "not run" is only said while this
-// host may still decide alone, and after its successor holds the identity.
+// A non-idempotent request is reported as not run only while this host has
+// permission to run it, and only after the successor, if there is one, has stored
+// its identity. Without this, after this host reports that a check did not run and
+// then dies, a late retransmission reaches the next owner, which has no record of
+// the request and runs it. This shows as a booked commitment whose order was
+// withdrawn.
 func (r *Reducer) refuse(q *request, outcome Outcome, reason Reason) {
 	r.releaseSlot(q)
 	q.outcome, q.reason = outcome, reason
@@ -32,7 +33,7 @@
 	}
 }
 
-// sendFinalReply sends a request's final answer.
+// sendFinalReply sends the final reply to a request and counts its reason.
 func (r *Reducer) sendFinalReply(q *request) {
 	q.state = stateRefused
 	r.count(q.reason)
@@ -51,8 +52,9 @@
 	})
 }
 
-// retryAfter tells a caller when to come back: when the queue that is there now
-// will be worked off, with some jitter, so that callers don't come together.
+// retryAfter returns how long a caller should wait before it retries: about as long
+// as the target's current queue takes, with jitter, so that callers don't all retry
+// at the same time.
 func (r *Reducer) retryAfter(q *request) time.Duration {
 	wait := time.Second
 	if q.target != noTarget {
--- a/core/reducer/settings.go
+++ b/core/reducer/settings.go
@@ -13,14 +13,13 @@
 	"cranberryspan.dev/core/resolver"
 )
 
-// handleSettingsPublished takes over a revision if it is valid and higher than the
-// one in force.
+// handleSettingsPublished adopts a revision if it is valid and higher than the one
+// in force.
 //
-// What goes wrong without the comparison: the platform comes back from a
-// backup and serves revision 7 after 9, or a peer that was cut off still has 7.
-// One notices by a drained target that gets flows again. Since a revision only
-// ever replaces a lower one, nothing that is stale brings a host back; a host
-// that is behind hears of the higher revision with the next heartbeat.
+// Without the comparison, a stale revision replaces a newer one: the platform is
+// restored from a backup and serves revision 7 after 9, or a peer that was
+// partitioned still has 7. This shows as a drained target that gets flows again. A
+// host that is behind learns of the higher revision from the next heartbeat.
 func (r *Reducer) handleSettingsPublished(revision uint64, document []byte) {
 	if revision <= r.Revision() || revision == r.rejectedRevision {
 		return
@@ -92,13 +91,15 @@
 // Settings returns the settings in force; nil before the first revision.
 func (r *Reducer) Settings() *resolver.Settings { return r.settings }
 
-// settingsOutdated reports whether some host has named a higher revision.
+// settingsOutdated reports whether some host has reported a higher revision, other
+// than one that this host rejected as invalid.
 func (r *Reducer) settingsOutdated() bool {
 	highest, _ := r.detector.HighestRevision()
 	return highest > r.Revision() && highest != r.rejectedRevision
 }
 
-// requestNewerSettings asks a peer that has a higher revision for it, at most every so often.
+// requestNewerSettings requests the settings from a peer that reported a higher
+// revision, at most once per requestInterval.
 func (r *Reducer) requestNewerSettings() {
 	const requestInterval = 300 * time.Millisecond
 	if !r.nextSettingsRequest.Passed(r.now) {
@@ -112,11 +113,12 @@
 	r.sendPeer(host, &messenger.SettingsRequest{NewerThan: r.Revision()})
 }
 
-// requestSettingsFromSeeds asks hosts that the process was told of for settings.
+// requestSettingsFromSeeds requests the settings from a random seed host, at most
+// once per requestInterval.
 //
-// What goes wrong without it: a host is replaced while the platform is down. It
-// knows neither the tree nor its peers, and its place stays empty until the
-// platform is back. One notices by a host that is up and never ready.
+// Without this, a host that is replaced while the platform is down has neither
+// settings nor peers until the platform is back. This shows as a host that runs but
+// never becomes ready.
 func (r *Reducer) requestSettingsFromSeeds() {
 	const requestInterval = time.Second
 	if len(r.seedHosts) == 0 || !r.nextSettingsRequest.Passed(r.now) {
@@ -133,9 +135,9 @@
 	r.sendPeer(to, &messenger.SettingsDocument{Revision: r.Revision(), Compressed: r.compressedSettings()})
 }
 
-// compressedSettings returns the document in force, compressed once for all peers: at
-// the two-year size it has most of a megabyte, and every change goes to every
-// host.
+// compressedSettings returns the document in force, gzipped. The result is cached
+// for all peers: at the size expected in two years the document has nearly a
+// megabyte, and every change goes to every host.
 func (r *Reducer) compressedSettings() []byte {
 	if r.compressedRevision == r.Revision() {
 		return r.compressedDocument
@@ -149,8 +151,9 @@
 	return r.compressedDocument
 }
 
-// handleSettingsDocument takes a peer's settings. A document that unpacks to more than
-// the platform holds is cut, and refused as too large.
+// handleSettingsDocument handles the settings that a peer sends. A document that
+// decompresses to more than resolver.MaxDocumentBytes, the limit of the platform, is
+// truncated, and then rejected as too large.
 func (r *Reducer) handleSettingsDocument(body *messenger.SettingsDocument) {
 	if body.Revision <= r.Revision() {
 		return
@@ -168,8 +171,9 @@
 	r.handleSettingsPublished(body.Revision, document)
 }
 
-// watchersPerZone is how many hosts of an availability zone watch the platform;
-// the others learn from peers, so that calls grow with zones, not with hosts.
+// watchersPerZone is how many hosts of an availability zone watch the platform. The
+// others get the settings from peers, so that the number of calls grows with the
+// number of zones, not of hosts.
 const watchersPerZone = 2
 
 func (r *Reducer) updateWatching() {
@@ -198,7 +202,7 @@
 	}
 }
 
-// maxExchangeLifetime is the longest exchange lifetime of all services.
+// maxExchangeLifetime returns the longest exchange lifetime of all services.
 func (r *Reducer) maxExchangeLifetime() time.Duration {
 	var longest time.Duration
 	for _, id := range r.serviceIDs {
--- a/core/reducer/snapshot.go
+++ b/core/reducer/snapshot.go
@@ -9,7 +9,7 @@
 	"cranberryspan.dev/core/resolver"
 )
 
-// Snapshot is what a host shows operators of its state. It is immutable.
+// Snapshot is an immutable copy of a host's state for operators.
 type Snapshot struct {
 	Host             string            `json:"host"`
 	AvailabilityZone string            `json:"availabilityZone"`
@@ -28,7 +28,7 @@
 	Counts           map[string]uint64 `json:"counts"`
 }
 
-// PeerStatus is one host as this host sees it.
+// PeerStatus is this host's view of another host.
 type PeerStatus struct {
 	Host          string `json:"host"`
 	Liveness      string `json:"liveness"`
@@ -37,14 +37,14 @@
 	ConfirmedDead bool   `json:"denied"`
 }
 
-// ServiceStatus is one service as this host sees it.
+// ServiceStatus is this host's view of a service.
 type ServiceStatus struct {
 	Service string         `json:"service"`
 	Tenant  string         `json:"tenant"`
 	Targets []TargetStatus `json:"targets"`
 }
 
-// TargetStatus is one target as this host sees it.
+// TargetStatus is this host's view of a target.
 type TargetStatus struct {
 	Target       string `json:"target"`
 	Address      string `json:"address"`
@@ -55,7 +55,7 @@
 	ReportedLoad int    `json:"reported"`
 }
 
-// Snapshot returns the host's state for operators.
+// Snapshot returns the host's current state for operators.
 func (r *Reducer) Snapshot() Snapshot {
 	s := Snapshot{
 		Host:             r.self,
@@ -114,13 +114,14 @@
 	return status
 }
 
-// FlowStatus is one flow that this host remembers.
+// FlowStatus is a flow in this host's flow table.
 type FlowStatus struct {
 	Caller    netip.AddrPort `json:"caller"`
 	Service   string         `json:"service"`
 	Target    string         `json:"target"`
 	LongLived bool           `json:"long"`
-	// Exception says that the flow is not where a newcomer would look for it.
+	// Exception is set if the flow's target differs from the one that the current
+	// placement table gives.
 	Exception bool   `json:"exception"`
 	Owner     string `json:"owner"`
 }
@@ -158,8 +159,8 @@
 	return list
 }
 
-// TargetOf returns where this host would send the next packet of a flow, and
-// whether it knows the flow.
+// TargetOf returns the target that the flow table gives for a flow, and whether the
+// table has the flow.
 func (r *Reducer) TargetOf(key resolver.FlowKey) (netip.AddrPort, bool) {
 	f, ok := r.flows.get(key, placer.Hash(key))
 	s := r.services[key.Service()]
@@ -169,7 +170,7 @@
 	return s.registry[f.target].address, true
 }
 
-// Owner returns the host that this host takes for the owner of a flow.
+// Owner returns the host that this host considers the owner of a flow.
 func (r *Reducer) Owner(key resolver.FlowKey) string {
 	owner, _ := r.ownerOf(placer.BucketOf(placer.Hash(key)), true)
 	return owner
