--- a/core/reducer/answers_test.go
+++ b/core/reducer/answers_test.go
@@ -10,10 +10,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: a check's answer never comes, though the target gave it.
-// Sequence: the owner sends a check to its target and dies; the answer reaches
-// another host, while the owner is still taken for alive and after that.
-// Cause: only the owner knew whose request it was.
+// Guards against responses that never reach their callers: when a request's owner
+// dies after it sent the request to a target, the response reaches another host,
+// while the owner still counts as alive or after that, and only the owner had the
+// request's record.
 func TestResponseReachesCallerAfterOwnerFailure(t *testing.T) {
 	f := newFleet(t, threeZoneTree())
 	const flows = 100
@@ -31,7 +31,7 @@
 	for n := range flows {
 		id := requestID(n, 1, 1)
 		if f.Executions(id) == 0 {
-			continue // It was lost on its way to the dead owner; the caller repeats it.
+			continue // It was lost on its way to the dead owner; the caller retransmits it.
 		}
 		_, refused := replyTo(f, id)
 		require.True(t, answered(f, id) || refused, "request %d ran and its caller heard nothing", n)
@@ -39,10 +39,9 @@
 	requireAtMostOnce(t, f)
 }
 
-// Symptom: a caller gets the answer to an earlier question.
-// Sequence: a check is given up; its caller uses the token again; the late
-// answer to the first check arrives before the second one's.
-// Cause: answers that are matched by token alone.
+// Guards against responses matched by token alone: when a request times out and its
+// caller reuses the token, the late response to the first request arrives before
+// that to the second one and is delivered in its place.
 func TestLateResponseNotMatchedToLaterRequest(t *testing.T) {
 	f := newFleet(t, threeZoneTree())
 	first := requestID(1, 1, 1)
@@ -65,10 +64,9 @@
 	require.False(t, answered(f, first))
 }
 
-// Symptom: a caller gets an answer twice, or parts of two answers.
-// Sequence: a target's answers are doubled and reordered on the way and come in
-// through different hosts.
-// Cause: nothing that orders or matches them between hosts.
+// Guards against responses matched by their order: when the responses of targets are
+// duplicated and reordered in the network and arrive at different hosts, a caller
+// could get a response twice, or parts of two responses.
 func TestDuplicateAndReorderedResponsesMatchTheirRequests(t *testing.T) {
 	f := newFleet(t, threeZoneTree())
 	ids := []driver.RequestID{requestID(1, 1, 1), requestID(1, 1, 2), requestID(2, 1, 1), requestID(3, 1, 1)}
@@ -88,10 +86,10 @@
 	}
 }
 
-// Symptom: a caller hears what the port's former user asked.
-// Sequence: a check is given up and its caller goes away; another caller gets
-// the same address and port and asks with another token; the late answer comes.
-// Cause: a return address names an address and port, not who uses it.
+// Guards against responses delivered to another caller: when a request times out
+// and its caller ends, a new caller gets the same address and port and sends a
+// request with another token before the late response arrives. The return address
+// contains the caller's address and port, but does not identify its user.
 func TestLateResponseNotDeliveredToNextUserOfPort(t *testing.T) {
 	f := newFleet(t, threeZoneTree())
 	for _, target := range intRange(1, 14) {
--- a/core/reducer/bench_test.go
+++ b/core/reducer/bench_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// readySingleHost is a ready host that owns everything, and its time.
+// readySingleHost returns a ready host that owns all flows, and its current time.
 func readySingleHost(tb testing.TB) (*reducer.Reducer, timekeeper.Instant) {
 	tb.Helper()
 	tree := threeZoneTree()
@@ -42,14 +42,15 @@
 
 const manyFlows = 400_000
 
-// addFlows makes a host know many flows.
+// addFlows adds manyFlows flows to a host's flow table.
 func addFlows(host *reducer.Reducer, now timekeeper.Instant) {
 	for n := range manyFlows {
 		host.Reduce(flowPacket(n, now))
 	}
 }
 
-// BenchmarkKnownFlow is a packet of a flow that the owner knows, one of 400,000.
+// BenchmarkKnownFlow measures the handling of a packet whose flow is one of 400,000
+// in the owner's flow table.
 func BenchmarkKnownFlow(b *testing.B) {
 	host, now := readySingleHost(b)
 	addFlows(host, now)
@@ -64,7 +65,8 @@
 	}
 }
 
-// BenchmarkRequestAndAnswer is a read and its answer on a known flow.
+// BenchmarkRequestAndAnswer measures the handling of an idempotent request and its
+// response on a flow in the flow table.
 func BenchmarkRequestAndAnswer(b *testing.B) {
 	host, now := readySingleHost(b)
 	addFlows(host, now)
@@ -91,8 +93,8 @@
 	}
 }
 
-// Regression bounds as counts: no allocation for a packet of a known flow, and
-// at most 128 bytes of memory for a flow.
+// Guards against a higher cost per flow: a packet of a flow in the flow table must
+// not allocate, and a flow must take less than 128 bytes of memory.
 func TestKnownFlowCost(t *testing.T) {
 	host, now := readySingleHost(t)
 	before := heapBytes()
--- a/core/reducer/example_test.go
+++ b/core/reducer/example_test.go
@@ -11,9 +11,9 @@
 	"cranberryspan.dev/core/timekeeper"
 )
 
-// A harness drives a reducer with events and looks at the effects. Nothing else
-// of the daemon is needed, and any number of reducers run side by side; package
-// driver connects several.
+// A harness passes events to a reducer and inspects the effects. It needs no other
+// part of the daemon, and can run any number of reducers in one process; package
+// driver connects several of them.
 func ExampleReducer_Reduce() {
 	const tree = `version: 1
 peerKeys: [a-key-for-this-example]
--- a/core/reducer/fixture_test.go
+++ b/core/reducer/fixture_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// threeZoneTree is eight hosts in three zones before two services.
+// threeZoneTree returns settings with eight hosts in three zones and two services.
 func threeZoneTree() driver.SettingsTree {
 	return driver.SettingsTree{
 		HostsPerZone: []int{3, 3, 2},
@@ -56,7 +56,7 @@
 		return true
 	}
 	require.True(t, f.StepUntil(30*time.Second, ready), "hosts are not ready")
-	// Let the news of the last phase reach everyone.
+	// Let every host receive the last change of phase.
 	f.Step(time.Second)
 }
 
@@ -69,7 +69,8 @@
 	openWrite  = opens
 )
 
-// requestID is a request of caller n, with a number that makes it a new one.
+// requestID returns the ID of a request of caller n. Requests with different numbers
+// have different message IDs and tokens.
 func requestID(n int, service, number int) driver.RequestID {
 	caller := netip.AddrPortFrom(netip.AddrFrom4([4]byte{192, 168, byte(n >> 8), byte(n)}), 40000)
 	exchange := messenger.Exchange{MessageID: uint16(number), Token: uint64(number), TokenLength: 8}
@@ -128,8 +129,8 @@
 	return driver.CallerReply{}, false
 }
 
-// requireAtMostOnce checks the two promises about requests: none ran twice, and
-// none ran that its caller was told did not run.
+// requireAtMostOnce checks the two guarantees about requests: no non-idempotent
+// request ran more than once, and no request ran that was reported as not run.
 func requireAtMostOnce(t testing.TB, f *driver.Simulation) {
 	t.Helper()
 	for _, target := range f.Targets() {
@@ -146,7 +147,7 @@
 	}
 }
 
-// sendTrace tells which hosts sent a request to targets, and when.
+// sendTrace describes which hosts sent a request to which targets, and when.
 func sendTrace(f *driver.Simulation, id driver.RequestID) string {
 	var b strings.Builder
 	for _, p := range f.TargetPackets {
@@ -157,7 +158,8 @@
 	return b.String()
 }
 
-// A foreign harness links the decisions without the rest of the daemon.
+// Guards against dependencies that keep an external harness from linking the reducer
+// without the network code of the daemon.
 func TestReducerHasNoNetworkDependencies(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", ".").Output()
 	require.NoError(t, err)
--- a/core/reducer/flows_test.go
+++ b/core/reducer/flows_test.go
@@ -10,11 +10,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: a dashboard stream or an upload is cut by a change that was planned.
-// Sequence: flows are established; targets or hosts are added, drained,
-// replaced; the next packet of a flow reaches any host.
-// Cause: a host that has no record of the flow computes its target from the new
-// settings, under which the flow would be placed elsewhere.
+// Guards against streams and uploads cut by planned changes: when targets or hosts
+// are added, drained or replaced after flows were established, the next packet of a
+// flow may reach any host, and a host without a record of the flow computes another
+// target from the new settings.
 func TestEstablishedFlowsKeepTargetAcrossPlannedChanges(t *testing.T) {
 	drained := threeZoneTree()
 	drained.Services[0].DrainingTargetNumbers = []int{3, 7}
@@ -76,7 +75,8 @@
 	}
 }
 
-// establishFlows opens flows: streams and uploads in turn.
+// establishFlows opens flows, alternately with a stream and an upload, and returns
+// the target of each.
 func establishFlows(t *testing.T, f *driver.Simulation, flows int) []netip.AddrPort {
 	t.Helper()
 	for n := range flows {
@@ -111,8 +111,8 @@
 	moved := 0
 	for i := range 2 {
 		for n, target := range targets {
-			// An acknowledgement may go to the target of the flow's newer
-			// requests too.
+			// An acknowledgement may also go to the target of the flow's newer
+			// requests.
 			if !slices.Contains(targetsOf(f, requestID(n, 1, number+i)), target) {
 				moved++
 			}
@@ -121,10 +121,10 @@
 	require.Zero(t, moved, "packets of established flows that reached another target")
 }
 
-// Symptom: a stream goes on, but the finance officer's screen stands still.
-// Sequence: the host that registered a stream dies; the target's notifications
-// go to the shared return address and so to other hosts.
-// Cause: with an address of each host's own, only that host could pass them on.
+// Guards against lost notifications: when the host that registered a stream dies,
+// the target's notifications go to the shared return address and so to other hosts,
+// which must deliver them. With a return address per host, only the dead host could,
+// and the caller would see no more updates of the stream.
 func TestNotificationsReachCallerThroughAnyHost(t *testing.T) {
 	f := newFleet(t, threeZoneTree())
 	id := requestID(1, 1, 1)
@@ -140,15 +140,15 @@
 	}
 	before := len(f.Answers)
 	f.Step(100 * time.Millisecond)
-	// The fabric may hand some to the dead host before it notices.
+	// The fabric may route some of them to the dead host before it detects the
+	// failure.
 	require.Equal(t, 50, len(f.Answers)-before)
 }
 
-// Symptom: an upload is cut when a host dies.
-// Sequence: a target is ill, so that flows of its slots open elsewhere; it
-// recovers; the owner of such a flow dies unplanned; the next block reaches the
-// new owner.
-// Cause: the flow is an exception that no table tells, and only its owner knew.
+// Guards against uploads cut when a host dies: when a target fails, the flows of its
+// table entries open at other targets and are exceptions. When it has recovered
+// and the owner of such a flow dies, the next block reaches a new owner, which can't
+// derive the flow's target from the placement table.
 func TestSuccessorKnowsExceptions(t *testing.T) {
 	f := newFleet(t, threeZoneTree())
 	for _, n := range intRange(1, 5) {
@@ -159,17 +159,18 @@
 	for _, n := range intRange(1, 5) {
 		f.Target(driver.TargetAddress(n)).Down = false
 	}
-	// One round of the table, and the budget of control bytes, in full.
+	// Long enough for a sweep over all shards and for copying all exceptions within
+	// the byte budget.
 	f.Step(8 * time.Second)
 	f.Kill("a1")
 	f.Step(4 * time.Second)
 	requireSameTargets(t, f, targets, 100)
 }
 
-// Symptom: an upload goes to another target in its middle.
-// Sequence: an upload is under way; a target is added, so that its slot changes
-// hands; its owner dies, and the next block reaches a host without a record.
-// Cause: a packet that can only continue a flow is placed like a new one.
+// Guards against uploads that continue at another target: when a target is added
+// during an upload, its table entry may go to another target. When the owner then
+// dies, the next block reaches a host without a record, which must not place a packet
+// that continues a flow like one that opens it.
 func TestUnknownFlowUsesPreviousPlacement(t *testing.T) {
 	added := threeZoneTree()
 	added.Services[0].TargetNumbers = intRange(1, 20)
@@ -198,10 +199,10 @@
 	require.GreaterOrEqual(t, reached, 90)
 }
 
-// Symptom: an upload is cut in its middle, on a flow that also has a stream.
-// Sequence: the stream's target drains; an upload begins on the flow, at another
-// target; its next blocks follow, also after the owner was replaced.
-// Cause: one target remembered for two kinds of work.
+// Guards against uploads cut on a flow that also has a stream: when the stream's
+// target drains and an upload begins on the flow at another target, a record with
+// only one target sends the upload's next blocks to the wrong one, also after the
+// owner was replaced.
 func TestUploadStartedWhileStreamTargetDrains(t *testing.T) {
 	drained := threeZoneTree()
 	drained.Services[0].DrainingTargetNumbers = intRange(1, 7)
--- a/core/reducer/health_test.go
+++ b/core/reducer/health_test.go
@@ -19,9 +19,9 @@
 	return ejected
 }
 
-// Symptom: flows open on a target that is long dead, through some hosts only.
-// Sequence: a target dies; two hosts of each zone probe it.
-// Cause: a verdict that stays with the host that found it.
+// Guards against probe failures that only the probing hosts know: when a target dies
+// and two hosts of each zone detect it, the other hosts would still open flows on
+// it.
 func TestFailureReportReachesNonProbingHosts(t *testing.T) {
 	f := newFleet(t, threeZoneTree())
 	f.Target(driver.TargetAddress(3)).Down = true
@@ -36,9 +36,9 @@
 	}
 }
 
-// Symptom: a service is refused altogether while its targets work.
-// Sequence: the health endpoints of all targets fail at once.
-// Cause: health that is believed without bound.
+// Guards against a service without targets: when the health endpoints of all targets
+// fail at once although the targets work, ejection without a limit would refuse all
+// requests.
 func TestFalseProbeFailuresDoNotEjectAllTargets(t *testing.T) {
 	f := newFleet(t, threeZoneTree())
 	for _, n := range intRange(1, 14) {
@@ -55,9 +55,8 @@
 	}
 }
 
-// Symptom: retries bring down a service that is slow.
-// Sequence: every target falls silent under load.
-// Cause: a retry for every request, without a budget.
+// Guards against retry storms: when every target becomes unresponsive under load, a
+// retry for every request, without a budget, would overload the service further.
 func TestRetriesStayWithinBudget(t *testing.T) {
 	f := newFleet(t, threeZoneTree())
 	for _, n := range intRange(1, 14) {
@@ -76,8 +75,8 @@
 	require.LessOrEqual(t, retries, uint64(reads/10))
 }
 
-// Symptom: a new target is overrun. Sequence: a target is added under load.
-// Cause: its full share from the first moment, before its caches are warm.
+// Guards against overload of a new target: when a target is added under load, it must
+// not get its full share of flows before its caches are warm.
 func TestNewTargetWarmsUp(t *testing.T) {
 	added := threeZoneTree()
 	added.Services[0].TargetNumbers = intRange(1, 15)
--- a/core/reducer/refusal.go
+++ b/core/reducer/refusal.go
@@ -10,7 +10,7 @@
 //
 // A non-idempotent request is reported as not run only while this host has
 // permission to run it, and only after the successor, if there is one, has stored
-// its identity. Without this, after this host reports that a check did not run and
+// its identity. Without this, when this host reports that a request did not run and
 // then dies, a late retransmission reaches the next owner, which has no record of
 // the request and runs it. This shows as a booked commitment whose order was
 // withdrawn.
--- a/core/reducer/refusals_test.go
+++ b/core/reducer/refusals_test.go
@@ -9,7 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// singleSlotTree is one target with one slot before each service, so that requests queue.
+// singleSlotTree returns settings with one target of one slot for each service, so
+// that requests queue.
 func singleSlotTree() driver.SettingsTree {
 	tree := threeZoneTree()
 	tree.Services[0].TargetNumbers = []int{1}
@@ -18,11 +19,10 @@
 	return tree
 }
 
-// Symptom: a check is refused as not run, and yet booked.
-// Sequence: checks queue behind a slow target; some are refused since the queue
-// is full or their deadline passed; late copies of their datagrams come, also to
-// the next owner after the first one died.
-// Cause: a copy that is taken for a new request.
+// Guards against requests that run after they were refused as not run: when requests
+// queue at a slow target and some are refused because the queue is full or their
+// deadline has passed, late retransmissions arrive, also at the next owner after the
+// first one died, and must not be handled as new requests.
 func TestNotRunRefusalNeverRan(t *testing.T) {
 	f := newFleet(t, singleSlotTree())
 	f.Target(driver.TargetAddress(1)).ProcessingTime = 700 * time.Millisecond
@@ -51,9 +51,9 @@
 	requireAtMostOnce(t, f)
 }
 
-// Symptom: a check that timed out after it was sent is reported as not run.
-// Sequence: a target takes a check and falls silent, or dies with it.
-// Cause: a timeout that is taken for a refusal.
+// Guards against timeouts reported as "not run": when a target receives a request and
+// then becomes unresponsive or dies, the request may have run, so the outcome is
+// unknown.
 func TestTimeoutAfterSendIsUnknown(t *testing.T) {
 	f := newFleet(t, threeZoneTree())
 	for _, n := range intRange(1, 14) {
@@ -70,15 +70,16 @@
 	require.LessOrEqual(t, reply.At, began.Add(2100*time.Millisecond), "the final answer comes at once with the deadline")
 }
 
-// Symptom: a check is lost because its target shed it.
-// Sequence: a target refuses with "not run"; the request may be repeated.
-// Cause: a refusal that is passed on although another target has room.
+// Guards against needless refusals: when a target sheds an idempotent request and
+// reports that it did not run, the refusal must not go to the caller while another
+// target has capacity.
 func TestShedIdempotentRequestRunsElsewhere(t *testing.T) {
 	f := newFleet(t, threeZoneTree())
 	read, write := requestID(1, 1, 1), requestID(1, 1, 2)
 	f.SendPacket("", requestID(1, 1, 9), requestPacket(openRead))
 	f.Step(100 * time.Millisecond)
-	// The budget allows retries as a share of requests, so there must be some.
+	// The retry budget is a fraction of the requests, so send enough of them for a
+	// retry.
 	for n := range 40 {
 		f.SendPacket("", requestID(1, 1, 100+n), requestPacket(openRead))
 	}
@@ -93,9 +94,9 @@
 	require.Zero(t, f.Executions(write), "what must not run twice is handed to one target only")
 }
 
-// Symptom: one tenant's flood leaves another tenant's checks waiting.
-// Sequence: a tenant sends far more than its targets take.
-// Cause: queues that are bounded by target only.
+// Guards against a tenant that delays the requests of others: when a tenant sends far
+// more requests than its targets can handle, a limit per target alone would let it
+// fill the queues.
 func TestTenantCannotTakeAllSlots(t *testing.T) {
 	tree := threeZoneTree()
 	tree.Defaults = []string{"exchangeLifetime: 10s", "slots: 2", "queueLength: 1000", "tenantInFlight: 20"}
@@ -119,9 +120,9 @@
 	requireAtMostOnce(t, f)
 }
 
-// Symptom: callers wait for their whole deadline to hear that they were refused.
-// Sequence: a slow target's queue is longer than any deadline in it.
-// Cause: deadlines that are looked at only when they pass.
+// Guards against refusals that come only at the deadline: when the expected wait in a
+// slow target's queue exceeds a request's deadline, the request must be refused at
+// once.
 func TestRequestThatWouldMissDeadlineRefusedImmediately(t *testing.T) {
 	tree := singleSlotTree()
 	tree.Defaults = []string{"exchangeLifetime: 12s", "slots: 1", "queueLength: 1000"}
--- a/core/reducer/services_test.go
+++ b/core/reducer/services_test.go
@@ -10,11 +10,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: a packet meant for intake shows up in ledger's log.
-// Sequence: a target's address moves from intake to ledger, or two services
-// swap addresses, while hosts are a revision apart and packets are under way.
-// Cause: a host that lags sends intake's packets to the old address, and a host
-// that is ahead sends ledger's packets before the others have stopped.
+// Guards against packets that reach a target of another service: when a target's
+// address moves from one service to another, or two services swap addresses, while
+// hosts are a revision apart and packets are in flight. A host with older settings
+// still sends packets of the old service to the address, and a host with newer ones
+// may send packets of the new service before the others have stopped.
 func TestNoPacketCrossesServices(t *testing.T) {
 	const inForceWithin = 9 * time.Second
 	moved := threeZoneTree()
@@ -62,7 +62,8 @@
 	}
 }
 
-// lastCaller makes every packet of these tests one of a new flow.
+// lastCaller is the number of the last caller used, so that each request of these
+// tests has a caller of its own and opens a new flow.
 var lastCaller = 1000
 
 // sendNewFlows sends requests of new flows to both services.
@@ -74,9 +75,11 @@
 	}
 }
 
-// requireNoCrossServicePackets checks every packet against the revisions that may be in
-// force: before the change the old one, then for a while none of the two for an
-// address that moved, then the new one.
+// requireNoCrossServicePackets checks that every packet is of the service to which
+// its target's address belongs: until span after the publication the service that
+// listed the address before the change, if any, and otherwise the one that lists it
+// after the change. While an address that moved is in quarantine, it gets no packets
+// of either service.
 func requireNoCrossServicePackets(t *testing.T, f *driver.Simulation, before, after driver.SettingsTree, published timekeeper.Instant, span time.Duration) {
 	t.Helper()
 	was, is := serviceOf(before), serviceOf(after)
@@ -103,10 +106,10 @@
 	return of
 }
 
-// Symptom: a finance officer sees another office's data.
-// Sequence: a packet comes to a return address from an address that is no
-// target of that service, as after the address was given to another service.
-// Cause: an answer that is passed on by its return address alone.
+// Guards against responses that reach a caller of another service: when a packet to a
+// return address comes from an address that is no target of that service, for example
+// after the address moved to another service, the return address alone must not be
+// enough to deliver it.
 func TestResponsesFromUnknownTargetsDropped(t *testing.T) {
 	f := newFleet(t, threeZoneTree())
 	id := requestID(1, 1, 1)
@@ -119,9 +122,9 @@
 	require.Len(t, f.Answers, before)
 }
 
-// Symptom: a packet of one service reaches another's target, at the second move.
-// Sequence: an address moves from intake to ledger and, long after, back.
-// Cause: a rest that is kept for the first move only.
+// Guards against a quarantine for the first move only: when an address moves from one
+// service to another and, much later, back, the second move must start a quarantine
+// too, or packets of one service reach a target of the other.
 func TestAddressMovedTwiceIsQuarantinedTwice(t *testing.T) {
 	moved := threeZoneTree()
 	moved.Services[0].TargetNumbers = append(intRange(1, 14), 24)
--- a/core/reducer/settings_test.go
+++ b/core/reducer/settings_test.go
@@ -8,10 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: some hosts act on settings that others have left behind.
-// Sequence: a revision is published while the platform, or the way to it, fails
-// in one of many ways.
-// Cause: a host that waits for its own read, or believes a lower revision.
+// Guards against hosts that keep or return to old settings: when a revision is
+// published while the platform or the connection to it fails in one of several ways,
+// a host must not depend on its own read, nor adopt a lower revision.
 func TestRevisionReachesAllHostsAndIsNeverReverted(t *testing.T) {
 	const within = 9 * time.Second
 	next := threeZoneTree()
@@ -124,9 +123,8 @@
 	}
 }
 
-// Symptom: the platform is called more and more as the fleet grows.
-// Sequence: a revision is published to a zone of many hosts.
-// Cause: every host watches for itself.
+// Guards against platform calls that grow with the number of hosts: when a revision
+// is published, only the watchers of each zone may read it from the platform.
 func TestOnlyWatchersReadPlatform(t *testing.T) {
 	tree := threeZoneTree()
 	tree.HostsPerZone = []int{8, 8, 8}
