--- a/core/reducer/flow_table.go
+++ b/core/reducer/flow_table.go
@@ -42,9 +42,9 @@
 // flowShards is the number of shards, of which each sweep visits one.
 const flowShards = 256
 
-// flowTable holds the records of flows. It is the only mutable store, because
-// copying an immutable map for each packet would cost far more than the lookup
-// itself (BenchmarkKnownFlow), and only its reducer accesses it.
+// flowTable holds the records of flows. It is the only mutable store of the system,
+// because copying an immutable map for each packet would cost far more than the
+// lookup itself (BenchmarkKnownFlow), and only its reducer accesses it.
 //
 // A shard holds the flows whose buckets have the same low byte.
 type flowTable struct {
--- a/core/reducer/route.go
+++ b/core/reducer/route.go
@@ -309,8 +309,8 @@
 	if in.service.registry[f.target].listed {
 		r.passToTarget(in, f.target)
 	}
-	// A flow with two targets gives no clue which of them an acknowledgement is
-	// for; the wrong one ignores it (RFC 7252, section 4.2).
+	// If the flow has two targets, an acknowledgement does not show which of them
+	// it is for; the wrong one ignores it (RFC 7252, section 4.2).
 	if f.otherTarget != noTarget && in.service.registry[f.otherTarget].listed {
 		r.passToTarget(in, f.otherTarget)
 	}
--- a/core/reducer/services_test.go
+++ b/core/reducer/services_test.go
@@ -12,9 +12,9 @@
 
 // Guards against packets that reach a target of another service: when a target's
 // address moves from one service to another, or two services swap addresses, while
-// hosts are a revision apart and packets are in flight. A host with older settings
+// hosts are a revision apart and packets are in flight, a host with older settings
 // still sends packets of the old service to the address, and a host with newer ones
-// may send packets of the new service before the others have stopped.
+// sends packets of the new service before the others have stopped.
 func TestNoPacketCrossesServices(t *testing.T) {
 	const inForceWithin = 9 * time.Second
 	moved := threeZoneTree()
