--- a/core/detector/detector.go
+++ b/core/detector/detector.go
@@ -1,19 +1,19 @@
-// Package detector finds out which hosts live, and keeps the leases that fence
-// the ownership of flows.
+// Package detector detects failed hosts and maintains the leases that fence the
+// ownership of flows.
 //
-// Two mechanisms share the heartbeats. Outside the own cell a host pings one
-// random host an interval and spreads what it learns as rumors (after SWIM),
-// so its work does not grow with the fleet. Within the own cell, at most
-// resolver.MaxCellHosts hosts, every host pings every other, and each Ack is a
-// vote: a host may act as an owner only while a quorum of its cell votes for
-// it. A voter that gives a host up waits until its own vote has run out and
-// never votes for that incarnation again. Since any two quorums share a host,
-// no two hosts can hold the same flows.
+// Two mechanisms share the heartbeats. Outside the local cell, a host pings one
+// random host per interval and spreads member states by gossip, as in SWIM, so its
+// load does not grow with the fleet. Within the local cell, which has at most
+// resolver.MaxCellHosts hosts, every host pings every other one, and each Ack is a
+// vote: a host may act as an owner only while it holds the votes of a quorum of its
+// cell. A voter declares a host dead only after its own vote for that host has
+// expired, and never votes for that incarnation again. Any two quorums share a
+// host, so no two hosts can own the same flows.
 //
-//	cell {a, b, c}: c is paused. a and b give c up once their votes for c are
-//	over. When a hears that b has given c up as well, {a, b} is a quorum that
-//	denies c, so a takes over c's flows. c wakes, finds that its votes ended
-//	while it slept, and does nothing until it has joined anew.
+//	cell {a, b, c}: c is paused. a and b declare c dead once their votes for c
+//	have expired. When a learns that b has declared c dead as well, {a, b} is a
+//	quorum against c, so a takes over c's flows. When c resumes, it finds that
+//	its votes expired during the pause, and does not act until it has rejoined.
 package detector
 
 import (
@@ -26,14 +26,14 @@
 	"cranberryspan.dev/core/timekeeper"
 )
 
-// Outgoing is a message that the detector wants sent.
+// Outgoing is a message to be sent to another host.
 type Outgoing struct {
 	To   string
 	Body messenger.Body
 }
 
-// Detector is one host's view of the fleet. It is driven from outside and
-// holds no clock; it is not safe for concurrent use.
+// Detector is one host's view of the fleet. It has no clock of its own: callers
+// pass in the time. It is not safe for concurrent use.
 type Detector struct {
 	self        string
 	timing      Timing
@@ -43,7 +43,7 @@
 	phase       messenger.Phase
 	revision    uint64
 	members     map[string]*member
-	// names is sorted; it gives every loop over members the same order.
+	// names is sorted, so that every loop over members runs in the same order.
 	names            []string
 	membership       cellMembership
 	priorMemberships []priorMembership
@@ -68,13 +68,15 @@
 type sentPing struct {
 	to     string
 	sentAt timekeeper.Instant
-	// viewVersion is the version of the cell's view that went with it; zero for none.
+	// viewVersion is the version of the cell view sent with the ping; zero if none
+	// was sent.
 	viewVersion uint64
 }
 
-// New makes the detector of a host. incarnation must be higher than at any
+// New returns the detector of a host. incarnation must be higher than at any
 // earlier start of the same host; seed makes the choice of hosts to ping
-// repeatable. decorate adds what other parts of the host have to say to a peer.
+// reproducible. extraPayload returns the heartbeat fields that other parts of the
+// host send to a peer.
 func New(self string, incarnation, seed uint64, timing Timing, start timekeeper.Instant, extraPayload func(peer string) messenger.Heartbeat) *Detector {
 	return &Detector{
 		self:         self,
@@ -91,7 +93,7 @@
 	}
 }
 
-// SetHosts takes over the hosts of a settings revision.
+// SetHosts applies the host list of a settings revision.
 func (d *Detector) SetHosts(hosts []resolver.Host, revision uint64, now timekeeper.Instant) {
 	d.revision = revision
 	ownCell := ""
@@ -119,8 +121,8 @@
 		m.host = h
 		m.inCell = inCell
 		if inCell && m.liveness == messenger.LivenessUnknown {
-			// A host that is listed and never heard of is given up in the end,
-			// so that a cell can work before all of its hosts were started.
+			// A listed host that never answers is eventually declared dead, so that
+			// a cell can work before all of its hosts have been started.
 			m.liveness = messenger.LivenessSuspect
 		}
 	}
@@ -142,8 +144,8 @@
 	}
 }
 
-// sendInitialPings pings some hosts at once, so that a new host learns about the fleet
-// within a round trip.
+// sendInitialPings pings up to maxPings hosts at once, so that a new host learns
+// the state of the fleet within one round trip.
 func (d *Detector) sendInitialPings(now timekeeper.Instant) {
 	const maxPings = 32
 	for i, name := range d.names {
@@ -154,13 +156,13 @@
 	}
 }
 
-// Incarnation returns the host's own incarnation.
+// Incarnation returns the local host's incarnation.
 func (d *Detector) Incarnation() uint64 { return d.incarnation }
 
-// Phase returns the host's own phase.
+// Phase returns the local host's phase.
 func (d *Detector) Phase() messenger.Phase { return d.phase }
 
-// SetPhase moves the host to another phase and spreads the word.
+// SetPhase moves the local host to another phase and queues the change for gossip.
 func (d *Detector) SetPhase(phase messenger.Phase) {
 	if d.phase == phase {
 		return
@@ -169,7 +171,7 @@
 	d.queueUpdate(d.self)
 	d.nextPingRound = 0
 	if phase == messenger.PhaseReady {
-		// Votes count only from hosts that know this host to be ready.
+		// Votes count only if the voter knew this host to be ready.
 		d.discardLeases()
 	}
 }
@@ -181,14 +183,14 @@
 	}
 }
 
-// Rejoined reports, once, that the host lost its place and has to join anew.
+// Rejoined reports, once, that the host lost its ownership and has to rejoin.
 func (d *Detector) Rejoined() bool {
 	rejoined := d.rejoined
 	d.rejoined = false
 	return rejoined
 }
 
-// TakeOutgoing returns the messages to send and forgets them.
+// TakeOutgoing returns the messages to send and clears the outgoing list.
 func (d *Detector) TakeOutgoing() []Outgoing {
 	out := d.outgoing
 	d.outgoing = nil
@@ -199,7 +201,8 @@
 	d.outgoing = append(d.outgoing, Outgoing{To: to, Body: body})
 }
 
-// Tick lets time pass. It must be called several times an interval.
+// Tick advances the detector to now. It must be called several times per ping
+// interval.
 func (d *Detector) Tick(now timekeeper.Instant) {
 	d.now = now
 	d.reclaimOwnVote(now)
@@ -215,24 +218,24 @@
 	d.sendPingRound(now)
 }
 
-// NoteRevision takes in that a host has a settings revision in force, as a
-// forwarded packet says, which comes sooner than the next heartbeat.
+// NoteRevision records that a host has a settings revision in force. A forwarded
+// packet carries the revision, and arrives sooner than the next heartbeat.
 func (d *Detector) NoteRevision(host string, revision uint64) {
 	if m, ok := d.members[host]; ok {
 		m.revision = max(m.revision, revision)
 	}
 }
 
-// LastAnswer returns when the latest ping was sent that a host has answered.
+// LastAnswer returns the send time of the latest ping that has been answered.
 func (d *Detector) LastAnswer() timekeeper.Instant { return d.lastAnswer }
 
-// NotePause tells the detector that the host was paused.
+// NotePause records that the local host was paused.
 //
-// What goes wrong: a host that was paused for longer than DeadAfter finds, at
-// its first tick, that nobody has answered for that long, and gives up every
-// host in the cell although they live. One notices by a burst of "host dead"
-// lines from one host. So a host that slept first gives the others the time to
-// answer; its own leases have ended by themselves.
+// Without this, a host that was paused for longer than DeadAfter finds at its first
+// tick that no host has answered for that long, and declares every host of the cell
+// dead although all are alive, which shows as a burst of "host dead" lines from one
+// host. A resumed host therefore first gives the others time to answer. Its own
+// leases have expired by themselves.
 func (d *Detector) NotePause(now timekeeper.Instant) {
 	d.now = now
 	clear(d.pings)
@@ -293,7 +296,7 @@
 	d.queueUpdate(m.host.Name)
 }
 
-// sendPingRound pings the whole cell and one host outside of it.
+// sendPingRound pings every host of the cell and one host outside of it.
 func (d *Detector) sendPingRound(now timekeeper.Instant) {
 	for _, name := range d.names {
 		if d.members[name].inCell {
@@ -314,8 +317,8 @@
 	}
 }
 
-// nextRemotePeer walks the hosts outside the cell in random order, each once
-// before any comes again, which bounds the time until a failure is noticed.
+// nextRemotePeer returns the hosts outside the cell in random order, each one once
+// before any is repeated, which bounds the time until a failure is detected.
 func (d *Detector) nextRemotePeer() (string, bool) {
 	if len(d.pingOrder) == 0 {
 		for _, name := range d.names {
@@ -346,7 +349,7 @@
 	d.send(name, &messenger.Ping{Sequence: d.sequence, Heartbeat: news})
 }
 
-// Receive takes in a heartbeat from a peer.
+// Receive handles a heartbeat message from a peer.
 func (d *Detector) Receive(from string, body messenger.Body, now timekeeper.Instant) {
 	d.now = now
 	m, ok := d.members[from]
@@ -373,8 +376,8 @@
 	}
 }
 
-// ackPing answers a ping and notes the promise that goes with the answer. A host
-// that was given up gets an answer, which tells it so, but no promise.
+// ackPing answers a ping and records how long the vote in the answer is valid. A
+// host that was declared dead gets an Ack, which tells it so, but no vote.
 func (d *Detector) ackPing(m *member, sequence uint64, now timekeeper.Instant) {
 	if m.liveness != messenger.LivenessDead {
 		m.grantDeadline = now.Add(d.timing.Grant)
@@ -425,7 +428,7 @@
 	return false
 }
 
-// applyHeartbeat takes in what a peer says of itself and of others.
+// applyHeartbeat applies a peer's report about itself and about other hosts.
 func (d *Detector) applyHeartbeat(m *member, news messenger.Heartbeat, now timekeeper.Instant) {
 	if news.Incarnation < m.incarnation {
 		return
@@ -437,8 +440,8 @@
 		m.lastHeardAt = now
 		d.queueUpdate(m.host.Name)
 	}
-	// Within one incarnation a host only moves forward; an older message that
-	// comes late must not bring an earlier phase back.
+	// Within one incarnation the phase only advances, so that an older message that
+	// arrives late does not restore an earlier phase.
 	if news.Phase > m.phase {
 		m.setPhase(news.Phase, now)
 		d.queueUpdate(m.host.Name)
@@ -463,7 +466,7 @@
 	}
 }
 
-// applyCellUpdate takes in a cell peer's view of another cell member.
+// applyCellUpdate applies a cell peer's report about another cell member.
 func (d *Detector) applyCellUpdate(from *member, r messenger.MemberState, now timekeeper.Instant) {
 	if !from.inCell {
 		return
@@ -491,8 +494,9 @@
 	}
 }
 
-// adoptDeadState makes a host that has not joined yet believe what its cell knows:
-// it has no memory of an earlier incarnation's promise that it could break.
+// adoptDeadState lets a host that has not joined yet adopt a cell peer's report
+// that a host is dead: it has cast no vote in this incarnation, and has no record
+// of votes cast by an earlier one.
 func (d *Detector) adoptDeadState(m *member, now timekeeper.Instant) {
 	if canVote(d.phase) || m.liveness == messenger.LivenessDead {
 		return
@@ -500,12 +504,13 @@
 	d.declareDead(m, now)
 }
 
-// handleOwnDeath takes in that a cell peer gave this host up. The host answers
-// with a new incarnation. If the hosts that still vote for it are no quorum,
-// another host may have taken over its flows, so it joins anew.
+// handleOwnDeath handles a cell peer's report that it declared this host dead. The
+// host answers with a new incarnation. If the hosts that still vote for it are no
+// quorum, another host may have taken over its flows, so it rejoins.
 //
-// A host must not take a new incarnation for any other reason: peers would
-// forget that they gave it up, and it would go on with records that are old.
+// A host must not start a new incarnation for any other reason: its peers would
+// discard the fact that they declared it dead, and it would continue with outdated
+// records.
 func (d *Detector) handleOwnDeath(r messenger.MemberState, now timekeeper.Instant) {
 	if r.Liveness != messenger.LivenessDead || r.Incarnation < d.incarnation {
 		return
@@ -521,5 +526,6 @@
 	}
 }
 
-// LeaseDuration returns the timing's lease, for callers that wait one out.
+// LeaseDuration returns the lease duration, for callers that wait until a lease has
+// expired.
 func (d *Detector) LeaseDuration() time.Duration { return d.timing.Lease }
--- a/core/detector/detector_test.go
+++ b/core/detector/detector_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// network is detectors with links of one tick.
+// network connects detectors by links that deliver within one tick.
 type network struct {
 	now       timekeeper.Instant
 	detectors map[string]*detector.Detector
@@ -73,8 +73,8 @@
 	}
 }
 
-// Symptom: two sides of a cut both act. Sequence: a cell is split in every way.
-// Cause: quorums that do not meet.
+// Guards against both sides of a partition acting: a cell is split in every
+// possible way, and quorums that do not intersect would give each side one.
 func TestPartitionLeavesAtMostOneQuorum(t *testing.T) {
 	for _, size := range []int{2, 3, 4, 5, 8} {
 		for split := 0; split < 1<<size; split++ {
@@ -96,14 +96,14 @@
 			}
 			require.Len(t, sides, 1, "cell of %d split into %v and the rest", size, group)
 			if size == 8 {
-				split += 12 // A sample is enough.
+				split += 12 // Test only a sample of the splits of a large cell.
 			}
 		}
 	}
 }
 
-// Symptom: a paused host gives everyone up when it wakes.
-// Sequence: a host sleeps for 30 s. Cause: silence that was its own.
+// Guards against a host declaring every peer dead after a pause: a host is paused
+// for 30 s, and on resuming would mistake its own pause for unresponsive peers.
 func TestPausedHostDeclaresNoPeerDead(t *testing.T) {
 	n := newNetwork(map[string]int{"a": 3, "b": 3})
 	n.step(5 * time.Second)
@@ -121,9 +121,9 @@
 	require.False(t, n.detectors["a1"].ConfirmedDead("a2"), "its new incarnation is welcome")
 }
 
-// Symptom: a host that was given up goes on with a vote of who gave it up.
-// Sequence: a host sleeps, is given up, and its ping from before comes late.
-// Cause: an answer that is a vote whatever the voter believes.
+// Guards against a vote for a host that the voter has declared dead: a host is
+// paused and declared dead, then a ping that it sent earlier arrives late, and is
+// answered with a vote without regard to the voter's state of the host.
 func TestDeadHostGetsNoVote(t *testing.T) {
 	n := newNetwork(map[string]int{"a": 3})
 	n.step(3 * time.Second)
@@ -136,8 +136,9 @@
 	require.NotEmpty(t, out[0].Body.(*messenger.Ack).Heartbeat.WithheldVotes)
 }
 
-// Symptom: hosts of another zone are believed dead for ever after a cut heals.
-// Sequence: a zone is cut off and comes back. Cause: nobody refutes the rumor.
+// Guards against hosts of another zone staying dead after a partition heals: a zone
+// is partitioned and reconnects, but no host refutes the member states that were
+// spread meanwhile.
 func TestZoneRecoversAfterPartition(t *testing.T) {
 	n := newNetwork(map[string]int{"a": 2, "b": 3, "c": 3})
 	n.step(10 * time.Second)
@@ -156,9 +157,8 @@
 	}
 }
 
-// Symptom: a host looks dead to one other since a single link broke.
-// Sequence: the link between two hosts of different zones breaks.
-// Cause: no second opinion.
+// Guards against a host being declared dead because of a single link: the link
+// between two hosts of different zones breaks, and no other host is asked to ping.
 func TestSingleLinkFailureDeclaresNoHostDead(t *testing.T) {
 	n := newNetwork(map[string]int{"a": 3, "b": 3})
 	n.step(5 * time.Second)
@@ -169,8 +169,8 @@
 	}
 }
 
-// The work of a host must not grow with the fleet: heartbeats go to the own cell
-// and to one other host.
+// The message rate of a host must not grow with the fleet: heartbeats go to the
+// local cell and to one other host per interval.
 func TestHeartbeatRateIndependentOfFleetSize(t *testing.T) {
 	perHost := func(cells int) float64 {
 		sizes := map[string]int{}
--- a/core/detector/error.go
+++ b/core/detector/error.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// Kind tells callers which sort of failure an Error is.
+// Kind classifies an Error.
 type Kind uint8
 
-// KindTiming means that the timing would break the lease argument.
+// KindTiming means that the timing would allow two hosts to hold a lease at once.
 const KindTiming Kind = 1
 
 func (k Kind) String() string {
@@ -15,7 +15,7 @@
 	return "unknown"
 }
 
-// Error is the one error type of this package.
+// Error is the error type of this package.
 type Error struct {
 	Op   string
 	Kind Kind
--- a/core/detector/gossip.go
+++ b/core/detector/gossip.go
@@ -9,20 +9,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// pendingUpdate is a rumor and how often it is still to be told.
+// pendingUpdate is a member state to be gossiped, with the number of transmissions
+// left.
 type pendingUpdate struct {
 	host              string
 	transmissionsLeft int
 }
 
-// indirectPing remembers who asked for a ping of subject.
+// indirectPing records which host requested an indirect ping of subject.
 type indirectPing struct {
 	requester, subject string
 	deadline           timekeeper.Instant
 }
 
-// requestIndirectPings has two other hosts ping a silent one, so that one broken link
-// does not make a host look dead.
+// requestIndirectPings asks two other hosts to ping an unresponsive one, so that
+// one broken link does not get a host declared dead.
 func (d *Detector) requestIndirectPings(subject string, _ timekeeper.Instant) {
 	const indirectPingers = 2
 	var alive []string
@@ -37,7 +38,8 @@
 	}
 }
 
-// sendIndirectAcks tells hosts that asked about m that it has answered.
+// sendIndirectAcks reports to the hosts that requested an indirect ping of m that
+// it has answered.
 func (d *Detector) sendIndirectAcks(m *member, now timekeeper.Instant) {
 	kept := d.indirectPings[:0]
 	for _, r := range d.indirectPings {
@@ -53,7 +55,7 @@
 	d.indirectPings = kept
 }
 
-// refute contradicts a rumor that this host is suspect or dead.
+// refute refutes a report that the local host is suspect or dead.
 func (d *Detector) refute(r messenger.MemberState) {
 	if r.Incarnation != d.incarnation || r.Refutations < d.refutations {
 		return
@@ -62,8 +64,8 @@
 	d.queueUpdate(d.self)
 }
 
-// applyMemberState takes in a rumor. Rumors decide nothing about hosts of the own cell,
-// which this host watches itself.
+// applyMemberState applies a gossiped member state. Gossip decides nothing about
+// hosts of the local cell, which this host pings itself.
 func (d *Detector) applyMemberState(r messenger.MemberState, now timekeeper.Instant) {
 	if r.Host == d.self {
 		if r.Liveness >= messenger.LivenessSuspect {
@@ -95,9 +97,9 @@
 	d.queueUpdate(r.Host)
 }
 
-// applyIndirectAck takes a suspicion of this host's own back: somebody has reached the
-// host. It must not wait for the host itself to hear of the suspicion and
-// contradict it, since the link over which it would is the broken one.
+// applyIndirectAck clears this host's own suspicion of a host that another host has
+// reached. It does not wait until the suspect learns of the suspicion and refutes
+// it, since the refutation would need the broken link.
 func (d *Detector) applyIndirectAck(r messenger.MemberState) {
 	m, ok := d.members[r.Host]
 	if ok && !m.inCell && m.incarnation == r.Incarnation && m.liveness == messenger.LivenessSuspect {
@@ -106,8 +108,8 @@
 	}
 }
 
-// queueUpdate queues a host's state for the next messages, often enough to reach
-// the whole fleet with high probability.
+// queueUpdate queues a host's state for the next messages, with enough
+// transmissions to reach the whole fleet with high probability.
 func (d *Detector) queueUpdate(host string) {
 	transmissions := 3
 	for n := len(d.members); n > 0; n /= 2 {
@@ -119,11 +121,11 @@
 			return
 		}
 	}
-	// What is new is told first.
+	// The latest update is sent first.
 	d.pendingUpdates = slices.Insert(d.pendingUpdates, 0, pendingUpdate{host: host, transmissionsLeft: transmissions})
 }
 
-// buildHeartbeat writes what rides on a heartbeat to a peer.
+// buildHeartbeat returns the heartbeat to send to a peer.
 func (d *Detector) buildHeartbeat(peer string) messenger.Heartbeat {
 	news := messenger.Heartbeat{}
 	if d.extraPayload != nil {
@@ -140,21 +142,22 @@
 	}
 	news.MemberUpdates = d.nextRumors()
 	if ok && !m.inCell && m.liveness >= messenger.LivenessSuspect {
-		// A host that is wrongly given up must hear of it to refute it.
+		// A host that was wrongly declared dead has to receive that state to refute
+		// it.
 		news.MemberUpdates = append(news.MemberUpdates, m.rumor())
 	}
 	return news
 }
 
-// viewVersion identifies the state of the cell as this host sees it. A peer that
-// has acknowledged a version is not sent it again: in a quiet cell of eight, the
-// view would be most of a heartbeat. A vote always travels with a view that its
-// receiver has or gets.
+// viewVersion identifies the state of the cell as seen by this host. A view is not
+// sent again to a peer that has acknowledged its version: in a stable cell of eight
+// hosts, the view would be most of a heartbeat. A vote is always sent with a view,
+// unless its receiver already has that view.
 func (d *Detector) viewVersion() uint64 {
 	hash := xxhash.New()
 	for _, name := range d.names {
 		if m := d.members[name]; m.inCell {
-			// Writing to a hash can't fail.
+			// Writing to a hash never fails.
 			_, _ = fmt.Fprintln(hash, name, m.incarnation, m.liveness, m.phase)
 		}
 	}
@@ -171,7 +174,7 @@
 	return view
 }
 
-// nextRumors takes the rumors whose turn it is, and counts them as told.
+// nextRumors returns the next pending member states and counts the transmission.
 func (d *Detector) nextRumors() []messenger.MemberState {
 	const maxRumors = 6
 	n := min(maxRumors, len(d.pendingUpdates))
--- a/core/detector/member.go
+++ b/core/detector/member.go
@@ -6,7 +6,7 @@
 	"cranberryspan.dev/core/timekeeper"
 )
 
-// member is what this host knows of one other host.
+// member is this host's state of one other host.
 type member struct {
 	host        resolver.Host
 	inCell      bool
@@ -15,40 +15,42 @@
 	liveness    messenger.Liveness
 	phase       messenger.Phase
 	revision    uint64
-	// lastHeardAt is when the host last answered a ping of ours.
+	// lastHeardAt is when the host last answered a ping.
 	lastHeardAt timekeeper.Instant
-	// suspectDeadline is when a suspect outside the cell is given up.
+	// suspectDeadline is when a suspect host outside the cell is declared dead.
 	suspectDeadline timekeeper.Instant
-	// leaseDeadline is when the host's vote for us ends.
+	// leaseDeadline is when the host's vote for the local host expires.
 	leaseDeadline timekeeper.Instant
-	// leaseVotes names the votes that came with the lease.
+	// leaseVotes lists the names whose votes came with the lease.
 	leaseVotes []string
-	// ackedViewVersion is the version of this host's view of the cell that the host has
+	// ackedViewVersion is the version of the local cell view that the host has
 	// acknowledged.
 	ackedViewVersion uint64
-	// heldVotes names every vote that the host held at its last word; unsettled
-	// those of them that can't give anybody up yet.
+	// heldVotes lists every name whose vote the host held at its last Ack;
+	// unsettledVotes lists those among them that do not yet count for declaring a
+	// host dead.
 	heldVotes      []string
 	unsettledVotes []string
-	// grantDeadline is when our vote for the host ends.
+	// grantDeadline is when the local host's vote for the host expires.
 	grantDeadline timekeeper.Instant
-	// stateLostAt is when the host last lost its memory, as far as is known: when it
-	// was given up, or came back without having left. Zero is never.
+	// stateLostAt is when the host is last known to have lost its in-memory state:
+	// when it was declared dead, or restarted without a graceful shutdown. Zero
+	// means never.
 	stateLostAt timekeeper.Instant
-	// heldQuorum says that the host has held a quorum under this incarnation.
+	// heldQuorum is set if the host has held a quorum in this incarnation.
 	heldQuorum bool
-	// declaredDeadBy names the cell members that gave up this incarnation.
+	// declaredDeadBy names the cell members that declared this incarnation dead.
 	declaredDeadBy map[string]bool
-	// left says that the host left by plan and has not come back.
+	// left is set if the host shut down gracefully and has not restarted.
 	left bool
-	// leftAt is when this host heard of that.
+	// leftAt is when the local host learned of the shutdown.
 	leftAt timekeeper.Instant
-	// pingDeadline is when a ping outside the cell counts as unanswered.
+	// pingDeadline is when a ping to a host outside the cell counts as unanswered.
 	pingDeadline timekeeper.Instant
 }
 
-// startIncarnation starts a new incarnation of the host: nothing that was said about an
-// earlier one counts any more.
+// startIncarnation records a new incarnation of the host and discards all state of
+// the earlier one.
 func (m *member) startIncarnation(incarnation uint64, now timekeeper.Instant) {
 	if m.incarnation != 0 && !m.left {
 		m.stateLostAt = now
@@ -65,13 +67,13 @@
 	m.pingDeadline = 0
 }
 
-// isNewer reports whether a rumor is about a later state of the host than what is
-// known; a refutation revives a host without a new incarnation.
+// isNewer reports whether a member state is later than the recorded one. A
+// refutation restores a host to alive without a new incarnation.
 func (m *member) isNewer(r messenger.MemberState) bool {
 	return r.Incarnation > m.incarnation || (r.Incarnation == m.incarnation && r.Refutations > m.refutations)
 }
 
-// setPhase moves the host to a phase of its present incarnation.
+// setPhase records the phase of the host's current incarnation.
 func (m *member) setPhase(phase messenger.Phase, now timekeeper.Instant) {
 	m.phase = phase
 	switch phase {
@@ -90,7 +92,7 @@
 	return messenger.MemberState{Host: m.host.Name, Incarnation: m.incarnation, Refutations: m.refutations, Liveness: m.liveness, Phase: m.phase}
 }
 
-// canVote reports whether the host's Acks count as votes.
+// canVote reports whether the Acks of a host in this phase count as votes.
 func canVote(phase messenger.Phase) bool {
 	return phase == messenger.PhaseReady || phase == messenger.PhaseLeaving
 }
--- a/core/detector/quorum.go
+++ b/core/detector/quorum.go
@@ -7,21 +7,21 @@
 	"cranberryspan.dev/core/timekeeper"
 )
 
-// cellMembership is the members of a cell under one settings revision, sorted.
+// cellMembership is the sorted members of a cell under one settings revision.
 type cellMembership struct {
 	names    []string
 	revision uint64
 }
 
-// priorMembership is an earlier roster whose quorum still counts.
+// priorMembership is an earlier membership whose quorum is still required.
 //
-// What goes wrong without it: cell {x, y, z} becomes {x, y}. x has the new
-// revision, y and z have not. x alone is half of the new cell and its
-// tiebreaker, so a quorum; {y, z} is a quorum of the old one; both act. One
-// notices by a request that runs twice right after a change of hosts. So x
-// needs a quorum of both rosters until a quorum of the old one has the new
-// revision, or, where the old hosts are gone for good, until deadline. The
-// second way rests on the operator having stopped the hosts that were removed.
+// Without this, a change of membership allows two disjoint quorums. Cell {x, y, z}
+// becomes {x, y}. x has the new revision, y and z do not. x alone is half of the
+// new cell and its tiebreaker, hence a quorum; {y, z} is a quorum of the old cell;
+// both act, which shows as a request that runs twice right after a change of hosts.
+// So x needs a quorum of both memberships until a quorum of the old one has the new
+// revision or, if the old hosts are gone permanently, until deadline. The deadline
+// is safe only if the operator has stopped the removed hosts.
 type priorMembership struct {
 	cellMembership
 	requiredRevision uint64
@@ -63,13 +63,14 @@
 	})
 }
 
-// isQuorum reports whether the votes in this host's hands that count as own, with
-// those that the other hosts of a roster cast for a matter, are a quorum: more than half, or
-// half with the vote of the first name of the roster.
+// isQuorum reports whether the votes held by this host that satisfy countsAsOwn,
+// together with the votes that votesOf returns for the members of r, are a quorum:
+// more than half of the votes, or half including the vote of the first member.
 //
-// What is counted is names, not hosts: a host that leaves by plan gives its vote
-// to one that stays (see heldVote). Each name's vote is in one hand at any time, so
-// any two quorums have a name in common, and with it the hand that holds it.
+// Votes are counted by name, not by host: a host that shuts down gracefully
+// transfers its vote to one that stays (see heldVote). Each name's vote is held by
+// one host at any time, so any two quorums have a name in common, and with it the
+// host that holds its vote.
 func (d *Detector) isQuorum(r cellMembership, countsAsOwn func(v heldVote) bool, votesOf func(m *member) []string) bool {
 	cast := map[string]bool{}
 	for name, v := range d.heldVotes {
@@ -94,7 +95,7 @@
 	return count*2 > size || (count*2 == size && size > 0 && cast[r.names[0]])
 }
 
-// leasedVotes returns the votes that a host casts for this one at present.
+// leasedVotes returns the votes that a host currently casts for this one.
 func (m *member) leasedVotes(now timekeeper.Instant) []string {
 	if m.leaseDeadline.Passed(now) {
 		return nil
@@ -120,8 +121,9 @@
 	return true
 }
 
-// ConfirmedDead reports whether hosts with a quorum of the votes, this host among them,
-// have given the present incarnation of a host up, so that it holds no lease.
+// ConfirmedDead reports whether hosts with a quorum of the votes, this host among
+// them, have declared the current incarnation of a host dead, so that it holds no
+// lease.
 func (d *Detector) ConfirmedDead(name string) bool {
 	denied, ok := d.members[name]
 	if !ok || denied.liveness != messenger.LivenessDead || !canVote(d.phase) {
@@ -138,8 +140,8 @@
 	})
 }
 
-// voteAccountedFor reports whether a cell member answers, or somebody who answers holds
-// its vote.
+// voteAccountedFor reports whether a cell member is responsive, or its vote is held
+// by a responsive host.
 func (d *Detector) voteAccountedFor(name string, now timekeeper.Instant) bool {
 	if m, ok := d.members[name]; ok && d.isResponsive(m, now) {
 		return true
@@ -151,7 +153,7 @@
 	return m.liveness == messenger.LivenessAlive && !m.lastHeardAt.Add(d.timing.Lease).Passed(now)
 }
 
-// isVoteHeldInCell reports whether a cell peer that answers holds the vote of a name.
+// isVoteHeldInCell reports whether a responsive cell peer holds the vote of a name.
 func (d *Detector) isVoteHeldInCell(vote string, now timekeeper.Instant) bool {
 	for _, name := range d.membership.names {
 		m, ok := d.members[name]
@@ -162,9 +164,10 @@
 	return false
 }
 
-// CanBootstrapCell reports whether every host of the cell answers, or left, and
-// none is on its way in: all have waited since their start, or are ready. Such
-// a cell can start from nothing, as after a failure of the whole zone.
+// CanBootstrapCell reports whether every host of the cell is responsive or has
+// left, and none is still joining: each responsive one is ready, or has waited out
+// the longest exchange lifetime since its start. Such a cell can start without
+// handovers, as after a failure of the whole zone.
 func (d *Detector) CanBootstrapCell(now timekeeper.Instant) bool {
 	for _, name := range d.membership.names {
 		if name == d.self {
@@ -180,29 +183,30 @@
 	return true
 }
 
-// Cell returns the names of the own cell's hosts, sorted, this host included.
+// Cell returns the sorted names of all hosts of the local cell, including this one.
 func (d *Detector) Cell() []string { return d.membership.names }
 
-// InCell reports whether a host is of the own cell.
+// InCell reports whether a host is a member of the local cell.
 func (d *Detector) InCell(name string) bool { return slices.Contains(d.membership.names, name) }
 
-// State is what the detector believes of a host.
+// State is the detector's current state of a host.
 type State struct {
 	Host        string
 	Liveness    messenger.Liveness
 	Phase       messenger.Phase
 	Incarnation uint64
 	Revision    uint64
-	// HeldQuorum says that the host has held a quorum under this incarnation.
+	// HeldQuorum is set if the host has held a quorum in this incarnation.
 	HeldQuorum bool
-	// StateLostAt is when the host last lost its memory, as far as is known: when it
-	// was given up, or came back without having left. Zero is never.
+	// StateLostAt is when the host is last known to have lost its in-memory state:
+	// when it was declared dead, or restarted without a graceful shutdown. Zero
+	// means never.
 	StateLostAt timekeeper.Instant
-	// LeftAt is when this host heard that the host had left.
+	// LeftAt is when the local host learned that the host had left.
 	LeftAt timekeeper.Instant
 }
 
-// State returns what is believed of a host, this one included.
+// State returns the current state of a host, which may be the local one.
 func (d *Detector) State(name string) State {
 	if name == d.self {
 		return State{Host: name, Liveness: messenger.LivenessAlive, Phase: d.phase, Incarnation: d.incarnation, Revision: d.revision}
@@ -214,11 +218,12 @@
 	return State{Host: name, Liveness: m.liveness, Phase: m.phase, Incarnation: m.incarnation, Revision: m.revision, HeldQuorum: m.heldQuorum, StateLostAt: m.stateLostAt, LeftAt: m.leftAt}
 }
 
-// Others returns the names of all other hosts, sorted.
+// Others returns the sorted names of all other hosts.
 func (d *Detector) Others() []string { return d.names }
 
-// HighestRevision returns the highest settings revision that any host named,
-// and one live host that has it.
+// HighestRevision returns the highest settings revision that any live host has
+// reported, and one host that has it; the host is empty if that is the local
+// revision.
 func (d *Detector) HighestRevision() (uint64, string) {
 	best, host := d.revision, ""
 	for _, name := range d.names {
--- a/core/detector/timing.go
+++ b/core/detector/timing.go
@@ -5,25 +5,27 @@
 	"time"
 )
 
-// Timing holds the spans that failure detection works with.
+// Timing holds the intervals and timeouts of failure detection.
 type Timing struct {
-	// PingInterval is the time between two rounds of heartbeats.
+	// PingInterval is the time between two rounds of pings.
 	PingInterval time.Duration
-	// Lease is how long an Ack counts as a vote for the host that sent the
-	// Ping, from the moment when the Ping was sent.
+	// Lease is how long an Ack counts as a vote for the sender of the Ping,
+	// measured from when the Ping was sent.
 	Lease time.Duration
-	// Grant is how long the voter keeps its word, from the moment when it
-	// sends the Ack. Grant exceeds Lease by what two clocks may drift apart.
+	// Grant is how long the voter is bound by its vote, measured from when it sends
+	// the Ack. Grant exceeds Lease by the possible drift between two clocks.
 	Grant time.Duration
-	// SuspectAfter is how long a host may stay silent before it is suspect.
+	// SuspectAfter is how long a host may be unresponsive before it is suspect.
 	SuspectAfter time.Duration
-	// DeadAfter is how long a host may stay silent before it is given up.
+	// DeadAfter is how long a host may be unresponsive before it is declared dead.
 	DeadAfter time.Duration
-	// MembershipOverlap is how long a change of a cell's members waits for the old members.
+	// MembershipOverlap is the maximum time for which the quorum of an earlier cell
+	// membership is still required.
 	MembershipOverlap time.Duration
 }
 
-// DefaultTiming suits hosts that are a few milliseconds apart.
+// DefaultTiming returns a timing for hosts with a few milliseconds of latency
+// between them.
 func DefaultTiming() Timing {
 	return Timing{
 		PingInterval:      400 * time.Millisecond,
@@ -35,7 +37,7 @@
 	}
 }
 
-// Check reports a timing under which two hosts could hold a lease at once.
+// Check returns an error if two hosts could hold a lease at once under this timing.
 func (t Timing) Check() error {
 	const op = "check timing"
 	switch {
@@ -44,7 +46,7 @@
 	case t.Grant < t.Lease+t.Lease/10:
 		return &Error{Op: op, Kind: KindTiming, Err: fmt.Errorf("grant %s leaves less than a tenth of lease %s for clock drift", t.Grant, t.Lease)}
 	case t.DeadAfter < t.Grant:
-		return &Error{Op: op, Kind: KindTiming, Err: fmt.Errorf("a host is given up after %s, while its grant of %s may hold", t.DeadAfter, t.Grant)}
+		return &Error{Op: op, Kind: KindTiming, Err: fmt.Errorf("host declared dead after %s, before its grant of %s expires", t.DeadAfter, t.Grant)}
 	}
 	return nil
 }
--- a/core/detector/votes.go
+++ b/core/detector/votes.go
@@ -7,23 +7,26 @@
 	"cranberryspan.dev/core/timekeeper"
 )
 
-// heldVote is a vote in this host's hands: its own, or that of a host that left.
+// heldVote is a vote held by this host: its own, or that of a host that left.
 //
-// What goes wrong without it: a cell of three has lost one host; a second one is
-// stopped by plan. The third can't know whether the lost one is dead or cut off,
-// so alone it has no quorum, and the cell refuses checks although every step was
-// by the book. With its vote left to the third host, the cell goes on.
+// Without this, a cell of three that has lost one host stops working when a second
+// one is shut down gracefully. The third can't tell whether the lost one is dead or
+// partitioned, so it has no quorum on its own, and the cell refuses requests
+// although the shutdown followed the procedure. With the vote of the second host
+// transferred to the third, the cell keeps working.
 type heldVote struct {
-	// countsAgainstFrom is when every vote that its former hand has cast is over, so
-	// that giving a host up with it takes no lease that the host still holds.
-	// For a host it can be cast at once.
+	// countsAgainstFrom is when every vote cast by the former holder has expired,
+	// so that declaring a host dead with this vote does not overlap with a lease
+	// that the host still holds. In favor of a host, the vote may be cast at once.
 	countsAgainstFrom timekeeper.Instant
-	// refusedIncarnations holds the incarnations for which the former hand had refused it.
+	// refusedIncarnations holds, by host, the incarnation that the former holder
+	// had declared dead.
 	refusedIncarnations map[string]uint64
 }
 
-// votesFor lists the votes that this host casts for a peer, those that it holds
-// and withholds, and those that can't give anybody up yet.
+// votesFor returns the names whose votes this host casts for a peer, those whose
+// votes it withholds, and those among the cast ones that do not yet count for
+// declaring a host dead.
 func (d *Detector) votesFor(peer *member) (cast, withheld, unsettled []string) {
 	for _, name := range d.membership.names {
 		v, ok := d.heldVotes[name]
@@ -43,18 +46,19 @@
 	return cast, withheld, unsettled
 }
 
-// refuses reports whether the vote's former hand had given a host up.
+// refuses reports whether the former holder of the vote had declared a host's
+// incarnation dead.
 func (v heldVote) refuses(host string, incarnation uint64) bool {
 	denied := v.refusedIncarnations[host]
 	return denied != 0 && denied == incarnation
 }
 
-// countsForSelf reports whether a vote counts for this host itself.
+// countsForSelf reports whether a vote counts in favor of the local host.
 func (d *Detector) countsForSelf(v heldVote) bool { return !v.refuses(d.self, d.incarnation) }
 
-// reclaimOwnVote takes this host's own vote back after a start. The process can't know
-// whether an earlier one left its vote to somebody, so every host of the cell
-// must say that it does not hold it.
+// reclaimOwnVote takes back this host's own vote after a start. The process can't
+// know whether an earlier incarnation transferred its vote, so every other host of
+// the cell has to be accounted for, and none may hold it.
 func (d *Detector) reclaimOwnVote(now timekeeper.Instant) {
 	if _, ok := d.heldVotes[d.self]; ok || !canVote(d.phase) || d.phase == messenger.PhaseLeaving {
 		return
@@ -70,9 +74,10 @@
 	d.heldVotes[d.self] = heldVote{countsAgainstFrom: d.startedAt.Add(d.timing.Grant)}
 }
 
-// ReleaseVotes takes votes out of this host's hands, for a peer that gets them with
-// the last part of a handover: all if the host leaves, or the peer's own vote.
-// It also lists what they must not be cast for.
+// ReleaseVotes removes votes from this host for transfer to a peer, which receives
+// them with the last chunk of a handover: all votes if this host leaves, otherwise
+// the peer's own vote. It also returns the hosts for which the votes must not be
+// cast.
 func (d *Detector) ReleaseVotes(to string, all bool) (names []string, denied []messenger.MemberState) {
 	for _, name := range d.membership.names {
 		if _, ok := d.heldVotes[name]; ok && (all || name == to) {
@@ -88,7 +93,7 @@
 	return names, denied
 }
 
-// AcceptVotes takes votes that a peer gave.
+// AcceptVotes adds votes transferred from a peer.
 func (d *Detector) AcceptVotes(names []string, denied []messenger.MemberState, now timekeeper.Instant) {
 	refused := map[string]uint64{}
 	for _, r := range denied {
