--- a/core/detector/votes.go
+++ b/core/detector/votes.go
@@ -75,9 +75,9 @@
 }
 
 // ReleaseVotes removes votes from this host for transfer to a peer, which receives
-// them with the last chunk of a handover: all votes if this host leaves, otherwise
-// the peer's own vote. It also returns the hosts for which the votes must not be
-// cast.
+// them with the last chunk of a handover: all votes if this host is shutting down,
+// otherwise the peer's own vote. It also returns the hosts for which the votes must
+// not be cast.
 func (d *Detector) ReleaseVotes(to string, all bool) (names []string, denied []messenger.MemberState) {
 	for _, name := range d.membership.names {
 		if _, ok := d.heldVotes[name]; ok && (all || name == to) {
--- a/core/reducer/handover.go
+++ b/core/reducer/handover.go
@@ -15,35 +15,40 @@
 const (
 	handoverChunkRecords = 400
 	handoverResendAfter  = 500 * time.Millisecond
-	// copyBytesPerSecond is the budget for telling successors of exceptions.
+	// copyBytesPerSecond is the bandwidth limit for copying exceptions to
+	// successors.
 	copyBytesPerSecond = 2048
-	// flowRecordBytes is what a FlowRecord takes in a message.
+	// flowRecordBytes is the size of an encoded FlowRecord.
 	flowRecordBytes = 24
-	// lingerDuration is how long a host that has left still passes packets on.
+	// lingerDuration is how long a host that has left still forwards packets.
 	lingerDuration = time.Second
 )
 
-// outgoingHandover is the records on their way to one host.
+// outgoingHandover is the transfer of flow records and request identities to one
+// host.
 type outgoingHandover struct {
-	// incarnation is that of the host that joins, or of this one if it leaves.
+	// incarnation is that of the receiver if it is joining, or of this host if this
+	// host is shutting down.
 	incarnation uint64
 	leaving     bool
-	// session tells this handover from earlier ones, sequence its chunks.
+	// session distinguishes this handover from earlier ones; sequence numbers its
+	// chunks.
 	session  uint64
 	sequence uint64
-	// flows and identities are still to be sent.
+	// flows and identities remain to be sent.
 	flows      []messenger.FlowRecord
 	identities []uint64
-	// unackedChunk is the chunk that is not acknowledged yet.
+	// unackedChunk is the chunk that has not been acknowledged yet.
 	unackedChunk *messenger.Handover
-	// doneSent says that the last part is under way, acked that it was taken in.
+	// doneSent is set once the last chunk has been sent; acked, once it has been
+	// acknowledged.
 	doneSent bool
 	acked    bool
-	// resendAt is when last is sent again.
+	// resendAt is when unackedChunk is sent again.
 	resendAt timekeeper.Instant
 }
 
-// advanceHandovers starts handovers to hosts that join, and sends the next chunks.
+// advanceHandovers starts handovers to joining hosts and sends the next chunks.
 func (r *Reducer) advanceHandovers() {
 	for _, name := range r.detector.Cell() {
 		if name == r.self {
@@ -65,9 +70,10 @@
 	r.advanceLeave()
 }
 
-// canHandOverTo reports whether a joining host can be served from here. Only a
-// host with a quorum knows that its records are the valid ones; a host that has
-// waited gathers the records of the others too, for a cell without a quorum.
+// canHandOverTo reports whether this host can hand over to a joining host. Only a
+// host with a quorum knows that its records are the valid ones. A host in phase
+// waited collects the records of hosts without a quorum too, to bootstrap a cell
+// that has none.
 func (r *Reducer) canHandOverTo(state detector.State) bool {
 	if !isJoining(state) || state.Liveness != messenger.LivenessAlive || !r.Ready() {
 		return false
@@ -87,14 +93,15 @@
 			return f, true
 		})
 	}
-	// Maps have no order; equal events must give equal effects.
+	// Iteration over the flow table has no defined order, and equal events must
+	// give equal effects.
 	slices.SortFunc(h.flows, func(a, b messenger.FlowRecord) int { return cmp.Compare(a.Key, b.Key) })
 	h.identities = r.knownIdentities()
 	r.handovers[to] = h
 	return h
 }
 
-// isNextOwner reports whether a host owns a flow once it has joined, or once
+// isNextOwner reports whether a host will own a flow once it has joined, or once
 // this host has left.
 func (r *Reducer) isNextOwner(to string, hash uint64) bool {
 	bucket := placer.BucketOf(hash)
@@ -131,7 +138,8 @@
 	return record
 }
 
-// knownIdentities lists every request that callers may repeat.
+// knownIdentities returns the identity of every request that callers may still
+// retransmit.
 func (r *Reducer) knownIdentities() []uint64 {
 	ids := slices.Clone(r.identities.order)
 	for _, id := range r.serviceIDs {
@@ -142,7 +150,8 @@
 	return ids
 }
 
-// addToHandovers adds a flow that began or moved during a handover to the handover.
+// addToHandovers adds a flow that was opened or moved during a handover to the
+// handover.
 func (r *Reducer) addToHandovers(key resolver.FlowKey, hash uint64, f flow) {
 	if len(r.handovers) == 0 {
 		return
@@ -154,9 +163,9 @@
 	}
 }
 
-// sendHandoverChunk sends the next part of a handover, or the last one again. With the
-// part that has Done set this host stops acting on the flows, so nothing can be
-// added behind it.
+// sendHandoverChunk sends the next chunk of a handover, or resends the
+// unacknowledged one. Once it sends the chunk with Done set, this host no longer
+// acts on the flows, so nothing can be added afterwards.
 func (r *Reducer) sendHandoverChunk(to string, h *outgoingHandover) {
 	h.resendAt = r.now.Add(handoverResendAfter)
 	if h.unackedChunk != nil {
@@ -187,7 +196,7 @@
 	chunk.Done = true
 	chunk.Quorum = r.detector.HasQuorum(r.now)
 	chunk.Unsent = r.takeUnsentRequests(to)
-	// What ran or was refused since the snapshot is added here.
+	// Add what has run or was refused since the snapshot.
 	chunk.Identities = append(slices.Clone(chunk.Identities), r.knownIdentities()...)
 	chunk.Requests = r.takeRunningRequests(to)
 	chunk.IdentitiesIncompleteFor = max(0, r.outcomesUncertainUntil().Until(r.now))
@@ -205,9 +214,10 @@
 	}
 }
 
-// outcomesUncertainUntil is until when the hosts of the cell together may not know every
-// request that callers may repeat. One host that lost its memory does no harm:
-// the next one held its identities. Of two, one may have held the other's.
+// outcomesUncertainUntil returns until when the hosts of the cell together may not
+// know every request that callers may still retransmit. The loss of one host's
+// state is harmless, since its successor has stored the identities of its requests.
+// If two hosts lost their state, one may have stored those of the other.
 func (r *Reducer) outcomesUncertainUntil() timekeeper.Instant {
 	window := r.maxExchangeLifetime()
 	lost, until := 0, timekeeper.Instant(0)
@@ -224,8 +234,8 @@
 	return max(until, r.joining.uncertaintyDeadline)
 }
 
-// takeRunningRequests lists requests that are at targets, so that the next owner
-// gives them their final answer.
+// takeRunningRequests returns the requests that are running at targets, so that the
+// next owner sends their final reply, and marks them as answered here.
 func (r *Reducer) takeRunningRequests(to string) []messenger.RequestRecord {
 	var records []messenger.RequestRecord
 	for _, q := range r.active {
@@ -245,9 +255,10 @@
 	return records
 }
 
-// takeUnsentRequests takes the requests that have not been sent out of this host's
-// tables, for the next owner to run. They travel with the records: the next
-// owner may hold their identities already and would not run a mere datagram.
+// takeUnsentRequests removes the requests that have not been sent to a target from
+// this host's tables and returns them for the next owner to run. They travel with
+// the records, because the next owner may already have stored their identities and
+// would not run a plain forwarded datagram.
 func (r *Reducer) takeUnsentRequests(to string) []messenger.Forward {
 	var unsent []messenger.Forward
 	for _, q := range r.active {
@@ -265,14 +276,14 @@
 	return unsent
 }
 
-// removeUnsent drops a request from the tables at once.
+// removeUnsent removes a request from the tables at once, without retaining it.
 func (r *Reducer) removeUnsent(q *request) {
 	delete(r.requests, q.id)
 	delete(r.byToken, tokenOf(q.key, q.packet.Exchange))
 	q.service.retained = slices.DeleteFunc(q.service.retained, func(other *request) bool { return other == q })
 }
 
-// handleHandover takes records in and acknowledges them.
+// handleHandover imports the records of a chunk and acknowledges it.
 func (r *Reducer) handleHandover(from string, body *messenger.Handover) {
 	if r.settings == nil {
 		return
@@ -305,7 +316,7 @@
 	r.sendPeer(from, ack)
 }
 
-// importUnsent takes over a request that its owner has not sent.
+// importUnsent takes over a request that its owner has not sent to a target.
 func (r *Reducer) importUnsent(from string, f *messenger.Forward) {
 	id := identityOf(f.Key, f.Exchange)
 	r.identities.remove(id)
@@ -315,14 +326,15 @@
 	}
 }
 
-// isKnownUnsent reports whether a request is held here that its owner has not sent, and
-// whose identity another host holds only for that owner.
+// isKnownUnsent reports whether this host holds a request that its owner has not
+// sent, and whose identity another host stores only as a witness for that owner.
 //
-// What goes wrong otherwise: an owner has its successor hold a check's identity,
-// and hands the unsent check over to a host that joins before the successor
-// confirms. Then the successor's records come, with the identity. The joining host
-// takes the check for one that has run, and its caller waits for an answer that
-// nobody gives. One notices by checks that end as unknown while hosts are replaced.
+// Without this, a request is lost when an owner sends its identity to its successor
+// as witness, and hands the unsent request over to a joining host before the
+// successor confirms. The records of the successor then arrive with the identity
+// among them. The joining host assumes that the request has run, and its caller
+// waits for a response that no host gives, which shows as requests that end with an
+// unknown outcome while hosts are replaced.
 func (r *Reducer) isKnownUnsent(id uint64, witnessed []messenger.OwnerIdentities) bool {
 	h := r.heldPacketByID(id)
 	if h == nil || h.unsentBy == (hostIncarnation{}) {
@@ -336,7 +348,7 @@
 	return false
 }
 
-// handoverID names one handover of a peer.
+// handoverID identifies one handover from a peer.
 type handoverID struct {
 	incarnation uint64
 	session     uint64
@@ -348,8 +360,8 @@
 	}
 	handover := handoverID{incarnation: r.detector.State(from).Incarnation, session: body.Session}
 	if r.votesAcceptedFrom[from] != handover {
-		// The chunk may come again if its acknowledgement was lost, when the
-		// votes may already have been passed on.
+		// The chunk is resent if its acknowledgment was lost, by which time the
+		// votes may already have been transferred further.
 		r.votesAcceptedFrom[from] = handover
 		r.detector.AcceptVotes(body.Votes, body.DeniedRecipients, r.now)
 	}
@@ -364,8 +376,9 @@
 	}
 }
 
-// importFlowRecords remembers where flows are. copied says that this host is only
-// the successor, so that it does not pass the records on.
+// importFlowRecords stores the targets of flows received from a peer. asCopies is
+// set if this host is only the successor, so that it does not copy the records
+// further.
 func (r *Reducer) importFlowRecords(records []messenger.FlowRecord, asCopies bool) {
 	for _, record := range records {
 		s, ok := r.services[record.Key.Service()]
@@ -414,7 +427,8 @@
 	q := r.newRequest(&in, id)
 	q.state = stateInDoubt
 	if index, ok := s.byAddr[record.Target]; ok && !q.nonIdempotent() {
-		// A repeat of it goes to the same target again: the answer may be lost.
+		// A retransmission goes to the same target again, since the response may be
+		// lost.
 		q.state = stateSent
 		q.target = index
 		q.attemptDeadline = timekeeper.Never
--- a/core/reducer/hold.go
+++ b/core/reducer/hold.go
@@ -7,25 +7,26 @@
 	"cranberryspan.dev/core/timekeeper"
 )
 
-// heldPacket waits until this host may act on it or another host owns it.
+// heldPacket is a packet that is held until this host may act on it or another host
+// owns it.
 type heldPacket struct {
 	in       inbound
 	packet   messenger.Packet
 	id       uint64
 	reason   Reason
 	deadline timekeeper.Instant
-	// unsentBy is the owner that handed the request over without having sent it; zero
-	// for a packet that came otherwise.
+	// unsentBy is the owner that handed the request over without having sent it;
+	// zero for any other packet.
 	unsentBy hostIncarnation
 }
 
-// hostIncarnation is one start of a host.
+// hostIncarnation identifies one incarnation of a host.
 type hostIncarnation struct {
 	host        string
 	incarnation uint64
 }
 
-// heldPacketByID returns the packet that is held under an identity; nil if there is none.
+// heldPacketByID returns the held packet with a request identity, or nil.
 func (r *Reducer) heldPacketByID(id uint64) *heldPacket {
 	if !r.heldIDs[id] {
 		return nil
@@ -37,8 +38,8 @@
 	return &r.heldPackets[i]
 }
 
-// hold keeps a request while it is not settled whether this host may act on it.
-// Where waiting is of no use, the caller is told at once.
+// hold keeps a request while it is not settled whether this host may act on it. If
+// waiting is futile, it refuses the request at once.
 func (r *Reducer) hold(in *inbound, id uint64, reason Reason) {
 	if r.heldIDs[id] {
 		r.count(DropDuplicate)
@@ -64,8 +65,9 @@
 	r.heldPackets = append(r.heldPackets, h)
 }
 
-// waitIsFutile reports whether it has been clear for a while that this host can't
-// get permission.
+// waitIsFutile reports whether it has been clear for a while that this host will
+// not get permission, for example because it has lacked a quorum for
+// futileWaitAfter.
 func (r *Reducer) waitIsFutile(reason Reason) bool {
 	switch reason {
 	case RefuseNoOwner:
@@ -83,7 +85,7 @@
 	q := r.newRequest(&in, h.id)
 	outcome := OutcomeNotRun
 	if q.nonIdempotent() {
-		// An earlier copy of the datagram may have run at another host.
+		// Another host may have run an earlier transmission of the datagram.
 		outcome = OutcomeUnknown
 	}
 	r.refuse(q, outcome, h.reason)
--- a/core/reducer/isolation.go
+++ b/core/reducer/isolation.go
@@ -8,33 +8,34 @@
 
 const (
 	// pauseThreshold is the gap between two events from which a host concludes that
-	// it was paused: ticks alone come far more often.
+	// it was paused; ticks alone are far more frequent.
 	pauseThreshold = time.Second
-	// peerContactTTL is how long an answer of a peer, or of the platform, shows
-	// that this host would have heard of a new revision.
+	// peerContactTTL is how long an answer from a peer is taken as evidence that
+	// this host would have received a new revision.
 	peerContactTTL = 2 * time.Second
 	// platformContactTTL is the same for the platform, which is read less often.
 	platformContactTTL = 8 * time.Second
-	// isolationTimeout is how long an isolated host takes no new work. After that
-	// it may be the last one that callers can reach.
+	// isolationTimeout is how long a host without contact accepts no new work.
+	// After that it may be the last host that callers can reach.
 	isolationTimeout = time.Minute
 )
 
-// isolation tells whether a host may be working with settings that are no
+// isolation tracks whether this host may be working with settings that are no
 // longer in force.
 //
-// What goes wrong without it: a host is paused, a target is drained, the host
-// wakes and gives the target new work from the packets that waited for it. Or a
-// host is cut off from everyone but the fabric. One notices by new flows on a
-// target that left long ago. So a host takes new work only while somebody has
-// answered it lately, and asks first when it finds that it slept.
+// Without this, a host is paused, a target is drained, and the resumed host assigns
+// new work from its queued packets to that target; or a host is partitioned from
+// everything but the fabric. This shows as new flows on a target that left long
+// ago. So a host accepts new work only while a peer or the platform has answered it
+// recently, and waits for an answer first when it detects that it was paused.
 type isolation struct {
 	platformDeadline timekeeper.Instant
-	// lostContactSince is when the last contact lapsed; Never while there is contact.
+	// lostContactSince is when the last contact expired; Never while there is
+	// contact.
 	lostContactSince timekeeper.Instant
 }
 
-// detectPause is called with every event, before the event is looked at.
+// detectPause is called for every event, before the event is handled.
 func (r *Reducer) detectPause(before, now timekeeper.Instant) {
 	if before.Add(pauseThreshold) < now {
 		r.isolation.platformDeadline = 0
@@ -45,7 +46,7 @@
 
 func (r *Reducer) notePlatformContact() { r.isolation.platformDeadline = r.now.Add(platformContactTTL) }
 
-// inContact reports whether this host would have heard of a new revision.
+// inContact reports whether this host would have received a new revision.
 func (r *Reducer) inContact() bool {
 	if len(r.detector.Others()) == 0 {
 		return true
@@ -62,7 +63,7 @@
 	}
 }
 
-// acceptsNewWork reports whether this host may take new work.
+// acceptsNewWork reports whether this host may accept new work.
 func (r *Reducer) acceptsNewWork() bool {
 	if r.inContact() {
 		return true
@@ -71,8 +72,8 @@
 	return since != timekeeper.Never && since.Add(isolationTimeout).Passed(r.now)
 }
 
-// isIsolated reports whether the lack of contact has lasted so long that waiting
-// for it is of no use.
+// isIsolated reports whether this host has been without contact for so long that
+// holding requests until it returns is futile.
 func (r *Reducer) isIsolated() bool {
 	since := r.isolation.lostContactSince
 	return !r.acceptsNewWork() && since != timekeeper.Never && since.Add(futileWaitAfter).Passed(r.now)
--- a/core/reducer/joining.go
+++ b/core/reducer/joining.go
@@ -7,21 +7,23 @@
 	"cranberryspan.dev/core/timekeeper"
 )
 
-// joinState is how far a host has come on its way to owning flows.
+// joinState is the progress of a host toward owning flows.
 type joinState struct {
 	startedAt timekeeper.Instant
-	// recordsFrom names the hosts whose records have come, with the time.
+	// recordsFrom holds the hosts that have handed over their records, with the
+	// time.
 	recordsFrom map[string]timekeeper.Instant
-	// recordsLackQuorum says that some of these hosts held no quorum.
+	// recordsLackQuorum is set if some of these hosts had no quorum.
 	recordsLackQuorum bool
-	// expectedPeers names hosts that others said were alive.
+	// expectedPeers holds the hosts that were alive according to others.
 	expectedPeers map[string]bool
-	// ready says that the host is ready; actDeadline is when it may act.
+	// ready is set once the host is ready, at readyAt; it may act from actDeadline
+	// on.
 	ready       bool
 	readyAt     timekeeper.Instant
 	actDeadline timekeeper.Instant
-	// uncertaintyDeadline is until when requests from before the start may be
-	// repeated whose identities nobody could hand over.
+	// uncertaintyDeadline is until when callers may retransmit requests from before
+	// the start whose identities no host could hand over.
 	uncertaintyDeadline timekeeper.Instant
 }
 
@@ -29,13 +31,14 @@
 	return joinState{startedAt: now, recordsFrom: map[string]timekeeper.Instant{}, expectedPeers: map[string]bool{}}
 }
 
-// mayAct reports whether the host has waited, after it became ready, until
-// every vote that others got without knowing so has run out.
+// mayAct reports whether the host is ready and has since waited until every vote
+// that other hosts obtained without knowing of it has expired.
 func (j *joinState) mayAct(now timekeeper.Instant) bool {
 	return j.ready && j.actDeadline.Passed(now)
 }
 
-// hasRecordsOf reports whether the records of a host have come; true for no host.
+// hasRecordsOf reports whether a host has handed over its records; for the empty
+// string, whether any host has.
 func (j *joinState) hasRecordsOf(host string) bool {
 	if host == "" {
 		return len(j.recordsFrom) > 0
@@ -44,7 +47,8 @@
 	return ok
 }
 
-// rejoin starts over after the host lost its place while it was paused.
+// rejoin starts joining again after the host lost its ownership during a pause or
+// partition.
 func (r *Reducer) rejoin() {
 	r.log("hostRejoins")
 	r.joining = newJoinState(r.now)
@@ -62,8 +66,8 @@
 	}
 }
 
-// advanceJoin moves a joining host on: to ready when every live host of its cell
-// has handed over, or when the whole cell has nothing to hand over.
+// advanceJoin makes a joining host ready once every live host of its cell has
+// handed over its records, or once no host of the cell has anything to hand over.
 func (r *Reducer) advanceJoin() {
 	if r.joining.ready || r.shuttingDown {
 		return
@@ -99,8 +103,8 @@
 	return true
 }
 
-// recordsMissing reports whether a host of the cell may have run requests and
-// has not handed its records over.
+// recordsMissing reports whether a host of the cell may have run requests and has
+// not handed over its records.
 func (r *Reducer) recordsMissing() bool {
 	for _, name := range r.detector.Cell() {
 		if name == r.self || !r.detector.State(name).HeldQuorum {
@@ -126,25 +130,25 @@
 	return r.settings != nil && r.joining.mayAct(r.now) && !r.shuttingDown
 }
 
-// Accepting reports whether the fabric should hand packets to this host. A host
-// that joins takes packets already: it forwards them, and serves what may run
-// twice. An isolated host withdraws, since others can do more.
+// Accepting reports whether the fabric should send packets to this host. A joining
+// host accepts packets already: it forwards them, and serves idempotent requests
+// itself. An isolated host withdraws, since other hosts can serve more.
 func (r *Reducer) Accepting() bool {
 	return r.settings != nil && !r.shuttingDown && !r.isIsolated() && r.hasDiscoveredPeers()
 }
 
-// peerDiscoveryTimeout is how long a host that starts waits to hear the others: two
-// rounds of heartbeats, and the pause after which others dial it again. Those
-// that are down stay unheard.
+// peerDiscoveryTimeout is how long a starting host waits to receive heartbeats from
+// all others: two rounds of heartbeats, and the delay after which the others
+// reconnect to it. Hosts that are down are never discovered.
 const peerDiscoveryTimeout = time.Second
 
-// hasDiscoveredPeers reports whether this host knows how the others are, or has waited
-// for them long enough.
+// hasDiscoveredPeers reports whether this host knows the state of every other host,
+// or has waited for them for peerDiscoveryTimeout.
 //
-// What goes wrong otherwise: a host that has heard nobody takes itself for the
-// only one. Answers that the fabric hands it go straight to their callers, and
-// the owners of their flows, which sent the requests, wait for them until their
-// deadline with a place at the target taken. One notices by uploads that are
+// Without this, a host that has received no heartbeat yet acts as if it were the
+// only one. Responses that the fabric delivers to it go straight to their callers,
+// while the owners of their flows, which sent the requests, wait for them until the
+// deadline, with a slot at the target taken. This shows as uploads that are
 // answered "unknown" while hosts are replaced.
 func (r *Reducer) hasDiscoveredPeers() bool {
 	if r.startedAt.Add(peerDiscoveryTimeout).Passed(r.now) {
--- a/core/reducer/leaving.go
+++ b/core/reducer/leaving.go
@@ -6,21 +6,23 @@
 	"cranberryspan.dev/core/messenger"
 )
 
-// A host leaves in four steps, each of which can be repeated:
+// A graceful shutdown has four steps, each of which can be repeated:
 //
-//  1. It streams its flows and identities to the hosts of its cell that stay,
-//     while it goes on acting on them.
-//  2. When all have what there is, it stops acting on anything, at one instant,
-//     and sends each its last part: what changed since, the requests that run at
-//     targets, and to one of them its votes.
-//  3. When all have acknowledged, its phase is left. It passes packets on for a
-//     little while, for hosts that have not heard.
+//  1. The host streams its flows and identities to the hosts of its cell that stay,
+//     while it continues to act on them.
+//  2. When all have received them, it stops acting on all flows at one instant, and
+//     sends each host its last chunk: what has changed since, the requests that are
+//     running at targets, and to one of them its votes.
+//  3. When all have acknowledged, its phase becomes left. It forwards packets for
+//     lingerDuration, for hosts that do not know yet that it has left.
 //  4. The process ends.
 //
-// It must not stop by parts. A host that got its part would take the leaver for
-// gone altogether, and act on flows that the leaver still holds for another.
+// It must not stop flow by flow. A host that has received its last chunk would
+// consider the host that is shutting down as left, and act on flows that the latter
+// still owns until another host has received its last chunk.
 
-// beginLeaving starts to hand every flow over, while still acting on them.
+// beginLeaving starts a graceful shutdown: the host hands over all flows while it
+// still acts on them.
 func (r *Reducer) beginLeaving() {
 	if r.shuttingDown {
 		return
@@ -35,7 +37,7 @@
 	r.startLeavingHandovers()
 }
 
-// startLeavingHandovers begins, or begins anew, with all hosts that stay.
+// startLeavingHandovers starts, or restarts, the handovers to all hosts that stay.
 func (r *Reducer) startLeavingHandovers() {
 	clear(r.handovers)
 	for _, name := range r.detector.Cell() {
@@ -45,14 +47,14 @@
 	}
 }
 
-// isStaying reports whether a host of the cell can take flows over for good.
+// isStaying reports whether a host of the cell can take over flows permanently.
 func (r *Reducer) isStaying(name string) bool {
 	state := r.detector.State(name)
 	return r.actsAsOwner(name, true) && state.Phase == messenger.PhaseReady && r.handoverRefusedBy[name] != state.Incarnation
 }
 
-// voteRecipient returns the host that gets this host's votes when it leaves: the first
-// of its cell that stays.
+// voteRecipient returns the host that receives this host's votes when it shuts
+// down: the first host of its cell that stays.
 func (r *Reducer) voteRecipient() string {
 	for _, name := range r.detector.Cell() {
 		if name != r.self && r.isStaying(name) {
@@ -62,7 +64,8 @@
 	return ""
 }
 
-// handoverRefused begins anew without a host that turned out to leave itself.
+// handoverRefused restarts the handovers without a host that is itself shutting
+// down.
 func (r *Reducer) handoverRefused(from string, h *outgoingHandover) {
 	r.handoverRefusedBy[from] = r.detector.State(from).Incarnation
 	if h.unackedChunk != nil {
@@ -71,7 +74,7 @@
 	r.startLeavingHandovers()
 }
 
-// advanceLeave takes the next step of a leave when its time has come.
+// advanceLeave takes the next step of a graceful shutdown when it is due.
 func (r *Reducer) advanceLeave() {
 	if !r.shuttingDown || r.ended || !r.joining.ready {
 		return
@@ -90,14 +93,15 @@
 	}
 }
 
-// stepDown stops acting, once everything but the last parts is handed over.
+// stepDown stops acting on flows once everything but the last chunks is handed
+// over.
 func (r *Reducer) stepDown() {
 	if r.anyHandover(func(h *outgoingHandover) bool { return h.unackedChunk != nil || len(h.flows)+len(h.identities) > 0 }) {
 		return
 	}
 	if r.voteRecipient() == "" && r.hasUnfinishedRequests() {
-		// The last host of a cell has nobody to hand over to, so it finishes
-		// what it has.
+		// The last host of a cell has no host to hand over to, so it first finishes
+		// its requests.
 		return
 	}
 	r.steppedDown = true
@@ -108,8 +112,7 @@
 	}
 }
 
-// anyHandover reports whether a handover to a host that stays meets a
-// condition.
+// anyHandover reports whether a handover to a host that stays satisfies matches.
 func (r *Reducer) anyHandover(matches func(h *outgoingHandover) bool) bool {
 	for _, name := range r.detector.Cell() {
 		if h := r.handovers[name]; h != nil && r.isStaying(name) && matches(h) {
--- a/core/reducer/permission.go
+++ b/core/reducer/permission.go
@@ -8,30 +8,31 @@
 	"cranberryspan.dev/core/placer"
 )
 
-// permission says whether this host may run a request that must run only once.
+// permission tells whether this host may run a non-idempotent request.
 type permission uint8
 
 const (
-	// permissionGranted: no other host can run it, and this host knows every
-	// request that may have run before.
+	// permissionGranted means that no other host can run the request, and this host
+	// knows every request that may have run before.
 	permissionGranted permission = iota + 1
-	// permissionWait: it is not settled which host may run it.
+	// permissionWait means that it is not settled which host may run the request.
 	permissionWait
-	// permissionUncertain: this host may run it, but a copy may have run at an
-	// earlier owner whose records were lost.
+	// permissionUncertain means that this host may run the request, but an earlier
+	// owner whose records were lost may already have run it.
 	permissionUncertain
 )
 
-// checkPermission checks the right to run requests of a bucket.
+// checkPermission returns the permission to run requests of a bucket.
 //
-// What goes wrong without it: a caller's datagram is repeated, the copies reach
-// two hosts, and both take themselves for the owner, because one of them was
-// paused, cut off or is new. One notices by a commitment that is booked twice.
-// Four things together prevent it. The bucket's home cell depends on published
-// settings alone. Within the cell the host holds the votes of a quorum. Every
-// host that ranks higher has left, or a quorum gave it up for good. And this
-// host holds the identities of all requests that ran within the time for which
-// callers repeat them; where it does not, it says that the outcome is unknown.
+// Without this, a caller's datagram is retransmitted, the duplicates reach two
+// hosts, and both act as the owner because one of them was paused, is partitioned
+// or is new, which shows as a non-idempotent request that runs twice. Four
+// conditions together prevent it. The bucket's home cell depends on published
+// settings alone. Within the cell, this host holds the votes of a quorum. Every
+// host that ranks higher has left, was declared dead by a quorum, or is joining and
+// has not been handed this host's records. And this host has the identities of all
+// requests that ran within the time in which callers retransmit them; if it does
+// not, it replies that the outcome is unknown.
 func (r *Reducer) checkPermission(bucket placer.Bucket, s *service) permission {
 	if r.cells.Home(bucket) != r.ownCell || !r.joining.mayAct(r.now) || r.steppedDown {
 		return permissionWait
@@ -40,8 +41,8 @@
 		return permissionWait
 	}
 	order := r.rankers[r.ownCell].Rank(bucket)
-	// lost counts the hosts above this one that lost their memory so recently
-	// that callers may still repeat what they ran.
+	// lost counts the higher-ranking hosts that lost their state so recently that
+	// callers may still retransmit requests that these hosts ran.
 	lost := 0
 	for _, name := range order.Names() {
 		if name == r.self {
@@ -62,16 +63,18 @@
 			lost++
 		}
 	}
-	// A host that is lost alone had its identities held by the next one, which
-	// is this host. If two are lost, the one may have held the other's.
+	// If only one host lost its state, the identities of its requests are stored by
+	// its successor, which is this host. If two did, one may have stored those of
+	// the other.
 	if lost > 1 || r.homeCellChanged(bucket) || !r.joining.uncertaintyDeadline.Passed(r.now) {
 		return permissionUncertain
 	}
 	return permissionGranted
 }
 
-// leftWithoutHandover reports whether a host left lately, while this host was ready,
-// and gave its records to others only, since it believed this host to be dead.
+// leftWithoutHandover reports whether a host left recently, while this host was
+// ready, and handed its records only to other hosts because it considered this host
+// dead.
 func (r *Reducer) leftWithoutHandover(state detector.State, window time.Duration) bool {
 	return state.Phase == messenger.PhaseLeft &&
 		r.leaveHandoverFrom[state.Host] != state.Incarnation &&
@@ -91,8 +94,8 @@
 	return state.Phase == messenger.PhaseLeft || (state.Incarnation != 0 && r.leaveHandoverFrom[state.Host] == state.Incarnation)
 }
 
-// homeCellChanged reports whether a bucket had its home in another cell so recently
-// that requests from then may be repeated.
+// homeCellChanged reports whether the home cell of a bucket changed so recently
+// that requests from before the change may still be retransmitted.
 func (r *Reducer) homeCellChanged(bucket placer.Bucket) bool {
 	if r.homeMoveDeadline.Passed(r.now) {
 		return false
--- a/core/reducer/witness.go
+++ b/core/reducer/witness.go
@@ -9,11 +9,11 @@
 	"cranberryspan.dev/core/timekeeper"
 )
 
-// identitySet remembers requests that other owners may have run, for as long as
-// callers may repeat them.
+// identitySet stores the identities of requests that other owners may have run, for
+// as long as callers may retransmit them.
 type identitySet struct {
 	deadlines map[uint64]timekeeper.Instant
-	// order lists the identities in the order in which they came.
+	// order lists the identities in order of arrival.
 	order []uint64
 }
 
@@ -33,9 +33,9 @@
 	s.deadlines[id] = max(s.deadlines[id], deadline)
 }
 
-// remove forgets an identity of a request that is known not to have run.
+// remove deletes the identity of a request that is known not to have run.
 func (s *identitySet) remove(id uint64) {
-	// Its place in the order goes when its turn comes.
+	// expire removes its entry in order.
 	delete(s.deadlines, id)
 }
 
@@ -50,20 +50,20 @@
 	}
 }
 
-// witnessedTTL is how long a host remembers for whom it holds an identity: a
-// request is unsent at its owner, and then held at the next, for holdTimeout each at
-// most.
+// witnessedTTL is how long a witness records for which owner it stores an identity.
+// The request may be unsent at its owner for up to holdTimeout, and then held by
+// the next owner for as long again.
 const witnessedTTL = 2 * holdTimeout
 
-// witnessedIdentity is an identity that is held for an owner.
+// witnessedIdentity is an identity that is stored for an owner.
 type witnessedIdentity struct {
 	id       uint64
 	owner    hostIncarnation
 	deadline timekeeper.Instant
 }
 
-// witnessedSet remembers for whom identities are held, in the order in which they
-// came.
+// witnessedSet lists the identities that are stored for owners, in order of
+// arrival.
 type witnessedSet []witnessedIdentity
 
 func (s *witnessedSet) add(id uint64, owner hostIncarnation, deadline timekeeper.Instant) {
@@ -78,9 +78,9 @@
 	*s = slices.Delete(*s, 0, n)
 }
 
-// groupByOwner groups those of some identities that are held for an owner, by owner. Of an
-// identity that was held for two owners only the later counts: the earlier one may
-// have handed its request over to that.
+// groupByOwner groups those of ids that are stored for an owner, by owner. If an
+// identity was stored for two owners, only the later one counts, since the earlier
+// one may have handed the request over to it.
 func (s witnessedSet) groupByOwner(ids []uint64) []messenger.OwnerIdentities {
 	owners := make(map[uint64]hostIncarnation, len(s))
 	for _, entry := range s {
@@ -104,9 +104,9 @@
 	return groups
 }
 
-// witnessLink is the stream of identities to one successor. At most one message
-// is unacknowledged; what comes meanwhile goes into the next one, so that the
-// batches grow with the load and a lone request waits for nothing.
+// witnessLink is the stream of identities to one successor. At most one message is
+// unacknowledged; identities that arrive meanwhile go into the next one, so that
+// batches grow with the load and a single request is sent without delay.
 type witnessLink struct {
 	sequence       uint64
 	unacked        []*request
@@ -119,9 +119,10 @@
 	maxWitnessBatch    = 512
 )
 
-// successorOf returns the host that takes a bucket over if this host dies, or
-// nothing if there is none: the next in rank that has not left, that no quorum
-// has given up, and that has this host's records. It may be silent at present.
+// successorOf returns the host that takes over a bucket if this host dies, or the
+// empty string if there is none: the next host in rank order that has not left,
+// that no quorum has declared dead, and that has this host's records. It may be
+// unresponsive at present.
 func (r *Reducer) successorOf(bucket placer.Bucket) string {
 	order := r.rankers[r.ownCell].Rank(bucket)
 	names := order.Names()
@@ -136,17 +137,19 @@
 	return ""
 }
 
-// sendToWitness has the successor hold a request's identity before the request is
-// sent, and reports whether there is a successor to wait for.
+// sendToWitness has the successor store a request's identity as a witness before
+// the request is sent to a target, and reports whether there is a successor to wait
+// for.
 //
-// What goes wrong without it: the owner sends a request to its target and dies.
-// The caller repeats the datagram, the new owner knows nothing of it and sends
-// it again. One notices by a request that runs twice right after a host died.
-// With it, the new owner knows the identity and waits for the first answer.
+// Without this, an owner may send a request to its target and die. The caller
+// retransmits the datagram, and the new owner, which has no record of the request,
+// sends it again, which shows as a request that runs twice right after a host died.
+// With the identity stored, the new owner recognizes the request and waits for the
+// first response.
 //
-// A successor that is silent is waited for until a quorum has given it up. To
-// go on without it would be wrong: it may live behind a cut, about to take over
-// in the belief that it was told of everything.
+// An unresponsive successor is waited for until a quorum has declared it dead.
+// Proceeding without it would be wrong: it may be alive on the other side of a
+// partition and about to take over, on the assumption that it has all identities.
 func (r *Reducer) sendToWitness(q *request) bool {
 	successor := r.successorOf(placer.BucketOf(q.hash))
 	if successor == "" {
@@ -194,14 +197,14 @@
 	r.sendPeer(peer, body)
 }
 
-// relayTo returns a host of the cell through which a peer may be reached that
-// does not answer here, though no quorum has given it up; empty where the direct
-// link is good or nobody else is there.
+// relayTo returns a host of the cell through which to reach a peer that does not
+// answer this host although no quorum has declared it dead. It returns the empty
+// string if the direct link works or no other host is available.
 //
-// What goes wrong without it: one link inside a cell breaks. The owner waits for
-// a successor that lives and that it can't reach, and every check between the
-// two is refused. One notices by refusals for a part of all callers while every
-// host is well.
+// Without this, when one link inside a cell breaks, the owner waits for a successor
+// that is alive but unreachable from here, and every request whose owner and
+// successor are these two is refused, which shows as refusals for a fraction of all
+// callers while every host is healthy.
 func (r *Reducer) relayTo(peer string) string {
 	if r.detector.State(peer).Liveness == messenger.LivenessAlive {
 		return ""
@@ -215,7 +218,7 @@
 	return ""
 }
 
-// handleWitness holds identities for another owner.
+// handleWitness stores request identities for another owner.
 func (r *Reducer) handleWitness(from string, body *messenger.WitnessRequest) {
 	if body.Recipient != "" && body.Recipient != r.self {
 		r.sendPeer(body.Recipient, body)
@@ -232,7 +235,7 @@
 	ownerIncarnation := hostIncarnation{host: owner, incarnation: r.detector.State(owner).Incarnation}
 	for _, id := range body.Identities {
 		if h := r.heldPacketByID(id); h != nil && h.unsentBy == ownerIncarnation {
-			continue // A repeat from before the owner handed the request over.
+			continue // A retransmission from before the owner handed over the request.
 		}
 		r.identities.add(id, deadline)
 		r.witnessed.add(id, ownerIncarnation, r.now.Add(witnessedTTL))
@@ -267,8 +270,8 @@
 	r.flushWitness(from, link)
 }
 
-// resumeRequest sends or refuses a request whose identity is held, if this host's right
-// has not ended meanwhile.
+// resumeRequest sends or refuses a request whose identity the witness has stored,
+// if this host still has permission.
 func (r *Reducer) resumeRequest(q *request) {
 	switch q.state {
 	case stateWitnessing:
@@ -284,8 +287,8 @@
 	}
 }
 
-// advanceWitnesses repeats messages that may be lost, and moves requests whose
-// successor is no longer the one that was asked.
+// advanceWitnesses resends messages that may be lost, and reassigns requests whose
+// witness is no longer the successor.
 func (r *Reducer) advanceWitnesses() {
 	for _, peer := range r.detector.Cell() {
 		link, ok := r.witnessLinks[peer]
@@ -300,8 +303,9 @@
 	}
 }
 
-// reassignWitness asks the next successor instead of one that was given up or left,
-// or sends without one. The requests are safe to send: nobody has sent them yet.
+// reassignWitness moves requests from a witness that was declared dead or has left
+// to the next successor, or resumes them without one. This is safe because they
+// have not been sent to a target yet.
 func (r *Reducer) reassignWitness(peer string, link *witnessLink) {
 	waiting := append(slices.Clone(link.unacked), link.pending...)
 	if len(waiting) == 0 || r.successorOf(placer.BucketOf(waiting[0].hash)) == peer {
