--- a/core/reducer/at_most_once_test.go
+++ b/core/reducer/at_most_once_test.go
@@ -10,9 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: a commitment is booked twice.
-// Sequence: copies of one datagram reach different hosts at the same moment.
-// Cause: each host takes its copy for a request of its own.
+// Guards against a non-idempotent request that runs twice: duplicates of one
+// datagram reach different hosts at the same moment, and each host treats its own
+// as a new request.
 func TestDuplicatesAtManyHostsRunOnce(t *testing.T) {
 	f := newFleet(t, threeZoneTree())
 	for n := range 50 {
@@ -27,10 +27,10 @@
 	}
 }
 
-// Symptom: a commitment is booked twice right after a host died.
-// Sequence: the owner sends checks and dies; callers repeat the datagrams, at
-// every moment until the owner is given up and after that.
-// Cause: the next owner has no record of what the dead one sent.
+// Guards against a non-idempotent request that runs twice right after a host died:
+// the owner sends requests and dies, and callers retransmit them, at every moment
+// before and after the owner is declared dead. The next owner would have no record
+// of what the dead one has sent.
 func TestRetransmissionAfterOwnerFailureRunsOnce(t *testing.T) {
 	for _, victims := range [][]string{{"a1"}, {"a2"}, {"c1"}, {"a1", "a2"}, {"a1", "b1", "c1"}} {
 		t.Run(fmt.Sprint(victims), func(t *testing.T) {
@@ -58,16 +58,17 @@
 
 const tickInterval = 20 * time.Millisecond
 
-// Symptom: a commitment is booked twice after a host hung for a while.
-// Sequence: the owner is paused with datagrams waiting; another host takes its
-// flows over and runs the callers' repeats; the owner wakes and goes on.
-// Cause: a host that does not notice that it slept.
+// Guards against a non-idempotent request that runs twice after a host was paused:
+// the owner is paused with datagrams queued, another host takes over its flows and
+// runs the callers' retransmissions, and the owner resumes. An owner that does not
+// detect its pause would continue.
 func TestResumedOwnerRunsNothingTwice(t *testing.T) {
 	for _, pause := range []time.Duration{500 * time.Millisecond, 1500 * time.Millisecond, 2600 * time.Millisecond, 5 * time.Second, 30 * time.Second} {
 		t.Run(pause.String(), func(t *testing.T) {
 			f := newFleet(t, threeZoneTree())
 			const flows = 150
-			// Callers repeat a request for 8 s, less than the exchange lifetime.
+			// Callers retransmit a request for 8 s, less than the exchange
+			// lifetime.
 			began := f.Now
 			number := func() int { return 1 + int((f.Now-began)/timekeeper.Instant(8*time.Second)) }
 			f.Pause("a1")
@@ -96,10 +97,10 @@
 	}
 }
 
-// Symptom: a commitment is booked twice while zones can't reach each other.
-// Sequence: a zone, a host or half of a cell is cut off; copies of a datagram
-// reach both sides; the cut heals.
-// Cause: both sides take themselves for the owner.
+// Guards against a non-idempotent request that runs twice while zones are
+// partitioned: a zone, a host or half of a cell is partitioned, duplicates of a
+// datagram reach both sides, and the partition heals. Both sides would act as the
+// owner.
 func TestPartitionRunsRequestsOnce(t *testing.T) {
 	groups := [][]string{{"a1", "a2", "a3"}, {"a1"}, {"a3"}, {"a1", "b1", "c1"}, {"c1"}, {"c2"}, {"a1", "a2", "b1", "c2"}}
 	for _, group := range groups {
@@ -131,10 +132,10 @@
 	}
 }
 
-// Symptom: a commitment is booked twice when hosts come and go by plan.
-// Sequence: hosts leave and join, one of them while another is paused or dies,
-// and callers repeat all the while.
-// Cause: records that are on their way while both hosts act.
+// Guards against a non-idempotent request that runs twice while hosts are shut down
+// and started: hosts leave and join, one of them while another is paused or dies,
+// and callers keep retransmitting. Two hosts would act while records are in transit
+// between them.
 func TestRetransmissionsDuringHandoverRunOnce(t *testing.T) {
 	disturb := map[string]func(f *driver.Simulation){
 		"nothing else":       func(*driver.Simulation) {},
@@ -176,11 +177,10 @@
 	}
 }
 
-// Symptom: a press is counted twice after two hosts were stopped together.
-// Sequence: two hosts of a cell leave at once, while the link between one of
-// them and the host that stays is cut for a moment; found by the fuzz.
-// Cause: each of the two handed flows to the other, and one took the other for
-// gone when it had only got its part.
+// Guards against a request that runs twice after two hosts were shut down together:
+// two hosts of a cell leave at once, while the link between two of its hosts is cut
+// for a moment. Each of the two handed flows over to the other, and one considered
+// the other as left when it had received only its own share of the flows.
 func TestTwoHostsOfCellLeaveTogether(t *testing.T) {
 	type variant struct {
 		cut   [2]string
@@ -229,12 +229,11 @@
 	}
 }
 
-// Symptom: a commitment is booked twice while a whole zone is stopped.
-// Sequence: the hosts of a cell leave one right after another; the second finds
-// that the third leaves too, so that nobody takes its records; the third has
-// requests to finish, hears that the second has left, and acts on its flows;
-// found by the fuzz.
-// Cause: a host that left is not the same as a host that handed over to us.
+// Guards against a non-idempotent request that runs twice while a whole zone is
+// shut down: the hosts of a cell leave one right after another, and the second
+// finds that the third leaves too, so that no host takes its records. The third
+// still has requests to finish, learns that the second has left, and acts on its
+// flows, although a host that has left need not have handed over to this one.
 func TestLastHostDoesNotActOnUnreceivedRecords(t *testing.T) {
 	orders := [][]string{{"a1", "a2", "a3"}, {"a1", "a3", "a2"}, {"a2", "a1", "a3"}, {"a2", "a3", "a1"}, {"a3", "a1", "a2"}, {"a3", "a2", "a1"}}
 	for _, order := range orders {
@@ -268,11 +267,10 @@
 	}
 }
 
-// Symptom: checks of some callers are refused while every host is well, found in
-// the design note.
-// Sequence: one link inside a cell breaks; both ends reach the third host.
-// Cause: an owner that waits for a successor it can't reach, and a host that
-// can't hand a packet to its owner.
+// Guards against requests of some callers that are refused while every host is
+// healthy: one link inside a cell breaks, while both ends still reach the third
+// host. An owner would wait for a successor that it can't reach, or a host would be
+// unable to forward a packet to its owner.
 func TestSingleLinkFailureInCellRefusesNothing(t *testing.T) {
 	f := newFleet(t, threeZoneTree())
 	f.CutLink("a1", "a3")
--- a/core/reducer/fuzz_test.go
+++ b/core/reducer/fuzz_test.go
@@ -16,8 +16,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes the seed of the fuzz, so that CI gives the same verdict each
-// run. make fuzz passes another seed.
+// TestMain fixes the seed of the fuzz test, so that CI gives the same result in
+// each run. make fuzz passes another seed.
 func TestMain(m *testing.M) {
 	seeded := slices.ContainsFunc(os.Args, func(arg string) bool { return strings.Contains(arg, "rapid.seed") })
 	if !seeded {
@@ -28,12 +28,12 @@
 	os.Exit(m.Run())
 }
 
-// Symptom: any broken promise. Sequence: a random mix of kills, pauses, cuts,
-// drains, revisions, restarts and traffic. Cause: unknown until it is found;
-// every failure becomes a test with a name.
+// Guards against the violation of any guarantee under a random mix of kills,
+// pauses, link failures, drains, settings revisions, restarts and traffic. Every
+// failure that it finds gets a test of its own.
 //
-// The oracle keeps each flow's target, each request's runs and each service's
-// addresses, and nothing of the system's own state.
+// The oracle keeps each flow's target, how often each request ran and each
+// service's addresses, and nothing of the system's own state.
 func TestFleetAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newFleetMachine(t)
@@ -57,7 +57,7 @@
 	})
 }
 
-// fleetMachine drives a fleet and keeps the oracle.
+// fleetMachine drives a simulated fleet and checks it against the oracle.
 type fleetMachine struct {
 	f               *driver.Simulation
 	tree            driver.SettingsTree
@@ -108,7 +108,7 @@
 	m.f.Step(time.Duration(rapid.IntRange(0, 30).Draw(t, "ms")) * time.Millisecond)
 }
 
-// repeat sends datagrams again, as callers do for 8 s.
+// repeat retransmits datagrams, as callers do for 8 s.
 func (m *fleetMachine) repeat(t *rapid.T) {
 	m.requests = slices.DeleteFunc(m.requests, func(c sentRequest) bool { return c.repeatUntil.Passed(m.f.Now) })
 	for _, c := range m.requests {
@@ -196,7 +196,7 @@
 	m.f.Step(time.Duration(rapid.IntRange(50, 6000).Draw(t, "ms")) * time.Millisecond)
 }
 
-// check is the oracle.
+// check compares the state of the simulation with the oracle.
 func (m *fleetMachine) check(t *rapid.T) {
 	services := serviceOf(m.tree)
 	for _, p := range m.f.TargetPackets {
@@ -235,8 +235,8 @@
 	}
 }
 
-// Symptom: the same seed gives another run.
-// Cause: an order that is left to a map, or a second source of chance.
+// Guards against a simulation that gives different runs for the same seed, because
+// an order depends on map iteration or on a second source of randomness.
 func TestSimulationIsDeterministic(t *testing.T) {
 	run := func() string {
 		f := newFleet(t, threeZoneTree())
--- a/core/reducer/leaving_test.go
+++ b/core/reducer/leaving_test.go
@@ -9,11 +9,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: a target that leaves is still given new work, and cuts it.
-// Sequence: a target is set to draining while the platform is down for some, a
-// host is cut off or paused, or only one host has read the change; new work goes
-// on arriving at every host, and the paused host wakes with a full queue.
-// Cause: a host that goes on under settings that are no longer in force.
+// Guards against new work for a target that leaves, which is aborted when the
+// target stops: a target is set to draining while the platform is unreachable for
+// some hosts, a host is partitioned or paused, or only one host has read the
+// change. New work keeps arriving at every host, and a paused host resumes with a
+// full queue. A host that continues under settings no longer in force would assign
+// it to the target.
 func TestDrainingTargetGetsNoNewWork(t *testing.T) {
 	const after = 5 * time.Second
 	drained := threeZoneTree()
@@ -78,7 +79,7 @@
 	}
 }
 
-// sendNewWork brings new flows, and new requests of established flows.
+// sendNewWork sends packets of new flows, and new requests of established flows.
 func sendNewWork(f *driver.Simulation, round int) {
 	sendNewFlows(f, 30)
 	for n := range 60 {
@@ -86,11 +87,10 @@
 	}
 }
 
-// Symptom: requests are cut when a host is stopped by plan.
-// Sequence: a host gets SIGTERM and a target drains while requests run, with
-// another host of the cell dead.
-// Cause: a host that ends before its requests have, or whose answers come to
-// hosts that know nothing of them.
+// Guards against requests that are lost when a host is shut down gracefully: a host
+// gets SIGTERM and a target drains while requests run, with another host of the
+// cell dead. The failure comes about if the host ends before its requests, or if
+// their responses reach hosts that have no record of them.
 func TestGracefulShutdownLosesNoRequests(t *testing.T) {
 	drained := threeZoneTree()
 	drained.Services[0].DrainingTargetNumbers = intRange(1, 7)
@@ -140,12 +140,11 @@
 	}
 }
 
-// Symptom: checks are answered with "outcome unknown" during a release, found by
-// the end-to-end test of a rolling replacement.
-// Sequence: in zones of two and three hosts, every host leaves and comes back,
-// one after another, under load.
-// Cause: votes that changed hands could not be cast until all older ones were
-// over, so that for a while no host of the cell had a quorum.
+// Guards against requests answered with "outcome unknown" during a rolling
+// replacement: in zones of two and three hosts, every host is shut down and
+// restarted, one after another, under load. If transferred votes could not be cast
+// until all older ones had expired, no host of the cell would have a quorum for a
+// while.
 func TestRollingReplacementRefusesNothing(t *testing.T) {
 	tree := threeZoneTree()
 	tree.HostsPerZone = []int{2, 3}
@@ -179,12 +178,13 @@
 	requireAtMostOnce(t, f)
 }
 
-// Symptom: while hosts are replaced one after another some uploads are answered
-// with "unknown" 5 s later, and some are cut by a block that another target got.
-// Sequence: a host starts and gets packets before it has heard any other; it
-// passes reads and blocks on itself; their answers go to the flows' owners.
-// Cause: the host waited for these answers and kept their places at the targets
-// taken, so that later blocks queued until their deadline, or went elsewhere.
+// Guards against uploads that are answered with "unknown" 5 s later while hosts are
+// replaced one after another, or aborted because a block goes to another target: a
+// host starts and gets packets before it has received a heartbeat from any other
+// host. It forwards reads and blocks to targets itself, and their responses go to
+// the owners of the flows. If the host waits for these responses, their slots at
+// the targets stay taken, so that later blocks are queued until their deadline or
+// go to another target.
 func TestHostWithoutPeersReleasesTargetSlots(t *testing.T) {
 	tree := threeZoneTree()
 	tree.Defaults = []string{"exchangeLifetime: 10s", "flowMemory: 5m", "slots: 1"}
@@ -212,17 +212,18 @@
 	require.Empty(t, f.Replies)
 }
 
-// Symptom: as above, once more. Sequence: a host starts and is handed answers
-// before it has heard any other; it takes itself for the only one and delivers
-// them. Cause: the flows' owners never see these answers and keep the places
-// taken until their requests' deadline.
+// Guards against the failure of TestHostWithoutPeersReleasesTargetSlots by way of
+// responses: a host starts and gets responses before it has received a heartbeat
+// from any other host, acts as if it were the only one and delivers them. The
+// owners of the flows never receive these responses, and keep the slots taken until
+// the deadline of their requests.
 func TestStartingHostAcceptsNoPacketsBeforePeerDiscovery(t *testing.T) {
 	tree := threeZoneTree()
 	tree.Defaults = []string{"exchangeLifetime: 10s", "flowMemory: 5m", "slots: 2"}
 	f := newFleet(t, tree)
 	f.Kill("a1")
 	f.Step(4 * time.Second)
-	f.Partition("a1") // Others dial a host that has just come back only after a pause.
+	f.Partition("a1") // The others reconnect to a restarted host only after a delay.
 	f.Start("a1")
 	const flows = 40
 	number := 0
@@ -247,19 +248,18 @@
 	require.True(t, f.Reducer("a1").Accepting())
 }
 
-// Symptom: during a release one check in some 100,000 is answered with "outcome
-// unknown" after 5 s, found by the end-to-end test of a rolling replacement.
-// Sequence: an owner has its successor hold a check's identity; before the successor
-// confirms, the owner hands the unsent check over to a host that joins; then the
-// successor hands its records over to the same host, the check's identity among them.
-// Cause: the joining host takes the check for one that may have run, and waits for
-// an answer that nobody will give.
+// Guards against one request in some 100,000 that is answered with "outcome
+// unknown" after 5 s during a rolling replacement: an owner has its successor store
+// a request's identity as a witness, and hands the unsent request over to a joining
+// host before the successor confirms; then the successor hands its records over to
+// the same host, the request's identity among them. The joining host would assume
+// that the request may have run, and wait for a response that no host gives.
 func TestUnsentRequestRunsDespiteWitnessedIdentity(t *testing.T) {
 	tree := threeZoneTree()
 	tree.HostsPerZone = []int{3}
 	tree.Defaults = []string{"exchangeLifetime: 10s", "flowMemory: 5m", "slots: 500"}
 	f := newFleet(t, tree)
-	var joining []int // The callers whose flows a host owns that joins below.
+	var joining []int // Callers whose flows are owned by a3, which joins below.
 	for n := range 8000 {
 		if ownerOf(f, requestID(n, 1, 1), 1) == "a3" {
 			joining = append(joining, n)
@@ -289,8 +289,9 @@
 	}
 	f.Step(6 * time.Second)
 	for _, reply := range f.Replies {
-		// An answer of a running request may go to its caller past the next owner,
-		// which then speaks last, to a caller that no longer listens.
+		// The response to a running request may go to its caller without passing
+		// the next owner. That owner then sends a final reply to a caller that
+		// already has the response.
 		require.True(t, answered(f, reply.ID), "%v was answered %v: %v", reply.ID, reply.Outcome, reply.Reason)
 	}
 	for i := 2; i <= number; i++ {
