--- a/core/detector/detector.go
+++ b/core/detector/detector.go
@@ -54,7 +54,7 @@
 	outgoing         []Outgoing
 	indirectPings    []indirectPing
 
-	lastAnswer       timekeeper.Instant
+	lastAckedPingAt  timekeeper.Instant
 	now              timekeeper.Instant
 	startedAt        timekeeper.Instant
 	nextPingRound    timekeeper.Instant
@@ -96,17 +96,17 @@
 // SetHosts applies the host list of a settings revision.
 func (d *Detector) SetHosts(hosts []resolver.Host, revision uint64, now timekeeper.Instant) {
 	d.revision = revision
-	ownCell := ""
+	localCell := ""
 	for _, h := range hosts {
 		if h.Name == d.self {
-			ownCell = h.Cell
+			localCell = h.Cell
 		}
 	}
 	var cellNames []string
-	known := map[string]bool{}
+	listed := map[string]bool{}
 	for _, h := range hosts {
-		known[h.Name] = true
-		inCell := ownCell != "" && h.Cell == ownCell
+		listed[h.Name] = true
+		inCell := localCell != "" && h.Cell == localCell
 		if inCell {
 			cellNames = append(cellNames, h.Name)
 		}
@@ -128,7 +128,7 @@
 	}
 	d.changeMembership(cellNames, revision, now)
 	for name := range d.members {
-		if !known[name] && !d.inPriorMembership(name) {
+		if !listed[name] && !d.inPriorMembership(name) {
 			delete(d.members, name)
 		}
 	}
@@ -205,7 +205,7 @@
 // interval.
 func (d *Detector) Tick(now timekeeper.Instant) {
 	d.now = now
-	d.reclaimOwnVote(now)
+	d.reclaimLocalVote(now)
 	d.expirePriorMemberships(now)
 	d.heldQuorum = d.heldQuorum || d.HasQuorum(now)
 	for _, name := range d.names {
@@ -218,28 +218,28 @@
 	d.sendPingRound(now)
 }
 
-// NoteRevision records that a host has a settings revision in force. A forwarded
+// RecordRevision records that a host has a settings revision in force. A forwarded
 // packet carries the revision, and arrives sooner than the next heartbeat.
-func (d *Detector) NoteRevision(host string, revision uint64) {
+func (d *Detector) RecordRevision(host string, revision uint64) {
 	if m, ok := d.members[host]; ok {
 		m.revision = max(m.revision, revision)
 	}
 }
 
-// LastAnswer returns the send time of the latest ping that has been answered.
-func (d *Detector) LastAnswer() timekeeper.Instant { return d.lastAnswer }
+// LastAckedPingAt returns the send time of the latest ping that has been answered.
+func (d *Detector) LastAckedPingAt() timekeeper.Instant { return d.lastAckedPingAt }
 
-// NotePause records that the local host was paused.
+// RecordPause records that the local host was paused.
 //
 // Without this, a host that was paused for longer than DeadAfter finds at its first
 // tick that no host has answered for that long, and declares every host of the cell
 // dead although all are alive, which shows as a burst of "host dead" lines from one
 // host. A resumed host therefore first gives the others time to answer. Its own
 // leases have expired by themselves.
-func (d *Detector) NotePause(now timekeeper.Instant) {
+func (d *Detector) RecordPause(now timekeeper.Instant) {
 	d.now = now
 	clear(d.pings)
-	d.lastAnswer = 0
+	d.lastAckedPingAt = 0
 	for _, m := range d.members {
 		m.lastHeardAt = now
 		m.pingDeadline = 0
@@ -266,11 +266,11 @@
 }
 
 func (d *Detector) checkCellTimeouts(m *member, now timekeeper.Instant) {
-	silence := now - m.lastHeardAt
-	if m.liveness == messenger.LivenessAlive && silence >= timekeeper.Instant(d.timing.SuspectAfter) {
+	unresponsiveFor := now - m.lastHeardAt
+	if m.liveness == messenger.LivenessAlive && unresponsiveFor >= timekeeper.Instant(d.timing.SuspectAfter) {
 		m.liveness = messenger.LivenessSuspect
 	}
-	if m.liveness != messenger.LivenessSuspect || silence < timekeeper.Instant(d.timing.DeadAfter) {
+	if m.liveness != messenger.LivenessSuspect || unresponsiveFor < timekeeper.Instant(d.timing.DeadAfter) {
 		return
 	}
 	if m.grantDeadline.Passed(now) {
@@ -340,13 +340,13 @@
 
 func (d *Detector) ping(name string, now timekeeper.Instant) {
 	d.sequence++
-	news := d.buildHeartbeat(name)
+	heartbeat := d.buildHeartbeat(name)
 	sent := sentPing{to: name, sentAt: now}
-	if len(news.CellMembers) > 0 {
+	if len(heartbeat.CellMembers) > 0 {
 		sent.viewVersion = d.viewVersion()
 	}
 	d.pings[d.sequence] = sent
-	d.send(name, &messenger.Ping{Sequence: d.sequence, Heartbeat: news})
+	d.send(name, &messenger.Ping{Sequence: d.sequence, Heartbeat: heartbeat})
 }
 
 // Receive handles a heartbeat message from a peer.
@@ -382,11 +382,11 @@
 	if m.liveness != messenger.LivenessDead {
 		m.grantDeadline = now.Add(d.timing.Grant)
 	}
-	news := d.buildHeartbeat(m.host.Name)
+	heartbeat := d.buildHeartbeat(m.host.Name)
 	if m.inCell {
-		news.Votes, news.WithheldVotes, news.ProvisionalVotes = d.votesFor(m)
+		heartbeat.Votes, heartbeat.WithheldVotes, heartbeat.ProvisionalVotes = d.votesFor(m)
 	}
-	d.send(m.host.Name, &messenger.Ack{Sequence: sequence, Heartbeat: news})
+	d.send(m.host.Name, &messenger.Ack{Sequence: sequence, Heartbeat: heartbeat})
 }
 
 func (d *Detector) handleAck(m *member, ack *messenger.Ack, now timekeeper.Instant) {
@@ -400,9 +400,9 @@
 	}
 	if m.inCell {
 		m.heldVotes = append(slices.Clone(ack.Heartbeat.Votes), ack.Heartbeat.WithheldVotes...)
-		m.unsettledVotes = ack.Heartbeat.ProvisionalVotes
+		m.provisionalVotes = ack.Heartbeat.ProvisionalVotes
 	}
-	d.lastAnswer = max(d.lastAnswer, sent.sentAt)
+	d.lastAckedPingAt = max(d.lastAckedPingAt, sent.sentAt)
 	d.sendIndirectAcks(m, now)
 	if m.liveness == messenger.LivenessDead {
 		return
@@ -429,27 +429,27 @@
 }
 
 // applyHeartbeat applies a peer's report about itself and about other hosts.
-func (d *Detector) applyHeartbeat(m *member, news messenger.Heartbeat, now timekeeper.Instant) {
-	if news.Incarnation < m.incarnation {
+func (d *Detector) applyHeartbeat(m *member, heartbeat messenger.Heartbeat, now timekeeper.Instant) {
+	if heartbeat.Incarnation < m.incarnation {
 		return
 	}
-	if news.Incarnation > m.incarnation {
-		m.startIncarnation(news.Incarnation, now)
-		m.setPhase(news.Phase, now)
+	if heartbeat.Incarnation > m.incarnation {
+		m.startIncarnation(heartbeat.Incarnation, now)
+		m.setPhase(heartbeat.Phase, now)
 		m.liveness = messenger.LivenessAlive
 		m.lastHeardAt = now
 		d.queueUpdate(m.host.Name)
 	}
 	// Within one incarnation the phase only advances, so that an older message that
 	// arrives late does not restore an earlier phase.
-	if news.Phase > m.phase {
-		m.setPhase(news.Phase, now)
+	if heartbeat.Phase > m.phase {
+		m.setPhase(heartbeat.Phase, now)
 		d.queueUpdate(m.host.Name)
 	}
-	m.revision = max(m.revision, news.SettingsRevision)
-	m.heldQuorum = m.heldQuorum || news.HeldQuorum
-	refuted := news.Refutations > m.refutations
-	m.refutations = max(m.refutations, news.Refutations)
+	m.revision = max(m.revision, heartbeat.SettingsRevision)
+	m.heldQuorum = m.heldQuorum || heartbeat.HeldQuorum
+	refuted := heartbeat.Refutations > m.refutations
+	m.refutations = max(m.refutations, heartbeat.Refutations)
 	if !m.inCell && (refuted || m.liveness != messenger.LivenessDead) {
 		m.lastHeardAt = now
 		m.pingDeadline = 0
@@ -458,10 +458,10 @@
 			d.queueUpdate(m.host.Name)
 		}
 	}
-	for _, r := range news.CellMembers {
+	for _, r := range heartbeat.CellMembers {
 		d.applyCellUpdate(m, r, now)
 	}
-	for _, r := range news.MemberUpdates {
+	for _, r := range heartbeat.MemberUpdates {
 		d.applyMemberState(r, now)
 	}
 }
@@ -472,7 +472,7 @@
 		return
 	}
 	if r.Host == d.self {
-		d.handleOwnDeath(r, now)
+		d.handleDeclaredDead(r, now)
 		return
 	}
 	m, ok := d.members[r.Host]
@@ -504,14 +504,14 @@
 	d.declareDead(m, now)
 }
 
-// handleOwnDeath handles a cell peer's report that it declared this host dead. The
+// handleDeclaredDead handles a cell peer's report that it declared this host dead. The
 // host answers with a new incarnation. If the hosts that still vote for it are no
 // quorum, another host may have taken over its flows, so it rejoins.
 //
 // A host must not start a new incarnation for any other reason: its peers would
 // discard the fact that they declared it dead, and it would continue with outdated
 // records.
-func (d *Detector) handleOwnDeath(r messenger.MemberState, now timekeeper.Instant) {
+func (d *Detector) handleDeclaredDead(r messenger.MemberState, now timekeeper.Instant) {
 	if r.Liveness != messenger.LivenessDead || r.Incarnation < d.incarnation {
 		return
 	}
--- a/core/detector/detector_test.go
+++ b/core/detector/detector_test.go
@@ -45,8 +45,8 @@
 	return n
 }
 
-func (n *network) step(span time.Duration, paused ...string) {
-	for end := n.now.Add(span); n.now < end; n.now = n.now.Add(tick) {
+func (n *network) step(duration time.Duration, paused ...string) {
+	for end := n.now.Add(duration); n.now < end; n.now = n.now.Add(tick) {
 		for _, name := range n.names {
 			if !slices.Contains(paused, name) {
 				n.detectors[name].Tick(n.now)
@@ -108,7 +108,7 @@
 	n := newNetwork(map[string]int{"a": 3, "b": 3})
 	n.step(5 * time.Second)
 	n.step(30*time.Second, "a2")
-	n.detectors["a2"].NotePause(n.now)
+	n.detectors["a2"].RecordPause(n.now)
 	require.False(t, n.detectors["a2"].HasQuorum(n.now), "its votes ended while it slept")
 	require.True(t, n.detectors["a1"].ConfirmedDead("a2"))
 	n.step(time.Second)
--- a/core/detector/gossip.go
+++ b/core/detector/gossip.go
@@ -45,9 +45,9 @@
 	for _, r := range d.indirectPings {
 		switch {
 		case r.subject == m.host.Name:
-			rumor := m.rumor()
-			rumor.Liveness = messenger.LivenessAlive
-			d.send(r.requester, &messenger.IndirectAck{Subject: rumor, Heartbeat: d.buildHeartbeat(r.requester)})
+			state := m.state()
+			state.Liveness = messenger.LivenessAlive
+			d.send(r.requester, &messenger.IndirectAck{Subject: state, Heartbeat: d.buildHeartbeat(r.requester)})
 		case !r.deadline.Passed(now):
 			kept = append(kept, r)
 		}
@@ -127,26 +127,26 @@
 
 // buildHeartbeat returns the heartbeat to send to a peer.
 func (d *Detector) buildHeartbeat(peer string) messenger.Heartbeat {
-	news := messenger.Heartbeat{}
+	heartbeat := messenger.Heartbeat{}
 	if d.extraPayload != nil {
-		news = d.extraPayload(peer)
+		heartbeat = d.extraPayload(peer)
 	}
-	news.Incarnation = d.incarnation
-	news.Refutations = d.refutations
-	news.Phase = d.phase
-	news.SettingsRevision = d.revision
-	news.HeldQuorum = d.heldQuorum
+	heartbeat.Incarnation = d.incarnation
+	heartbeat.Refutations = d.refutations
+	heartbeat.Phase = d.phase
+	heartbeat.SettingsRevision = d.revision
+	heartbeat.HeldQuorum = d.heldQuorum
 	m, ok := d.members[peer]
 	if ok && m.inCell && m.ackedViewVersion != d.viewVersion() {
-		news.CellMembers = d.cellView()
+		heartbeat.CellMembers = d.cellView()
 	}
-	news.MemberUpdates = d.nextRumors()
+	heartbeat.MemberUpdates = d.nextMemberUpdates()
 	if ok && !m.inCell && m.liveness >= messenger.LivenessSuspect {
 		// A host that was wrongly declared dead has to receive that state to refute
 		// it.
-		news.MemberUpdates = append(news.MemberUpdates, m.rumor())
+		heartbeat.MemberUpdates = append(heartbeat.MemberUpdates, m.state())
 	}
-	return news
+	return heartbeat
 }
 
 // viewVersion identifies the state of the cell as seen by this host. A view is not
@@ -168,31 +168,31 @@
 	var view []messenger.MemberState
 	for _, name := range d.names {
 		if m := d.members[name]; m.inCell && m.incarnation != 0 {
-			view = append(view, m.rumor())
+			view = append(view, m.state())
 		}
 	}
 	return view
 }
 
-// nextRumors returns the next pending member states and counts the transmission.
-func (d *Detector) nextRumors() []messenger.MemberState {
-	const maxRumors = 6
-	n := min(maxRumors, len(d.pendingUpdates))
-	var rumors []messenger.MemberState
+// nextMemberUpdates returns the next pending member states and counts the transmission.
+func (d *Detector) nextMemberUpdates() []messenger.MemberState {
+	const maxMemberUpdates = 6
+	n := min(maxMemberUpdates, len(d.pendingUpdates))
+	var updates []messenger.MemberState
 	for _, pending := range d.pendingUpdates[:n] {
 		pending.transmissionsLeft--
-		if r, ok := d.rumorOf(pending.host); ok {
-			rumors = append(rumors, r)
+		if r, ok := d.memberStateOf(pending.host); ok {
+			updates = append(updates, r)
 		}
 		if pending.transmissionsLeft > 0 {
 			d.pendingUpdates = append(d.pendingUpdates, pending)
 		}
 	}
 	d.pendingUpdates = slices.Delete(d.pendingUpdates, 0, n)
-	return rumors
+	return updates
 }
 
-func (d *Detector) rumorOf(host string) (messenger.MemberState, bool) {
+func (d *Detector) memberStateOf(host string) (messenger.MemberState, bool) {
 	if host == d.self {
 		return messenger.MemberState{Host: d.self, Incarnation: d.incarnation, Refutations: d.refutations, Liveness: messenger.LivenessAlive, Phase: d.phase}, true
 	}
@@ -200,5 +200,5 @@
 	if !ok {
 		return messenger.MemberState{}, false
 	}
-	return m.rumor(), true
+	return m.state(), true
 }
--- a/core/detector/member.go
+++ b/core/detector/member.go
@@ -27,10 +27,10 @@
 	// acknowledged.
 	ackedViewVersion uint64
 	// heldVotes lists every name whose vote the host held at its last Ack;
-	// unsettledVotes lists those among them that do not yet count for declaring a
+	// provisionalVotes lists those among them that do not yet count for declaring a
 	// host dead.
-	heldVotes      []string
-	unsettledVotes []string
+	heldVotes        []string
+	provisionalVotes []string
 	// grantDeadline is when the local host's vote for the host expires.
 	grantDeadline timekeeper.Instant
 	// stateLostAt is when the host is last known to have lost its in-memory state:
@@ -88,7 +88,7 @@
 	}
 }
 
-func (m *member) rumor() messenger.MemberState {
+func (m *member) state() messenger.MemberState {
 	return messenger.MemberState{Host: m.host.Name, Incarnation: m.incarnation, Refutations: m.refutations, Liveness: m.liveness, Phase: m.phase}
 }
 
--- a/core/detector/quorum.go
+++ b/core/detector/quorum.go
@@ -63,7 +63,7 @@
 	})
 }
 
-// isQuorum reports whether the votes held by this host that satisfy countsAsOwn,
+// isQuorum reports whether the votes held by this host that satisfy countsHeld,
 // together with the votes that votesOf returns for the members of r, are a quorum:
 // more than half of the votes, or half including the vote of the first member.
 //
@@ -71,10 +71,10 @@
 // transfers its vote to one that stays (see heldVote). Each name's vote is held by
 // one host at any time, so any two quorums have a name in common, and with it the
 // host that holds its vote.
-func (d *Detector) isQuorum(r cellMembership, countsAsOwn func(v heldVote) bool, votesOf func(m *member) []string) bool {
+func (d *Detector) isQuorum(r cellMembership, countsHeld func(v heldVote) bool, votesOf func(m *member) []string) bool {
 	cast := map[string]bool{}
 	for name, v := range d.heldVotes {
-		if countsAsOwn(v) {
+		if countsHeld(v) {
 			cast[name] = true
 		}
 	}
@@ -125,17 +125,17 @@
 // them, have declared the current incarnation of a host dead, so that it holds no
 // lease.
 func (d *Detector) ConfirmedDead(name string) bool {
-	denied, ok := d.members[name]
-	if !ok || denied.liveness != messenger.LivenessDead || !canVote(d.phase) {
+	subject, ok := d.members[name]
+	if !ok || subject.liveness != messenger.LivenessDead || !canVote(d.phase) {
 		return false
 	}
-	settled := func(v heldVote) bool { return v.countsAgainstFrom.Passed(d.now) }
-	return d.isQuorum(d.membership, settled, func(m *member) []string {
-		if !denied.declaredDeadBy[m.host.Name] {
+	final := func(v heldVote) bool { return v.countsAgainstFrom.Passed(d.now) }
+	return d.isQuorum(d.membership, final, func(m *member) []string {
+		if !subject.declaredDeadBy[m.host.Name] {
 			return nil
 		}
 		return slices.DeleteFunc(slices.Clone(m.leaseVotes), func(name string) bool {
-			return slices.Contains(m.unsettledVotes, name)
+			return slices.Contains(m.provisionalVotes, name)
 		})
 	})
 }
@@ -225,12 +225,12 @@
 // reported, and one host that has it; the host is empty if that is the local
 // revision.
 func (d *Detector) HighestRevision() (uint64, string) {
-	best, host := d.revision, ""
+	highest, host := d.revision, ""
 	for _, name := range d.names {
 		m := d.members[name]
-		if m.revision > best && m.liveness == messenger.LivenessAlive {
-			best, host = m.revision, name
+		if m.revision > highest && m.liveness == messenger.LivenessAlive {
+			highest, host = m.revision, name
 		}
 	}
-	return best, host
+	return highest, host
 }
--- a/core/detector/votes.go
+++ b/core/detector/votes.go
@@ -27,7 +27,7 @@
 // votesFor returns the names whose votes this host casts for a peer, those whose
 // votes it withholds, and those among the cast ones that do not yet count for
 // declaring a host dead.
-func (d *Detector) votesFor(peer *member) (cast, withheld, unsettled []string) {
+func (d *Detector) votesFor(peer *member) (cast, withheld, provisional []string) {
 	for _, name := range d.membership.names {
 		v, ok := d.heldVotes[name]
 		if !ok {
@@ -40,26 +40,26 @@
 		}
 		cast = append(cast, name)
 		if !v.countsAgainstFrom.Passed(d.now) {
-			unsettled = append(unsettled, name)
+			provisional = append(provisional, name)
 		}
 	}
-	return cast, withheld, unsettled
+	return cast, withheld, provisional
 }
 
 // refuses reports whether the former holder of the vote had declared a host's
 // incarnation dead.
 func (v heldVote) refuses(host string, incarnation uint64) bool {
-	denied := v.refusedIncarnations[host]
-	return denied != 0 && denied == incarnation
+	refused := v.refusedIncarnations[host]
+	return refused != 0 && refused == incarnation
 }
 
 // countsForSelf reports whether a vote counts in favor of the local host.
 func (d *Detector) countsForSelf(v heldVote) bool { return !v.refuses(d.self, d.incarnation) }
 
-// reclaimOwnVote takes back this host's own vote after a start. The process can't
+// reclaimLocalVote takes back this host's own vote after a start. The process can't
 // know whether an earlier incarnation transferred its vote, so every other host of
 // the cell has to be accounted for, and none may hold it.
-func (d *Detector) reclaimOwnVote(now timekeeper.Instant) {
+func (d *Detector) reclaimLocalVote(now timekeeper.Instant) {
 	if _, ok := d.heldVotes[d.self]; ok || !canVote(d.phase) || d.phase == messenger.PhaseLeaving {
 		return
 	}
@@ -87,7 +87,7 @@
 	}
 	for _, name := range d.names {
 		if m := d.members[name]; m.inCell && m.liveness == messenger.LivenessDead {
-			denied = append(denied, m.rumor())
+			denied = append(denied, m.state())
 		}
 	}
 	return names, denied
--- a/core/reducer/answer.go
+++ b/core/reducer/answer.go
@@ -62,7 +62,7 @@
 func (r *Reducer) completeRequest(in *inbound, q *request, index uint16) {
 	t := in.service.registry[index]
 	t.failedRequests = 0
-	t.answerDeadline = r.now.Add(responseEvidenceTTL)
+	t.responseEvidenceDeadline = r.now.Add(responseEvidenceTTL)
 	if q.target == index && q.state == stateSent {
 		t.updateServiceTime(r.now.Until(q.sentAt))
 	}
--- a/core/reducer/at_most_once_test.go
+++ b/core/reducer/at_most_once_test.go
@@ -78,19 +78,19 @@
 					f.SendPacket("", requestID(n, 1, 1), requestPacket(openWrite))
 				}
 			}
-			repeat := func() {
+			retransmit := func() {
 				for n := range flows {
 					f.SendPacket("", requestID(n, 1, number()), requestPacket(openWrite))
 				}
 				f.Step(250 * time.Millisecond)
 			}
 			for end := f.Now.Add(pause); f.Now < end; {
-				repeat()
+				retransmit()
 			}
 			f.Resume("a1")
 			f.Resume("b2")
 			for range 30 {
-				repeat()
+				retransmit()
 			}
 			requireAtMostOnce(t, f)
 		})
@@ -107,7 +107,7 @@
 		t.Run(fmt.Sprint(group), func(t *testing.T) {
 			f := newFleet(t, threeZoneTree())
 			f.Partition(group...)
-			repeat := func(from, to int) {
+			retransmit := func(from, to int) {
 				for n := from; n < to; n++ {
 					for _, host := range f.HostNames() {
 						f.SendPacket(host, requestID(n, 1, 1), requestPacket(openWrite))
@@ -116,11 +116,11 @@
 				f.Step(300 * time.Millisecond)
 			}
 			for round := range 25 {
-				repeat(round*4, round*4+60)
+				retransmit(round*4, round*4+60)
 			}
 			f.HealPartition(group...)
 			for round := range 25 {
-				repeat(100+round*4, 160+round*4)
+				retransmit(100+round*4, 160+round*4)
 			}
 			requireAtMostOnce(t, f)
 			ran := 0
@@ -137,7 +137,7 @@
 // and callers keep retransmitting. Two hosts would act while records are in transit
 // between them.
 func TestRetransmissionsDuringHandoverRunOnce(t *testing.T) {
-	disturb := map[string]func(f *driver.Simulation){
+	disturbances := map[string]func(f *driver.Simulation){
 		"nothing else":       func(*driver.Simulation) {},
 		"a host dies":        func(f *driver.Simulation) { f.Kill("a3") },
 		"a host is paused":   func(f *driver.Simulation) { f.Pause("a3") },
@@ -145,12 +145,12 @@
 		"the leaver freezes": func(f *driver.Simulation) { f.Pause("a1") },
 		"the link breaks":    func(f *driver.Simulation) { f.CutLink("a1", "a2") },
 	}
-	for name, disturbance := range disturb {
+	for name, disturbance := range disturbances {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, threeZoneTree())
 			const flows = 60
 			number := 0
-			repeat := func(rounds int) {
+			retransmit := func(rounds int) {
 				for range rounds {
 					number++
 					for n := range flows {
@@ -160,18 +160,18 @@
 					f.Step(60 * time.Millisecond)
 				}
 			}
-			repeat(10)
+			retransmit(10)
 			f.Shutdown("a1")
 			f.Step(time.Millisecond)
 			disturbance(f)
-			repeat(60)
+			retransmit(60)
 			f.Start("a1")
 			f.HealLink("a1", "a2")
-			repeat(40)
+			retransmit(40)
 			if !f.Running("a3") {
 				f.Resume("a3")
 			}
-			repeat(60)
+			retransmit(60)
 			requireAtMostOnce(t, f)
 		})
 	}
@@ -184,20 +184,20 @@
 func TestTwoHostsOfCellLeaveTogether(t *testing.T) {
 	type variant struct {
 		cut   [2]string
-		later time.Duration
+		delay time.Duration
 	}
 	variants := []variant{{cut: [2]string{"a1", "a2"}}, {cut: [2]string{"a2", "a3"}}, {cut: [2]string{"a1", "a3"}}}
 	for ticks := range 5 {
-		variants = append(variants, variant{later: time.Duration(ticks) * tickInterval})
+		variants = append(variants, variant{delay: time.Duration(ticks) * tickInterval})
 	}
 	for _, v := range variants {
-		t.Run(fmt.Sprint(v.cut, v.later), func(t *testing.T) {
+		t.Run(fmt.Sprint(v.cut, v.delay), func(t *testing.T) {
 			cut := v.cut
 			f := newFleet(t, threeZoneTree())
 			f.CutLink(cut[0], cut[1])
 			f.Step(time.Second)
 			f.Shutdown("a2")
-			f.Step(v.later)
+			f.Step(v.delay)
 			f.Shutdown("a1")
 			const flows = 40
 			for number := 1; number <= 3; number++ {
@@ -243,22 +243,22 @@
 				for _, n := range intRange(1, 14) {
 					f.Target(driver.TargetAddress(n)).ProcessingTime = 1500 * time.Millisecond
 				}
-				ask := func(numbers int) {
+				sendRequests := func(numbers int) {
 					for number := 1; number <= numbers; number++ {
 						for n := range 60 {
 							f.SendPacket("", requestID(n, 1, number), requestPacket(openWrite))
 						}
 					}
 				}
-				ask(1)
+				sendRequests(1)
 				f.Step(100 * time.Millisecond)
 				for i, name := range order {
 					f.Shutdown(name)
-					ask(i + 2)
+					sendRequests(i + 2)
 					f.Step(time.Duration(ticks) * tickInterval)
 				}
 				for range 40 {
-					ask(4)
+					sendRequests(4)
 					f.Step(50 * time.Millisecond)
 				}
 				requireAtMostOnce(t, f)
@@ -275,15 +275,15 @@
 	f := newFleet(t, threeZoneTree())
 	f.CutLink("a1", "a3")
 	const flows = 200
-	ask := func(number int) {
+	sendRequests := func(number int) {
 		for n := range flows {
 			f.SendPacket("", requestID(n, 1, number), requestPacket(openWrite))
 		}
 		f.Step(3 * time.Second)
 	}
 	f.Step(4 * time.Second)
-	ask(2)
-	ask(3)
+	sendRequests(2)
+	sendRequests(3)
 	for number := 2; number <= 3; number++ {
 		for n := range flows {
 			require.True(t, answered(f, requestID(n, 1, number)), "request %d of caller %d", number, n)
@@ -291,7 +291,7 @@
 	}
 	f.HealLink("a1", "a3")
 	f.Step(5 * time.Second)
-	ask(4)
+	sendRequests(4)
 	for n := range flows {
 		require.True(t, answered(f, requestID(n, 1, 4)))
 	}
--- a/core/reducer/exceptions.go
+++ b/core/reducer/exceptions.go
@@ -68,7 +68,7 @@
 func (r *Reducer) copyException(u uncopiedFlow, copies map[string][]messenger.FlowRecord) {
 	hash := placer.Hash(u.key)
 	bucket := placer.BucketOf(hash)
-	if r.copyTokens < flowRecordBytes || r.cells.Home(bucket) != r.ownCell {
+	if r.copyTokens < flowRecordBytes || r.cells.Home(bucket) != r.localCell {
 		return
 	}
 	successor := r.successorOf(bucket)
@@ -82,10 +82,10 @@
 }
 
 func (r *Reducer) isIdle(s *service, f flow) bool {
-	const longFactor = 6
+	const longLivedFactor = 6
 	timeout := s.settings.Policy.FlowIdleTimeout
 	if f.flags&flowLongLived != 0 {
-		timeout *= longFactor
+		timeout *= longLivedFactor
 	}
 	return timekeeper.Instant(time.Duration(f.lastSeen) * time.Second).Add(timeout).Passed(r.now)
 }
--- a/core/reducer/flows_test.go
+++ b/core/reducer/flows_test.go
@@ -134,9 +134,9 @@
 	target := targetOf(t, f, id)
 	owner := ownerOf(f, id, 1)
 	f.Kill(owner)
-	back := f.ReturnAddress(id)
+	returnAddress := f.ReturnAddress(id)
 	for range 50 {
-		f.SendResponse(target, back, id, stream)
+		f.SendResponse(target, returnAddress, id, stream)
 	}
 	before := len(f.Answers)
 	f.Step(100 * time.Millisecond)
--- a/core/reducer/fuzz_test.go
+++ b/core/reducer/fuzz_test.go
@@ -40,7 +40,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"traffic":  m.traffic,
 			"traffic2": m.traffic,
-			"repeat":   m.repeat,
+			"repeat":   m.retransmit,
 			"kill":     m.kill,
 			"pause":    m.pause,
 			"wake":     m.resume,
@@ -61,17 +61,17 @@
 type fleetMachine struct {
 	f               *driver.Simulation
 	tree            driver.SettingsTree
-	down            map[string]bool
+	killed          map[string]bool
 	requests        []sentRequest
 	lastNumber      int
-	cuts            [][2]string
+	cutLinks        [][2]string
 	highestRevision map[string]uint64
 }
 
 type sentRequest struct {
-	id          driver.RequestID
-	flags       messenger.Flags
-	repeatUntil timekeeper.Instant
+	id              driver.RequestID
+	flags           messenger.Flags
+	retransmitUntil timekeeper.Instant
 }
 
 func newFleetMachine(t *rapid.T) *fleetMachine {
@@ -86,7 +86,7 @@
 		f.Target(driver.TargetAddress(n)).ProcessingTime = time.Duration(rapid.IntRange(1, 400).Draw(t, "work")) * time.Millisecond
 	}
 	f.Step(15 * time.Second)
-	return &fleetMachine{f: f, tree: tree, down: map[string]bool{}, highestRevision: map[string]uint64{}}
+	return &fleetMachine{f: f, tree: tree, killed: map[string]bool{}, highestRevision: map[string]uint64{}}
 }
 
 func (m *fleetMachine) drawHost(t *rapid.T) string {
@@ -101,16 +101,16 @@
 		if rapid.IntRange(0, 3).Draw(t, "kind") == 0 {
 			flags = openRead
 		}
-		c := sentRequest{id: requestID(rapid.IntRange(0, 30).Draw(t, "caller"), service, m.lastNumber), flags: flags, repeatUntil: m.f.Now.Add(8 * time.Second)}
+		c := sentRequest{id: requestID(rapid.IntRange(0, 30).Draw(t, "caller"), service, m.lastNumber), flags: flags, retransmitUntil: m.f.Now.Add(8 * time.Second)}
 		m.requests = append(m.requests, c)
 		m.f.SendPacket("", c.id, requestPacket(flags))
 	}
 	m.f.Step(time.Duration(rapid.IntRange(0, 30).Draw(t, "ms")) * time.Millisecond)
 }
 
-// repeat retransmits datagrams, as callers do for 8 s.
-func (m *fleetMachine) repeat(t *rapid.T) {
-	m.requests = slices.DeleteFunc(m.requests, func(c sentRequest) bool { return c.repeatUntil.Passed(m.f.Now) })
+// retransmit retransmits datagrams, as callers do for 8 s.
+func (m *fleetMachine) retransmit(t *rapid.T) {
+	m.requests = slices.DeleteFunc(m.requests, func(c sentRequest) bool { return c.retransmitUntil.Passed(m.f.Now) })
 	for _, c := range m.requests {
 		host := ""
 		if rapid.Bool().Draw(t, "any") {
@@ -124,17 +124,17 @@
 func (m *fleetMachine) kill(t *rapid.T) {
 	name := m.drawHost(t)
 	m.f.Kill(name)
-	m.down[name] = true
+	m.killed[name] = true
 }
 
 func (m *fleetMachine) pause(t *rapid.T) {
-	if name := m.drawHost(t); !m.down[name] {
+	if name := m.drawHost(t); !m.killed[name] {
 		m.f.Pause(name)
 	}
 }
 
 func (m *fleetMachine) resume(t *rapid.T) {
-	if name := m.drawHost(t); !m.down[name] {
+	if name := m.drawHost(t); !m.killed[name] {
 		m.f.Resume(name)
 	}
 }
@@ -148,8 +148,8 @@
 
 func (m *fleetMachine) start(t *rapid.T) {
 	name := m.drawHost(t)
-	if m.down[name] || m.f.HasLeft(name) {
-		delete(m.down, name)
+	if m.killed[name] || m.f.HasLeft(name) {
+		delete(m.killed, name)
 		delete(m.highestRevision, name)
 		m.f.Start(name)
 	}
@@ -158,7 +158,7 @@
 func (m *fleetMachine) cut(t *rapid.T) {
 	a, b := m.drawHost(t), m.drawHost(t)
 	m.f.CutLink(a, b)
-	m.cuts = append(m.cuts, [2]string{a, b})
+	m.cutLinks = append(m.cutLinks, [2]string{a, b})
 }
 
 func (m *fleetMachine) split(t *rapid.T) {
@@ -167,17 +167,17 @@
 		for _, b := range m.f.HostNames() {
 			if !slices.Contains(group, b) {
 				m.f.CutLink(a, b)
-				m.cuts = append(m.cuts, [2]string{a, b})
+				m.cutLinks = append(m.cutLinks, [2]string{a, b})
 			}
 		}
 	}
 }
 
 func (m *fleetMachine) heal(*rapid.T) {
-	for _, c := range m.cuts {
+	for _, c := range m.cutLinks {
 		m.f.HealLink(c[0], c[1])
 	}
-	m.cuts = nil
+	m.cutLinks = nil
 }
 
 func (m *fleetMachine) publish(t *rapid.T) {
--- a/core/reducer/handover.go
+++ b/core/reducer/handover.go
@@ -20,8 +20,8 @@
 	copyBytesPerSecond = 2048
 	// flowRecordBytes is the size of an encoded FlowRecord.
 	flowRecordBytes = 24
-	// lingerDuration is how long a host that has left still forwards packets.
-	lingerDuration = time.Second
+	// forwardAfterLeaveDuration is how long a host that has left still forwards packets.
+	forwardAfterLeaveDuration = time.Second
 )
 
 // outgoingHandover is the transfer of flow records and request identities to one
@@ -29,8 +29,8 @@
 type outgoingHandover struct {
 	// incarnation is that of the receiver if it is joining, or of this host if this
 	// host is shutting down.
-	incarnation uint64
-	leaving     bool
+	incarnation  uint64
+	shuttingDown bool
 	// session distinguishes this handover from earlier ones; sequence numbers its
 	// chunks.
 	session  uint64
@@ -56,7 +56,7 @@
 		}
 		state := r.detector.State(name)
 		h := r.handovers[name]
-		if h != nil && h.incarnation != state.Incarnation && !h.leaving {
+		if h != nil && h.incarnation != state.Incarnation && !h.shuttingDown {
 			delete(r.handovers, name)
 			h = nil
 		}
@@ -67,7 +67,7 @@
 			r.sendHandoverChunk(name, h)
 		}
 	}
-	r.advanceLeave()
+	r.advanceShutdown()
 }
 
 // canHandOverTo reports whether this host can hand over to a joining host. Only a
@@ -81,9 +81,9 @@
 	return state.Phase == messenger.PhaseWaited || r.detector.HasQuorum(r.now)
 }
 
-func (r *Reducer) startHandover(to string, incarnation uint64, leaving bool) *outgoingHandover {
+func (r *Reducer) startHandover(to string, incarnation uint64, shuttingDown bool) *outgoingHandover {
 	r.lastHandoverSession++
-	h := &outgoingHandover{incarnation: incarnation, leaving: leaving, session: r.lastHandoverSession}
+	h := &outgoingHandover{incarnation: incarnation, shuttingDown: shuttingDown, session: r.lastHandoverSession}
 	for shard := range flowShards {
 		r.flows.each(shard, func(key resolver.FlowKey, f flow) (flow, bool) {
 			hash := placer.Hash(key)
@@ -105,10 +105,10 @@
 // this host has left.
 func (r *Reducer) isNextOwner(to string, hash uint64) bool {
 	bucket := placer.BucketOf(hash)
-	if r.cells.Home(bucket) != r.ownCell {
+	if r.cells.Home(bucket) != r.localCell {
 		return false
 	}
-	order := r.rankers[r.ownCell].Rank(bucket)
+	order := r.rankers[r.localCell].Rank(bucket)
 	for _, name := range order.Names() {
 		switch {
 		case name == to:
@@ -173,18 +173,18 @@
 		return
 	}
 	allSent := len(h.flows)+len(h.identities) == 0
-	if allSent && h.leaving && !r.steppedDown {
+	if allSent && h.shuttingDown && !r.steppedDown {
 		return
 	}
 	h.sequence++
-	chunk := &messenger.Handover{Sequence: h.sequence, Incarnation: h.incarnation, Session: h.session, Leaving: h.leaving}
+	chunk := &messenger.Handover{Sequence: h.sequence, Incarnation: h.incarnation, Session: h.session, Leaving: h.shuttingDown}
 	n := min(handoverChunkRecords, len(h.flows))
 	chunk.Flows = h.flows[:n:n]
 	h.flows = h.flows[n:]
 	m := min(handoverChunkRecords, len(h.identities))
 	chunk.Identities = h.identities[:m:m]
 	h.identities = h.identities[m:]
-	if len(h.flows)+len(h.identities) == 0 && (!h.leaving || r.steppedDown) {
+	if len(h.flows)+len(h.identities) == 0 && (!h.shuttingDown || r.steppedDown) {
 		r.finishHandover(to, h, chunk)
 	}
 	chunk.WitnessedIdentities = r.witnessed.groupByOwner(chunk.Identities)
@@ -206,10 +206,10 @@
 		}
 	}
 	h.doneSent = true
-	if !h.leaving || to == r.voteRecipient() {
-		chunk.Votes, chunk.DeniedRecipients = r.detector.ReleaseVotes(to, h.leaving)
+	if !h.shuttingDown || to == r.voteRecipient() {
+		chunk.Votes, chunk.DeniedRecipients = r.detector.ReleaseVotes(to, h.shuttingDown)
 	}
-	if !h.leaving {
+	if !h.shuttingDown {
 		r.handedOverTo[to] = h.incarnation
 	}
 }
--- a/core/reducer/isolation.go
+++ b/core/reducer/isolation.go
@@ -40,19 +40,21 @@
 	if before.Add(pauseThreshold) < now {
 		r.isolation.platformDeadline = 0
 		r.isolation.lostContactSince = now
-		r.detector.NotePause(now)
+		r.detector.RecordPause(now)
 	}
 }
 
-func (r *Reducer) notePlatformContact() { r.isolation.platformDeadline = r.now.Add(platformContactTTL) }
+func (r *Reducer) recordPlatformContact() {
+	r.isolation.platformDeadline = r.now.Add(platformContactTTL)
+}
 
 // inContact reports whether this host would have received a new revision.
 func (r *Reducer) inContact() bool {
 	if len(r.detector.Others()) == 0 {
 		return true
 	}
-	answered := !r.detector.LastAnswer().Add(peerContactTTL).Passed(r.now)
-	return answered || !r.isolation.platformDeadline.Passed(r.now)
+	peerContact := !r.detector.LastAckedPingAt().Add(peerContactTTL).Passed(r.now)
+	return peerContact || !r.isolation.platformDeadline.Passed(r.now)
 }
 
 func (r *Reducer) updateIsolation() {
--- a/core/reducer/joining.go
+++ b/core/reducer/joining.go
@@ -94,9 +94,9 @@
 		}
 		_, done := r.joining.recordsFrom[name]
 		state := r.detector.State(name)
-		alive := state.Liveness == messenger.LivenessAlive || state.Liveness == messenger.LivenessSuspect
+		live := state.Liveness == messenger.LivenessAlive || state.Liveness == messenger.LivenessSuspect
 		owning := state.Phase == messenger.PhaseReady || state.Phase == messenger.PhaseLeaving
-		if !done && ((alive && owning) || (r.joining.expectedPeers[name] && state.Liveness != messenger.LivenessDead && !r.hasLeft(state) && !isJoining(state))) {
+		if !done && ((live && owning) || (r.joining.expectedPeers[name] && state.Liveness != messenger.LivenessDead && !r.hasLeft(state) && !isJoining(state))) {
 			return false
 		}
 	}
--- a/core/reducer/leaving.go
+++ b/core/reducer/leaving.go
@@ -14,31 +14,31 @@
 //     sends each host its last chunk: what has changed since, the requests that are
 //     running at targets, and to one of them its votes.
 //  3. When all have acknowledged, its phase becomes left. It forwards packets for
-//     lingerDuration, for hosts that do not know yet that it has left.
+//     forwardAfterLeaveDuration, for hosts that do not know yet that it has left.
 //  4. The process ends.
 //
 // It must not stop flow by flow. A host that has received its last chunk would
 // consider the host that is shutting down as left, and act on flows that the latter
 // still owns until another host has received its last chunk.
 
-// beginLeaving starts a graceful shutdown: the host hands over all flows while it
+// beginShutdown starts a graceful shutdown: the host hands over all flows while it
 // still acts on them.
-func (r *Reducer) beginLeaving() {
+func (r *Reducer) beginShutdown() {
 	if r.shuttingDown {
 		return
 	}
 	r.shuttingDown = true
 	r.log("hostLeaving")
 	if r.settings == nil || !r.joining.ready {
-		r.finishLeaving()
+		r.finishShutdown()
 		return
 	}
 	r.detector.SetPhase(messenger.PhaseLeaving)
-	r.startLeavingHandovers()
+	r.startShutdownHandovers()
 }
 
-// startLeavingHandovers starts, or restarts, the handovers to all hosts that stay.
-func (r *Reducer) startLeavingHandovers() {
+// startShutdownHandovers starts, or restarts, the handovers to all hosts that stay.
+func (r *Reducer) startShutdownHandovers() {
 	clear(r.handovers)
 	for _, name := range r.detector.Cell() {
 		if name != r.self && r.isStaying(name) {
@@ -71,24 +71,24 @@
 	if h.unackedChunk != nil {
 		r.detector.AcceptVotes(h.unackedChunk.Votes, h.unackedChunk.DeniedRecipients, r.now)
 	}
-	r.startLeavingHandovers()
+	r.startShutdownHandovers()
 }
 
-// advanceLeave takes the next step of a graceful shutdown when it is due.
-func (r *Reducer) advanceLeave() {
-	if !r.shuttingDown || r.ended || !r.joining.ready {
+// advanceShutdown takes the next step of a graceful shutdown when it is due.
+func (r *Reducer) advanceShutdown() {
+	if !r.shuttingDown || r.shutdownComplete || !r.joining.ready {
 		return
 	}
 	switch {
 	case r.detector.Phase() == messenger.PhaseLeft:
 		if r.lingerDeadline.Passed(r.now) {
-			r.finishLeaving()
+			r.finishShutdown()
 		}
 	case !r.steppedDown:
 		r.stepDown()
 	case !r.anyHandover(func(h *outgoingHandover) bool { return !h.acked }):
 		r.detector.SetPhase(messenger.PhaseLeft)
-		r.lingerDeadline = r.now.Add(lingerDuration)
+		r.lingerDeadline = r.now.Add(forwardAfterLeaveDuration)
 		r.log("hostLeft")
 	}
 }
@@ -128,9 +128,9 @@
 	})
 }
 
-func (r *Reducer) finishLeaving() {
-	if !r.ended {
-		r.ended = true
+func (r *Reducer) finishShutdown() {
+	if !r.shutdownComplete {
+		r.shutdownComplete = true
 		r.emit(&Ended{})
 	}
 }
--- a/core/reducer/leaving_test.go
+++ b/core/reducer/leaving_test.go
@@ -64,17 +64,17 @@
 				sendNewWork(f, 100+second)
 				f.Step(time.Second)
 			}
-			given := 0
+			newWorkPackets := 0
 			for _, p := range f.TargetPackets {
 				draining := false
 				for _, n := range intRange(1, 7) {
 					draining = draining || p.Target == driver.TargetAddress(n)
 				}
 				if draining && p.At > published.Add(after) && p.Packet.Flags.Has(messenger.FlagOpensFlow) {
-					given++
+					newWorkPackets++
 				}
 			}
-			require.Zero(t, given, "new work given to draining targets")
+			require.Zero(t, newWorkPackets, "new work given to draining targets")
 		})
 	}
 }
@@ -259,19 +259,19 @@
 	tree.HostsPerZone = []int{3}
 	tree.Defaults = []string{"exchangeLifetime: 10s", "flowMemory: 5m", "slots: 500"}
 	f := newFleet(t, tree)
-	var joining []int // Callers whose flows are owned by a3, which joins below.
+	var callers []int // Callers whose flows are owned by a3, which joins below.
 	for n := range 8000 {
 		if ownerOf(f, requestID(n, 1, 1), 1) == "a3" {
-			joining = append(joining, n)
+			callers = append(callers, n)
 		}
 	}
 	f.Shutdown("a3")
 	require.True(t, f.StepUntil(10*time.Second, func() bool { return f.HasLeft("a3") }))
 	f.Step(time.Second)
-	var checks []int
-	for _, n := range joining {
+	var writers []int
+	for _, n := range callers {
 		if ownerOf(f, requestID(n, 1, 1), 1) == "a2" {
-			checks = append(checks, n)
+			writers = append(writers, n)
 			continue
 		}
 		// The other owner has more records, so it hands over later.
@@ -283,7 +283,7 @@
 	for !f.Reducer("a3").Ready() {
 		number++
 		for ms := range 20 {
-			f.SendPacketAfter(time.Duration(ms)*time.Millisecond, "a2", requestID(checks[ms], 1, number), requestPacket(openWrite))
+			f.SendPacketAfter(time.Duration(ms)*time.Millisecond, "a2", requestID(writers[ms], 1, number), requestPacket(openWrite))
 		}
 		f.Step(20 * time.Millisecond)
 	}
@@ -296,7 +296,7 @@
 	}
 	for i := 2; i <= number; i++ {
 		for ms := range 20 {
-			require.True(t, answered(f, requestID(checks[ms], 1, i)), "request %d of caller %d", i, ms)
+			require.True(t, answered(f, requestID(writers[ms], 1, i)), "request %d of caller %d", i, ms)
 		}
 	}
 	requireAtMostOnce(t, f)
--- a/core/reducer/permission.go
+++ b/core/reducer/permission.go
@@ -34,13 +34,13 @@
 // requests that ran within the time in which callers retransmit them; if it does
 // not, it replies that the outcome is unknown.
 func (r *Reducer) checkPermission(bucket placer.Bucket, s *service) permission {
-	if r.cells.Home(bucket) != r.ownCell || !r.joining.mayAct(r.now) || r.steppedDown {
+	if r.cells.Home(bucket) != r.localCell || !r.joining.mayAct(r.now) || r.steppedDown {
 		return permissionWait
 	}
 	if r.settingsOutdated() || !r.detector.HasQuorum(r.now) {
 		return permissionWait
 	}
-	order := r.rankers[r.ownCell].Rank(bucket)
+	order := r.rankers[r.localCell].Rank(bucket)
 	// lost counts the higher-ranking hosts that lost their state so recently that
 	// callers may still retransmit requests that these hosts ran.
 	lost := 0
--- a/core/reducer/pinning.go
+++ b/core/reducer/pinning.go
@@ -21,12 +21,12 @@
 		return f.otherTarget, true
 	}
 	if t.listed && (continues || (t.policy.State == resolver.TargetActive && !ejected[f.target])) {
-		r.noteTransfer(in, &f, false)
+		r.recordTransfer(in, &f, false)
 		r.touchLongLived(in, f)
 		return f.target, true
 	}
 	if f.otherTarget != noTarget && s.registry[f.otherTarget].usable(r.now) && !ejected[f.otherTarget] {
-		r.noteTransfer(in, &f, true)
+		r.recordTransfer(in, &f, true)
 		r.touch(in, f)
 		return f.otherTarget, true
 	}
@@ -39,7 +39,7 @@
 		// The target drains or is ejected: it keeps the flow's streams and uploads,
 		// and the flow's new requests go to another target.
 		f.otherTarget = index
-		r.noteTransfer(in, &f, true)
+		r.recordTransfer(in, &f, true)
 	} else {
 		f = flow{target: index, otherTarget: noTarget}
 	}
@@ -49,9 +49,9 @@
 	return index, true
 }
 
-// noteTransfer records at which of a flow's two targets a blockwise transfer
+// recordTransfer records at which of a flow's two targets a blockwise transfer
 // begins, so that its later blocks go to the same one.
-func (r *Reducer) noteTransfer(in *inbound, f *flow, moved bool) {
+func (r *Reducer) recordTransfer(in *inbound, f *flow, moved bool) {
 	const begins = messenger.FlagOpensFlow | messenger.FlagBlockwise
 	if !in.packet.Flags.Has(begins) || moved == (f.flags&flowTransferMoved != 0) {
 		return
--- a/core/reducer/reducer.go
+++ b/core/reducer/reducer.go
@@ -60,7 +60,7 @@
 	compressedDocument []byte
 	compressedRevision uint64
 	rejectedRevision   uint64
-	ownCell            string
+	localCell          string
 	cells              placer.CellMap
 	cellSizes          map[string]int
 	rankers            map[string]placer.Ranker
@@ -74,8 +74,8 @@
 	services    map[resolver.ServiceID]*service
 	serviceIDs  []resolver.ServiceID
 	addressUses map[netip.AddrPort]addressUse
-	// listedLeaving is the set of hosts that the platform lists as shutting down.
-	listedLeaving map[string]bool
+	// listedShuttingDown is the set of hosts that the platform lists as shutting down.
+	listedShuttingDown map[string]bool
 
 	flows       *flowTable
 	dirtyShards int
@@ -103,7 +103,7 @@
 	steppedDown         bool
 	shuttingDown        bool
 	lingerDeadline      timekeeper.Instant
-	ended               bool
+	shutdownComplete    bool
 	watching            bool
 	nextSettingsRequest timekeeper.Instant
 	prober              prober
@@ -123,29 +123,29 @@
 // New returns the reducer of a host that has just started and has no settings yet.
 func New(config Config) *Reducer {
 	r := &Reducer{
-		self:              config.Self,
-		now:               config.Start,
-		startedAt:         config.Start,
-		seedHosts:         config.SeedHosts,
-		random:            rand.New(rand.NewPCG(config.Seed, config.Incarnation)),
-		rankers:           map[string]placer.Ranker{},
-		services:          map[resolver.ServiceID]*service{},
-		addressUses:       map[netip.AddrPort]addressUse{},
-		listedLeaving:     map[string]bool{},
-		flows:             newFlowTable(),
-		requests:          map[uint64]*request{},
-		byToken:           map[tokenKey]*request{},
-		tenantInFlight:    map[string]int{},
-		heldIDs:           map[uint64]bool{},
-		identities:        newIdentitySet(),
-		witnessLinks:      map[string]*witnessLink{},
-		handovers:         map[string]*outgoingHandover{},
-		handedOverTo:      map[string]uint64{},
-		leaveHandoverFrom: map[string]uint64{},
-		handoverRefusedBy: map[string]uint64{},
-		votesAcceptedFrom: map[string]handoverID{},
-		nextLoadReport:    map[string]timekeeper.Instant{},
-		noQuorumSince:     config.Start,
+		self:               config.Self,
+		now:                config.Start,
+		startedAt:          config.Start,
+		seedHosts:          config.SeedHosts,
+		random:             rand.New(rand.NewPCG(config.Seed, config.Incarnation)),
+		rankers:            map[string]placer.Ranker{},
+		services:           map[resolver.ServiceID]*service{},
+		addressUses:        map[netip.AddrPort]addressUse{},
+		listedShuttingDown: map[string]bool{},
+		flows:              newFlowTable(),
+		requests:           map[uint64]*request{},
+		byToken:            map[tokenKey]*request{},
+		tenantInFlight:     map[string]int{},
+		heldIDs:            map[uint64]bool{},
+		identities:         newIdentitySet(),
+		witnessLinks:       map[string]*witnessLink{},
+		handovers:          map[string]*outgoingHandover{},
+		handedOverTo:       map[string]uint64{},
+		leaveHandoverFrom:  map[string]uint64{},
+		handoverRefusedBy:  map[string]uint64{},
+		votesAcceptedFrom:  map[string]handoverID{},
+		nextLoadReport:     map[string]timekeeper.Instant{},
+		noQuorumSince:      config.Start,
 	}
 	r.joining = newJoinState(config.Start)
 	r.isolation.lostContactSince = config.Start
@@ -170,17 +170,17 @@
 	case *PeerMessage:
 		r.handlePeerMessage(event)
 	case *SettingsPublished:
-		r.notePlatformContact()
+		r.recordPlatformContact()
 		r.handleSettingsPublished(event.Revision, event.Document)
 	case *HostsPublished:
-		r.notePlatformContact()
+		r.recordPlatformContact()
 		r.handleHostsPublished(event)
 	case *ProbeAnswered:
 		r.handleProbeResponse(event)
 	case *Tick:
 		r.handleTick()
 	case *Shutdown:
-		r.beginLeaving()
+		r.beginShutdown()
 	}
 	for _, out := range r.detector.TakeOutgoing() {
 		r.emit(&ToPeer{Host: out.To, Body: out.Body})
@@ -228,7 +228,7 @@
 	case *messenger.PingRequest, *messenger.IndirectAck:
 		r.detector.Receive(e.From, body, r.now)
 	case *messenger.Forward:
-		r.detector.NoteRevision(e.From, body.SettingsRevision)
+		r.detector.RecordRevision(e.From, body.SettingsRevision)
 		r.handleForward(body, e.Arrived)
 	case *messenger.WitnessRequest:
 		r.handleWitness(e.From, body)
@@ -255,13 +255,13 @@
 // extraPayload returns the heartbeat fields that the detector does not fill in:
 // the in-flight loads of this host.
 func (r *Reducer) extraPayload(peer string) messenger.Heartbeat {
-	const loadsEvery = 250 * time.Millisecond
-	news := messenger.Heartbeat{}
+	const loadReportInterval = 250 * time.Millisecond
+	heartbeat := messenger.Heartbeat{}
 	if r.nextLoadReport[peer].Passed(r.now) {
-		r.nextLoadReport[peer] = r.now.Add(loadsEvery)
-		news.InFlight = r.inFlightLoads()
+		r.nextLoadReport[peer] = r.now.Add(loadReportInterval)
+		heartbeat.InFlight = r.inFlightLoads()
 	}
-	return news
+	return heartbeat
 }
 
 func (r *Reducer) handleTick() {
@@ -281,13 +281,13 @@
 	r.sendProbes()
 	r.identities.expire(r.now)
 	r.witnessed.expire(r.now)
-	r.noteQuorum()
+	r.recordQuorumLoss()
 	r.updateIsolation()
 }
 
-// noteQuorum records since when this host has lacked a quorum, so that a request
+// recordQuorumLoss records since when this host has lacked a quorum, so that a request
 // that needs one is refused at once when waiting is futile.
-func (r *Reducer) noteQuorum() {
+func (r *Reducer) recordQuorumLoss() {
 	if r.detector.HasQuorum(r.now) {
 		r.noQuorumSince = timekeeper.Never
 	} else if r.noQuorumSince == timekeeper.Never {
--- a/core/reducer/refusals_test.go
+++ b/core/reducer/refusals_test.go
@@ -138,13 +138,13 @@
 		f.SendPacket("", requestID(n, 1, 2), requestPacket(openWrite))
 	}
 	f.Step(500 * time.Millisecond)
-	soon := 0
+	refusedImmediately := 0
 	for _, r := range f.Replies {
 		if r.Reason == reducer.RefuseTooLate && r.At < began.Add(500*time.Millisecond) {
-			soon++
+			refusedImmediately++
 		}
 	}
-	require.Greater(t, soon, flows/3)
+	require.Greater(t, refusedImmediately, flows/3)
 	f.Step(5 * time.Second)
 	requireAtMostOnce(t, f)
 }
--- a/core/reducer/request.go
+++ b/core/reducer/request.go
@@ -159,7 +159,7 @@
 		r.refuse(q, OutcomeNotRun, RefuseNoTarget)
 		return
 	}
-	r.passToTarget(in, index)
+	r.sendPacketToTarget(in, index)
 }
 
 // admitNonIdempotent reports whether this host may run a non-idempotent request
@@ -258,6 +258,6 @@
 // the request was sent to.
 func (r *Reducer) resendToTarget(q *request, in *inbound) {
 	if q.target != noTarget && q.service.registry[q.target].listed {
-		r.passToTarget(in, q.target)
+		r.sendPacketToTarget(in, q.target)
 	}
 }
--- a/core/reducer/route.go
+++ b/core/reducer/route.go
@@ -222,11 +222,11 @@
 		if r.steppedDown {
 			continue
 		}
-		if r.joining.ready || r.joining.hasRecordsOf(r.firstReady(order.Names()[i+1:])) {
+		if r.joining.ready || r.joining.hasRecordsOf(r.firstActingOwner(order.Names()[i+1:])) {
 			return name, roleOwner
 		}
 	}
-	if ownerOnly && r.detector.Phase() != messenger.PhaseLeft && r.cells.Home(bucket) == r.ownCell && !r.steppedDown {
+	if ownerOnly && r.detector.Phase() != messenger.PhaseLeft && r.cells.Home(bucket) == r.localCell && !r.steppedDown {
 		return r.self, roleOwner
 	}
 	return r.self, roleFallback
@@ -244,9 +244,9 @@
 	return r.relayTo(owner)
 }
 
-// firstReady returns the first of the named hosts that acts as an owner; "" if none
+// firstActingOwner returns the first of the named hosts that acts as an owner; "" if none
 // does.
-func (r *Reducer) firstReady(names []string) string {
+func (r *Reducer) firstActingOwner(names []string) string {
 	for _, name := range names {
 		if r.actsAsOwner(name, false) {
 			return name
@@ -307,16 +307,16 @@
 	}
 	r.touch(in, f)
 	if in.service.registry[f.target].listed {
-		r.passToTarget(in, f.target)
+		r.sendPacketToTarget(in, f.target)
 	}
 	// If the flow has two targets, an acknowledgement does not show which of them
 	// it is for; the wrong one ignores it (RFC 7252, section 4.2).
 	if f.otherTarget != noTarget && in.service.registry[f.otherTarget].listed {
-		r.passToTarget(in, f.otherTarget)
+		r.sendPacketToTarget(in, f.otherTarget)
 	}
 }
 
-func (r *Reducer) passToTarget(in *inbound, index uint16) {
+func (r *Reducer) sendPacketToTarget(in *inbound, index uint16) {
 	r.sendTarget(ToTarget{
 		Target:  in.service.registry[index].address,
 		Return:  resolver.ReturnAddress(in.service.settings.ReturnPrefix, in.key),
--- a/core/reducer/services_test.go
+++ b/core/reducer/services_test.go
@@ -80,30 +80,30 @@
 // listed the address before the change, if any, and otherwise the one that lists it
 // after the change. While an address that moved is in quarantine, it gets no packets
 // of either service.
-func requireNoCrossServicePackets(t *testing.T, f *driver.Simulation, before, after driver.SettingsTree, published timekeeper.Instant, span time.Duration) {
+func requireNoCrossServicePackets(t *testing.T, f *driver.Simulation, before, after driver.SettingsTree, published timekeeper.Instant, oldServiceWindow time.Duration) {
 	t.Helper()
-	was, is := serviceOf(before), serviceOf(after)
+	serviceBefore, serviceAfter := serviceOf(before), serviceOf(after)
 	for _, p := range f.TargetPackets {
 		service := 1
 		if p.ID.Service == driver.ServiceAddress(2) {
 			service = 2
 		}
-		if p.At < published.Add(span) && was[p.Target] != 0 {
-			require.Equal(t, was[p.Target], service, "%v by %s at %v", p.Target, p.Host, p.At-published)
+		if p.At < published.Add(oldServiceWindow) && serviceBefore[p.Target] != 0 {
+			require.Equal(t, serviceBefore[p.Target], service, "%v by %s at %v", p.Target, p.Host, p.At-published)
 		} else {
-			require.Equal(t, is[p.Target], service, "%v by %s at %v", p.Target, p.Host, p.At-published)
+			require.Equal(t, serviceAfter[p.Target], service, "%v by %s at %v", p.Target, p.Host, p.At-published)
 		}
 	}
 }
 
 func serviceOf(tree driver.SettingsTree) map[netip.AddrPort]int {
-	of := map[netip.AddrPort]int{}
+	serviceByTarget := map[netip.AddrPort]int{}
 	for i, s := range tree.Services {
 		for _, n := range s.TargetNumbers {
-			of[driver.TargetAddress(n)] = i + 1
+			serviceByTarget[driver.TargetAddress(n)] = i + 1
 		}
 	}
-	return of
+	return serviceByTarget
 }
 
 // Guards against responses that reach a caller of another service: when a packet to a
@@ -133,18 +133,18 @@
 	f.Publish(moved.Document())
 	f.Step(40 * time.Second)
 	f.Publish(threeZoneTree().Document())
-	back := f.Now
+	movedBackAt := f.Now
 	for range 25 {
 		sendNewFlows(f, 20)
 		f.Step(time.Second)
 	}
-	given := 0
+	delivered := 0
 	for _, p := range f.TargetPackets {
-		if p.Target != driver.TargetAddress(24) || p.At < back || p.ID.Service != driver.ServiceAddress(2) {
+		if p.Target != driver.TargetAddress(24) || p.At < movedBackAt || p.ID.Service != driver.ServiceAddress(2) {
 			continue
 		}
-		given++
-		require.Greater(t, p.At, back.Add(17*time.Second))
+		delivered++
+		require.Greater(t, p.At, movedBackAt.Add(17*time.Second))
 	}
-	require.Positive(t, given, "it serves again after its rest")
+	require.Positive(t, delivered, "it serves again after its rest")
 }
--- a/core/reducer/settings.go
+++ b/core/reducer/settings.go
@@ -39,7 +39,7 @@
 	r.document = document
 	r.settings = settings
 	if host, ok := settings.HostByName(r.self); ok {
-		r.ownCell = host.Cell
+		r.localCell = host.Cell
 	}
 	r.adoptCells(settings)
 	r.serviceIDs = r.serviceIDs[:0]
@@ -184,7 +184,7 @@
 			break
 		}
 		alive := r.detector.State(h.Name).Liveness == messenger.LivenessAlive
-		if h.AvailabilityZone == self.AvailabilityZone && alive && !r.listedLeaving[h.Name] {
+		if h.AvailabilityZone == self.AvailabilityZone && alive && !r.listedShuttingDown[h.Name] {
 			watchersAhead++
 		}
 	}
@@ -196,9 +196,9 @@
 }
 
 func (r *Reducer) handleHostsPublished(e *HostsPublished) {
-	clear(r.listedLeaving)
+	clear(r.listedShuttingDown)
 	for _, name := range e.Leaving {
-		r.listedLeaving[name] = true
+		r.listedShuttingDown[name] = true
 	}
 }
 
--- a/core/reducer/snapshot.go
+++ b/core/reducer/snapshot.go
@@ -59,7 +59,7 @@
 func (r *Reducer) Snapshot() Snapshot {
 	s := Snapshot{
 		Host:             r.self,
-		Cell:             r.ownCell,
+		Cell:             r.localCell,
 		Phase:            r.detector.Phase().String(),
 		Ready:            r.Ready(),
 		Quorum:           r.detector.HasQuorum(r.now),
--- a/core/reducer/target.go
+++ b/core/reducer/target.go
@@ -48,13 +48,13 @@
 	warmUpDeadline timekeeper.Instant
 	warmUpDuration time.Duration
 
-	failedProbes       int
-	failedRequests     int
-	answerDeadline     timekeeper.Instant
-	reportedLoad       int
-	loadReportDeadline timekeeper.Instant
-	inFlight           int
-	serviceTime        time.Duration
+	failedProbes             int
+	failedRequests           int
+	responseEvidenceDeadline timekeeper.Instant
+	reportedLoad             int
+	loadReportDeadline       timekeeper.Instant
+	inFlight                 int
+	serviceTime              time.Duration
 	// peerLoads holds the number of requests that each other host has in flight at
 	// the target.
 	peerLoads map[string]peerLoad
@@ -72,7 +72,7 @@
 // isFailing reports whether probes or requests show that the target fails. Failed
 // probes are ignored while the target responds to requests.
 func (t *target) isFailing(now timekeeper.Instant) bool {
-	if !t.answerDeadline.Passed(now) && t.answerDeadline != 0 {
+	if !t.responseEvidenceDeadline.Passed(now) && t.responseEvidenceDeadline != 0 {
 		return false
 	}
 	return t.failedProbes >= failedProbesToEject || t.reportedFailing(now) || t.requestsFailing()
@@ -196,22 +196,22 @@
 
 func (r *Reducer) updateTable(s *service, now timekeeper.Instant) {
 	var candidates []placer.Candidate
-	var places []uint16
+	var registryIndexes []uint16
 	for i := range s.settings.Targets {
 		listed := &s.settings.Targets[i]
 		if listed.Policy.State != resolver.TargetActive {
 			continue
 		}
 		candidates = append(candidates, placer.Candidate{Name: listed.Name, Weight: listed.Policy.Weight})
-		places = append(places, s.byAddr[listed.Address])
+		registryIndexes = append(registryIndexes, s.byAddr[listed.Address])
 	}
-	if len(s.tables) > 0 && slices.Equal(s.tables[0].candidates, candidates) && slices.Equal(s.tables[0].registryIndexes, places) {
+	if len(s.tables) > 0 && slices.Equal(s.tables[0].candidates, candidates) && slices.Equal(s.tables[0].registryIndexes, registryIndexes) {
 		return
 	}
 	if len(s.tables) > 0 {
 		s.tables[0].deadline = now.Add(s.settings.Policy.FlowIdleTimeout)
 	}
-	fresh := placementTable{table: placer.NewLookupTable(candidates), candidates: candidates, registryIndexes: places, deadline: timekeeper.Never}
+	fresh := placementTable{table: placer.NewLookupTable(candidates), candidates: candidates, registryIndexes: registryIndexes, deadline: timekeeper.Never}
 	s.tables = append([]placementTable{fresh}, s.tables...)
 	if len(s.tables) > maxTables {
 		s.tables = s.tables[:maxTables]
@@ -284,13 +284,13 @@
 	}
 	s.nextEjectUpdate = now.Add(updateInterval)
 	s.ejected = make([]bool, len(s.registry))
-	present, ejectedCount := 0, 0
+	listedCount, ejectedCount := 0, 0
 	for _, t := range s.registry {
 		if t.listed {
-			present++
+			listedCount++
 		}
 	}
-	maxEjected := int(float64(present) * s.settings.Policy.MaxEjectedShare)
+	maxEjected := int(float64(listedCount) * s.settings.Policy.MaxEjectedShare)
 	for i, t := range s.registry {
 		switch {
 		case !t.listed || !t.isFailing(now):
@@ -322,20 +322,20 @@
 		if candidate < 0 {
 			break
 		}
-		place := s.tables[0].registryIndexes[candidate]
-		t := s.registry[place]
-		if place == avoid || !t.usable(now) || ejected[place] || s.skipDuringWarmUp(t, hash, now) {
+		registryIndex := s.tables[0].registryIndexes[candidate]
+		t := s.registry[registryIndex]
+		if registryIndex == avoid || !t.usable(now) || ejected[registryIndex] || s.skipDuringWarmUp(t, hash, now) {
 			continue
 		}
 		if best == noTarget {
-			best = place
+			best = registryIndex
 			if t.load(now) < t.policy.Slots {
-				return place, true
+				return registryIndex, true
 			}
 			continue
 		}
 		if t.load(now) < s.registry[best].load(now) {
-			return place, true
+			return registryIndex, true
 		}
 		return best, true
 	}
@@ -405,11 +405,11 @@
 func (r *Reducer) updatePeerLoads(from string, loads map[uint32]uint16, now timekeeper.Instant) {
 	for key, n := range loads {
 		s, ok := r.services[resolver.ServiceID(key>>16)]
-		place := int(uint16(key))
-		if !ok || place >= len(s.settings.Targets) {
+		settingsIndex := int(uint16(key))
+		if !ok || settingsIndex >= len(s.settings.Targets) {
 			continue
 		}
-		index := s.byAddr[s.settings.Targets[place].Address]
+		index := s.byAddr[s.settings.Targets[settingsIndex].Address]
 		s.registry[index].peerLoads[from] = peerLoad{inFlight: int(n), deadline: now.Add(time.Second)}
 	}
 }
--- a/core/reducer/witness.go
+++ b/core/reducer/witness.go
@@ -124,7 +124,7 @@
 // that no quorum has declared dead, and that has this host's records. It may be
 // unresponsive at present.
 func (r *Reducer) successorOf(bucket placer.Bucket) string {
-	order := r.rankers[r.ownCell].Rank(bucket)
+	order := r.rankers[r.localCell].Rank(bucket)
 	names := order.Names()
 	for _, name := range names[slices.Index(names, r.self)+1:] {
 		state := r.detector.State(name)
--- a/scripts/red.sh
+++ b/scripts/red.sh
@@ -85,9 +85,9 @@
 	since' TestDrainingTargetGetsNoNewWork
 without "moving new work off a draining target" reducer/pinning.go 't.policy.State == resolver.TargetActive &&' 't.policy.State != resolver.TargetState(99) &&' TestDrainingTargetGetsNoNewWork
 without "the handover before the end" reducer/leaving.go 'if r.settings == nil || !r.joining.ready {
-		r.finishLeaving()' 'if true {
-		r.finishLeaving()' TestGracefulShutdownLosesNoRequests
-without "votes that are left behind" reducer/handover.go 'chunk.Votes, chunk.DeniedRecipients = r.detector.ReleaseVotes(to, h.leaving)' 'r.detector.ReleaseVotes(to, h.leaving)' TestGracefulShutdownLosesNoRequests
+		r.finishShutdown()' 'if true {
+		r.finishShutdown()' TestGracefulShutdownLosesNoRequests
+without "votes that are left behind" reducer/handover.go 'chunk.Votes, chunk.DeniedRecipients = r.detector.ReleaseVotes(to, h.shuttingDown)' 'r.detector.ReleaseVotes(to, h.shuttingDown)' TestGracefulShutdownLosesNoRequests
 without "votes that count at once" detector/votes.go 'return !v.refuses(d.self, d.incarnation)' 'return v.countsAgainstFrom.Passed(d.now)' TestRollingReplacementRefusesNothing
 without "the way around a broken link" reducer/witness.go 'if r.detector.State(peer).Liveness == messenger.LivenessAlive {' 'if true {' TestSingleLinkFailureInCellRefusesNothing
 without "the limit of a tenant" reducer/dispatch.go 'if r.tenantInFlight[tenant] >= policy.MaxTenantInFlight {' 'if r.tenantInFlight[tenant] < 0 {' TestTenantCannotTakeAllSlots
