--- a/scripts/red.sh
+++ b/scripts/red.sh
@@ -52,13 +52,13 @@
 without "copies of exceptions" reducer/exceptions.go 'if r.copyTokens < flowRecordBytes ||' 'if true ||' TestSuccessorKnowsExceptions
 without "the quarantine of addresses" reducer/target.go 'addressQuarantine = 18 * time.Second' 'addressQuarantine = 0 * time.Second' TestNoPacketCrossesServices
 without "the check of an answer's sender" reducer/route.go '|| !s.acceptsResponsesFrom(e.Target, r.addressUses) {' '{' TestResponsesFromUnknownTargetsDropped
-without "the return address" reducer/answer.go 'r.deliverToCaller(in)
+without "the return address" reducer/response.go 'r.deliverToCaller(in)
 		return
 	}
 	if in.packet' 'return
 	}
 	if in.packet' TestResponseReachesCallerAfterOwnerFailure
-without "memory of given-up requests" reducer/answer.go 'r.count(DropLateAnswer)
+without "memory of given-up requests" reducer/response.go 'r.count(DropLateAnswer)
 	}
 }
 
@@ -84,7 +84,7 @@
 	}
 	since' TestDrainingTargetGetsNoNewWork
 without "moving new work off a draining target" reducer/pinning.go 't.policy.State == resolver.TargetActive &&' 't.policy.State != resolver.TargetState(99) &&' TestDrainingTargetGetsNoNewWork
-without "the handover before the end" reducer/leaving.go 'if r.settings == nil || !r.joining.ready {
+without "the handover before the end" reducer/shutdown.go 'if r.settings == nil || !r.joining.ready {
 		r.finishShutdown()' 'if true {
 		r.finishShutdown()' TestGracefulShutdownLosesNoRequests
 without "votes that are left behind" reducer/handover.go 'chunk.Votes, chunk.DeniedRecipients = r.detector.ReleaseVotes(to, h.shuttingDown)' 'r.detector.ReleaseVotes(to, h.shuttingDown)' TestGracefulShutdownLosesNoRequests
