--- a/core/resolver/build.go
+++ b/core/resolver/build.go
@@ -11,23 +11,24 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Value is one value in force somewhere in the tree, and where it comes from.
+// Value is one value in force at a path of the tree, and what set it.
 type Value struct {
 	Key   string `json:"key"`
 	Value string `json:"value"`
-	// Level names the place that set the value, such as "defaults" or
-	// "regions.sicily.services.ledger"; "built in" where the tree says nothing.
+	// Level is the path that set the value, such as "defaults" or
+	// "regions.sicily.services.ledger"; "built in" where the tree sets nothing.
 	Level string `json:"level"`
 	Line  int    `json:"line"`
 }
 
-// origin says which line of which level set a key.
+// origin is the level and line that set a key.
 type origin struct {
 	level string
 	line  int
 }
 
-// inheritedPolicy is a policy on its way down the tree.
+// inheritedPolicy is the policy that a level passes to its children, with the origin of
+// each key.
 type inheritedPolicy struct {
 	policy  Policy
 	origins map[string]origin
@@ -41,8 +42,8 @@
 	return inheritedPolicy{policy: in.policy, origins: origins}
 }
 
-// builder walks one document. It collects findings instead of stopping at the
-// first, so that an operator mends a document in one go.
+// builder builds the Settings of one document. It collects findings instead of stopping at
+// the first, so that an operator can fix all of them at once.
 type builder struct {
 	file     string
 	findings []Finding
@@ -54,8 +55,8 @@
 	namePaths    map[string]string
 }
 
-// Resolve parses, builds and checks a document. The returned Settings are
-// complete only if err is nil; err is an *Error that holds every finding.
+// Resolve parses, builds and checks a document. If it returns an error, that is an *Error
+// with every finding, and the Settings are nil.
 func Resolve(file string, document []byte) (*Settings, error) {
 	const op = "resolve settings"
 	if len(document) > MaxDocumentBytes {
@@ -99,7 +100,7 @@
 	b.findings = append(b.findings, Finding{File: b.file, Line: line, Path: path, Problem: problem, Expected: expected, Fix: fix})
 }
 
-// entry is one key of a mapping, with its place.
+// entry is one key of a mapping, with its position.
 type entry struct {
 	key   string
 	path  string
@@ -107,8 +108,8 @@
 	value *yaml.Node
 }
 
-// mappingEntries lists a mapping's entries in the order of the file, reporting a
-// node that is no mapping and keys that stand twice.
+// mappingEntries lists a mapping's entries in the order of the file. It reports a node that
+// is not a mapping, and duplicate keys.
 func (b *builder) mappingEntries(node *yaml.Node, path string) []entry {
 	if node.Kind == yaml.AliasNode {
 		node = node.Alias
@@ -126,7 +127,7 @@
 		key := node.Content[i]
 		e := entry{key: key.Value, path: join(path, key.Value), node: key, value: node.Content[i+1]}
 		if seen[e.key] {
-			b.addFinding(key, e.path, "the key stands twice", "each key once", "remove one of the two")
+			b.addFinding(key, e.path, "duplicate key", "each key once", "remove one of the two")
 			continue
 		}
 		seen[e.key] = true
@@ -173,7 +174,7 @@
 		}
 	}
 	if !slices.ContainsFunc(entries, func(e entry) bool { return e.key == "peerKeys" }) {
-		b.addFinding(node, "peerKeys", "peerKeys is missing", "a list of one or two keys", "make a random key: without one anybody could speak as a host")
+		b.addFinding(node, "peerKeys", "peerKeys is missing", "a list of one or two keys", "generate a random key: without one, anyone could impersonate a host")
 	}
 	if len(b.settings.Hosts) == 0 && len(b.findings) == 0 {
 		b.addFinding(node, "regions", "the tree has no hosts", "at least one host", "add hosts below an availability zone")
@@ -190,14 +191,14 @@
 	}
 	for _, item := range e.value.Content {
 		if len(item.Value) < minKeyLength {
-			b.addFinding(item, e.path, "the key is short", fmt.Sprintf("at least %d characters", minKeyLength), "make a new random key")
+			b.addFinding(item, e.path, "the key is too short", fmt.Sprintf("at least %d characters", minKeyLength), "generate a new random key")
 			continue
 		}
 		b.settings.PeerKeys = append(b.settings.PeerKeys, Secret(item.Value))
 	}
 }
 
-// buildDefaults applies a level's defaults to what the level inherits.
+// buildDefaults applies a level's defaults on top of the values that the level inherits.
 func (b *builder) buildDefaults(node *yaml.Node, level string, parent inheritedPolicy) inheritedPolicy {
 	in := parent.clone()
 	for _, e := range b.mappingEntries(node, level) {
@@ -244,7 +245,7 @@
 		}
 	}
 	if !prefix.IsValid() {
-		b.addFinding(region.node, region.path, "returnPrefix is missing", "an IPv6 /64 that all hosts share towards targets", "add returnPrefix: fd00:51::/64 or the like")
+		b.addFinding(region.node, region.path, "returnPrefix is missing", "an IPv6 /64 that all hosts share towards targets", "add returnPrefix, such as fd00:51::/64")
 	}
 	for _, e := range entries {
 		if e.key != "services" {
@@ -267,7 +268,7 @@
 
 func (b *builder) buildZone(zone entry, region string) {
 	if other, ok := b.zoneRegions[zone.key]; ok {
-		b.addFinding(zone.node, zone.path, "the availability zone stands in region "+other+" too", "each name once", "rename one of the two")
+		b.addFinding(zone.node, zone.path, "the availability zone is defined in region "+other+" already", "each name once", "rename one of the two")
 		return
 	}
 	b.zoneRegions[zone.key] = region
@@ -341,8 +342,8 @@
 	b.addFinding(e.node, e.path, key+" is missing", "a value for "+key, "add "+key)
 }
 
-// requireUniqueName reports a name that stands twice in the whole tree: status, logs and
-// metrics name hosts, services and targets without their place.
+// requireUniqueName reports a name that is used twice in the whole tree: status, logs and
+// metrics identify hosts, services and targets by name alone.
 func (b *builder) requireUniqueName(e entry, name string) {
 	if other, ok := b.namePaths[name]; ok {
 		b.addFinding(e.node, e.path, "the name stands at "+other+" too", "each name once", "rename one of the two")
@@ -351,11 +352,11 @@
 	b.namePaths[name] = e.path
 }
 
-// parseAddress reads an IPv4 address and port that nothing else in the tree uses.
+// parseAddress parses an IPv4 address and port that is used only once in the tree.
 func (b *builder) parseAddress(e entry) netip.AddrPort {
 	address, err := netip.ParseAddrPort(e.value.Value)
 	if err != nil || !address.Addr().Is4() || address.Port() == 0 {
-		b.addFinding(e.value, e.path, fmt.Sprintf("%q does not fit", e.value.Value), "an IPv4 address and port such as 10.0.0.1:5683", "write numbers, not names")
+		b.addFinding(e.value, e.path, fmt.Sprintf("%q does not fit", e.value.Value), "an IPv4 address and port such as 10.0.0.1:5683", "write an IP address, not a host name")
 		return netip.AddrPort{}
 	}
 	if other, ok := b.addressPaths[address]; ok {
@@ -400,7 +401,7 @@
 func (b *builder) parseServiceID(e entry) ServiceID {
 	n, err := strconv.ParseUint(e.value.Value, 10, 16)
 	if err != nil || n == 0 {
-		b.addFinding(e.value, e.path, fmt.Sprintf("%q does not fit", e.value.Value), "a whole number from 1 to 65535", "give the service a number of its own and never use it again")
+		b.addFinding(e.value, e.path, fmt.Sprintf("%q does not fit", e.value.Value), "a whole number from 1 to 65535", "give the service a unique number, and never reuse it for another service")
 		return 0
 	}
 	b.requireUniqueName(e, "id "+e.value.Value)
@@ -436,8 +437,8 @@
 	return target
 }
 
-// applyZoneDefaults lays a zone's defaults under a target's own values. What the
-// service itself says goes before the zone's defaults.
+// applyZoneDefaults applies a zone's defaults beneath a target's own values. Values that
+// the service sets take precedence over the zone's defaults.
 func (b *builder) applyZoneDefaults(node *yaml.Node, zone, region string, in *inheritedPolicy) {
 	level := fmt.Sprintf("regions.%s.availabilityZones.%s.defaults", region, zone)
 	discarding := &builder{file: b.file}
--- a/core/resolver/error.go
+++ b/core/resolver/error.go
@@ -5,18 +5,18 @@
 	"strings"
 )
 
-// ErrorKind tells callers which sort of failure an Error is.
+// ErrorKind classifies an Error.
 type ErrorKind uint8
 
 // The kinds of Error.
 const (
-	// KindSyntax means that the document is not YAML at all.
+	// KindSyntax means that the document is not YAML.
 	KindSyntax ErrorKind = iota + 1
-	// KindInvalid means that the document is YAML but breaks a rule of the tree.
+	// KindInvalid means that the document is YAML but violates a rule of the tree.
 	KindInvalid
 	// KindTooLarge means that the document is larger than MaxDocumentBytes.
 	KindTooLarge
-	// KindNotFound means that a path names nothing in the tree.
+	// KindNotFound means that a path does not exist in the tree.
 	KindNotFound
 )
 
@@ -34,7 +34,7 @@
 	return "unknown"
 }
 
-// Error is the one error type of this package.
+// Error is the only error type of this package.
 type Error struct {
 	Op       string
 	Kind     ErrorKind
@@ -58,8 +58,7 @@
 // Unwrap returns the underlying error, or nil.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Finding is one thing wrong with a settings document, with what an operator
-// needs in order to mend it.
+// Finding is one fault in a settings document, with what an operator needs to fix it.
 type Finding struct {
 	File     string `json:"file"`
 	Line     int    `json:"line"`
--- a/core/resolver/explain.go
+++ b/core/resolver/explain.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// Explain lists every value in force at a path, such as
-// "regions.sicily.services.ledger", with the level and line it comes from. A
-// bare name of a service or target is enough.
+// Explain lists every value in force at a path, such as "regions.sicily.services.ledger",
+// with the level and line that set it. The bare name of a service or target is enough if it
+// is unique.
 func (s *Settings) Explain(path string) ([]Value, error) {
 	if values, ok := s.valuesByPath[path]; ok {
 		return values, nil
@@ -25,7 +25,7 @@
 	return nil, &Error{Op: "explain settings", Kind: KindNotFound, Err: fmt.Errorf("no service or target at %q; known paths: %s", path, strings.Join(s.Paths(), ", "))}
 }
 
-// Paths lists, sorted, every path that Explain takes.
+// Paths lists every path that Explain accepts, sorted.
 func (s *Settings) Paths() []string {
 	paths := make([]string, 0, len(s.valuesByPath))
 	for path := range s.valuesByPath {
@@ -41,7 +41,7 @@
 	Key  string `json:"key"`
 	Old  string `json:"old"`
 	New  string `json:"new"`
-	// Warning tells what the change does to flows; empty where it does nothing.
+	// Warning describes how the change affects flows; empty if it does not.
 	Warning string `json:"warning"`
 }
 
@@ -70,7 +70,7 @@
 	for _, path := range before.Paths() {
 		newValues, ok := after.valuesByPath[path]
 		if !ok {
-			changes = append(changes, Change{Path: path, Key: "(whole entry)", Old: "present", New: absent, Warning: "its established flows are moved or end; set state: draining first"})
+			changes = append(changes, Change{Path: path, Key: "(whole entry)", Old: "present", New: absent, Warning: "established flows are moved to other targets or end; set state: draining first"})
 			continue
 		}
 		for i, oldValue := range before.valuesByPath[path] {
@@ -99,7 +99,7 @@
 			changes = append(changes, Change{Path: path, Key: "address", Old: old.Address.String(), New: newService.Address.String(), Warning: "callers at the old address are no longer served"})
 		}
 		if newService.ReturnPrefix != old.ReturnPrefix {
-			changes = append(changes, Change{Path: path, Key: "returnPrefix", Old: old.ReturnPrefix.String(), New: newService.ReturnPrefix.String(), Warning: "every stream and upload breaks: targets see another peer"})
+			changes = append(changes, Change{Path: path, Key: "returnPrefix", Old: old.ReturnPrefix.String(), New: newService.ReturnPrefix.String(), Warning: "every stream and upload breaks: targets see a different peer address"})
 		}
 		changes = append(changes, diffTargets(path, old, *newService)...)
 	}
@@ -118,8 +118,8 @@
 	return changes
 }
 
-// diffMovedTargets warns of addresses that change services: until every host has
-// the revision, late packets of the old service may still be under way.
+// diffMovedTargets warns of addresses that move to another service: until every host has
+// the revision, late packets of the old service may still be in transit.
 func diffMovedTargets(before, after *Settings) []Change {
 	oldServices := map[string]string{}
 	for _, service := range before.Services {
@@ -132,7 +132,7 @@
 		for _, t := range service.Targets {
 			oldService, ok := oldServices[t.Address.String()]
 			if ok && oldService != service.Name {
-				changes = append(changes, Change{Path: "services." + service.Name + ".targets." + t.Name, Key: "service", Old: oldService, New: service.Name, Warning: "hosts leave the address idle for the quarantine time before they use it again"})
+				changes = append(changes, Change{Path: "services." + service.Name + ".targets." + t.Name, Key: "service", Old: oldService, New: service.Name, Warning: "hosts do not use the address until its quarantine has ended"})
 			}
 		}
 	}
@@ -158,7 +158,7 @@
 	}
 	for cell, removed := range removedHosts {
 		if removed > 1 || removed*2 >= cellSizes[cell] {
-			changes = append(changes, Change{Path: "cells." + cell, Key: "hosts", Old: fmt.Sprint(cellSizes[cell]), New: fmt.Sprint(cellSizes[cell] - removed), Warning: "more than one host, or half the cell, leaves at once: change one host at a time"})
+			changes = append(changes, Change{Path: "cells." + cell, Key: "hosts", Old: fmt.Sprint(cellSizes[cell]), New: fmt.Sprint(cellSizes[cell] - removed), Warning: "more than one host, or half of the cell, leaves at once: change one host at a time"})
 		}
 	}
 	return changes
--- a/core/resolver/policy.go
+++ b/core/resolver/policy.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TargetState says what a target may be given.
+// TargetState is the state of a target: whether it receives new flows.
 type TargetState uint8
 
 // The states of a target, as the settings tree writes them.
@@ -24,7 +24,7 @@
 	return "active"
 }
 
-// Priority orders services when a host has to shed work.
+// Priority orders services when a host has to shed load.
 type Priority uint8
 
 // The priorities, as the settings tree writes them.
@@ -48,40 +48,41 @@
 	return "normal"
 }
 
-// Policy holds every value that a child inherits from its parent in the
-// settings tree. A Policy is immutable; With methods return changed copies.
+// Policy holds every value that a child inherits from its parent in the settings tree. It
+// is immutable after Resolve has returned it.
 type Policy struct {
-	// RequestDeadline bounds a request that carries no deadline of its own.
+	// RequestDeadline applies to a request that carries no deadline of its own.
 	RequestDeadline time.Duration
-	// ExchangeLifetime is the longest time over which a caller repeats one request
-	// with the same message ID, plus the time a datagram may spend in the network.
+	// ExchangeLifetime is the longest time over which a caller retransmits one request with
+	// the same message ID, plus the time a datagram may spend in the network.
 	ExchangeLifetime time.Duration
 	// FlowIdleTimeout is how long an idle flow stays on its target.
 	FlowIdleTimeout time.Duration
-	// WarmUp is how long a target that is new takes to reach its full share.
+	// WarmUp is how long a new target takes to reach its full share.
 	WarmUp time.Duration
-	// MaxTenantInFlight bounds the requests, queued or at targets, of all services of
-	// one tenant, on one host.
+	// MaxTenantInFlight bounds the requests, queued or at targets, of all services of one
+	// tenant, on one host.
 	MaxTenantInFlight int
-	// MaxQueueLength bounds the requests that wait for one target, on one host.
+	// MaxQueueLength bounds the requests that are queued for one target, on one host.
 	MaxQueueLength int
-	// RetryBudget bounds retries as a share of requests, 0 to 1.
+	// RetryBudget bounds retries as a fraction of requests, 0 to 1.
 	RetryBudget float64
-	// MaxEjectedShare bounds the targets of a service that health may exclude, 0 to 1.
+	// MaxEjectedShare bounds the fraction of a service's targets that health may eject, 0
+	// to 1.
 	MaxEjectedShare float64
-	// Priority decides what is shed first.
+	// Priority determines what is shed first.
 	Priority Priority
 	// Weight is a target's share of new flows, relative to its siblings.
 	Weight int
-	// Slots is how many requests a target runs at once.
+	// Slots is how many requests a target runs concurrently.
 	Slots int
-	// MaxConnections is how many flows a target holds.
+	// MaxConnections is the largest number of flows of a target.
 	MaxConnections int
-	// State says whether a target receives new flows.
+	// State determines whether a target receives new flows.
 	State TargetState
 }
 
-// DefaultPolicy is in force where the tree says nothing.
+// DefaultPolicy applies where the tree sets nothing.
 func DefaultPolicy() Policy {
 	return Policy{
 		RequestDeadline:   5 * time.Second,
@@ -100,11 +101,11 @@
 	}
 }
 
-// policyField describes one inheritable key: how it is written, checked and shown.
+// policyField describes one inheritable key: how it is written, validated and formatted.
 type policyField struct {
 	key      string
 	expected string
-	// changeWarning tells an operator what a change of the key does to flows.
+	// changeWarning tells an operator how a change of the key affects flows.
 	changeWarning string
 	parse         func(policy *Policy, text string) bool
 	format        func(policy Policy) string
@@ -139,13 +140,13 @@
 		},
 		format: func(p Policy) string { return p.Priority.String() },
 	},
-	intField("weight", 1, 10_000, "new flows move; established flows stay", func(p *Policy) *int { return &p.Weight }),
+	intField("weight", 1, 10_000, "new flows are redistributed; established flows keep their targets", func(p *Policy) *int { return &p.Weight }),
 	intField("slots", 1, 10_000, "", func(p *Policy) *int { return &p.Slots }),
 	intField("connections", 1, 1_000_000, "", func(p *Policy) *int { return &p.MaxConnections }),
 	{
 		key:           "state",
 		expected:      "one of active, draining",
-		changeWarning: "a draining target gets no new flows; established flows stay",
+		changeWarning: "a draining target gets no new flows; established flows keep it",
 		parse: func(p *Policy, text string) bool {
 			switch text {
 			case "active":
@@ -197,7 +198,7 @@
 func shareField(key string, ptr func(*Policy) *float64) policyField {
 	return policyField{
 		key:      key,
-		expected: "a share from 0 to 1, such as 0.1",
+		expected: "a fraction from 0 to 1, such as 0.1",
 		parse: func(p *Policy, text string) bool {
 			share, err := strconv.ParseFloat(text, 64)
 			if err != nil || !(share >= 0 && share <= 1) {
--- a/core/resolver/resolver_test.go
+++ b/core/resolver/resolver_test.go
@@ -45,7 +45,7 @@
 		{"dangling zone", "ledger-01: {availabilityZone: pa-hall", "ledger-01: {availabilityZone: ct-hall", "no availability zone"},
 		{"duplicate address", "10.2.0.2:5683", "10.2.0.1:5683", "the address stands at"},
 		{"service on a target's address", "address: 10.1.0.1:5683", "address: 10.2.0.1:5683", "the address stands at"},
-		{"duplicate key", "id: 1", "id: 1\n        id: 2", "the key stands twice"},
+		{"duplicate key", "id: 1", "id: 1\n        id: 2", "duplicate key"},
 		{"missing tenant", "        tenant: consorzio\n", "", "tenant is missing"},
 		{"host without address", "pa-1: {address: 10.0.0.1:7000, ", "pa-1: {", "address is missing"},
 		{"name instead of number", "10.0.0.1:7001", "fabric.example:7001", "does not fit"},
@@ -53,7 +53,7 @@
 		{"missing prefix", "    returnPrefix: fd00:51c1::/64\n", "", "returnPrefix is missing"},
 		{"no mapping", "regions:\n", "regions: 7\nelsewhere:\n", "not a mapping"},
 		{"no keys", "peerKeys: [an-old-key-of-some-length, a-new-key-of-some-length]\n", "", "peerKeys is missing"},
-		{"short key", "a-new-key-of-some-length", "short", "the key is short"},
+		{"short key", "a-new-key-of-some-length", "short", "the key is too short"},
 		{"version", "version: 1", "version: 2", "unknown version"},
 	}
 	for _, test := range tests {
@@ -85,9 +85,8 @@
 	require.ErrorAs(t, err, &failure)
 }
 
-// Symptom: a key of the peers stands in a log or in the output of explain.
-// Sequence: settings are printed, logged or encoded. Cause: a secret that is a
-// plain string.
+// Guards against peer keys in logs or in the output of explain: when settings are printed,
+// logged or encoded, a key that is a plain string is shown.
 func TestPeerKeysAreNeverPrinted(t *testing.T) {
 	settings, err := resolver.Resolve("t", []byte(validDocument))
 	require.NoError(t, err)
--- a/core/resolver/settings.go
+++ b/core/resolver/settings.go
@@ -1,9 +1,9 @@
-// Package resolver turns the settings tree, a YAML document that operators
-// write, into immutable values with every inheritance worked out.
+// Package resolver turns the settings tree, a YAML document that operators write, into
+// immutable values with all inheritance resolved.
 //
-// The phases hand finished data on: parse (YAML to nodes with lines), build
-// (nodes to Settings, collecting findings) and check (rules across the tree).
-// All findings of a document are reported in one run.
+// Resolve works in three phases: parse (YAML to nodes with lines), build (nodes to
+// Settings, collecting findings) and check (rules across the tree). All findings of a
+// document are reported in one run.
 package resolver
 
 import (
@@ -13,14 +13,14 @@
 	"strings"
 )
 
-// MaxDocumentBytes is the largest value that the platform holds.
+// MaxDocumentBytes is the largest value that the platform's store can hold.
 const MaxDocumentBytes = 1 << 20
 
-// ServiceID identifies a service across revisions. It is part of every return
-// address, so an ID is never given to another service.
+// ServiceID identifies a service across revisions. It is part of every return address, so
+// an ID is never reused for another service.
 type ServiceID uint16
 
-// Secret is a key that authenticates peers. It never prints its value.
+// Secret is a key that authenticates peers. Its value is never printed.
 type Secret string
 
 // String hides the value from logs, metrics and explain.
@@ -29,21 +29,21 @@
 // MarshalText hides the value from encoders.
 func (Secret) MarshalText() ([]byte, error) { return []byte("(secret)"), nil }
 
-// Host is one entry host of the system.
+// Host is one host of the load balancer.
 type Host struct {
 	Name             string
 	Region           string
 	AvailabilityZone string
-	// Cell is the group of hosts, at most MaxCellHosts of one availability
-	// zone, that can own the same flows. "pa-hall/0" is the first cell of pa-hall.
+	// Cell is the group of hosts, at most MaxCellHosts of one availability zone, that can
+	// own the same flows. "pa-hall/0" is the first cell of pa-hall.
 	Cell string
-	// Address takes datagrams (UDP) and control links (TCP) from peers.
+	// Address receives datagrams (UDP) and control links (TCP) from peers.
 	Address netip.AddrPort
-	// FabricAddress takes packets from the fabric (UDP).
+	// FabricAddress receives packets from the fabric (UDP).
 	FabricAddress netip.AddrPort
 }
 
-// MaxCellHosts bounds the heartbeats of a host, whatever the size of its zone.
+// MaxCellHosts bounds the heartbeats that a host sends, whatever the size of its zone.
 const MaxCellHosts = 8
 
 // Target is one back end of a service.
@@ -61,16 +61,16 @@
 	Region  string
 	Tenant  string
 	Address netip.AddrPort
-	// ReturnPrefix is the /64 that all hosts share towards targets; its lower
-	// 64 bits carry the flow key, see ReturnAddress.
+	// ReturnPrefix is the /64 that all hosts share towards targets. The lower 64 bits of an
+	// address carry the flow key; see ReturnAddress.
 	ReturnPrefix netip.Prefix
 	Policy       Policy
 	// Targets is sorted by name.
 	Targets []Target
 }
 
-// Settings is one resolved revision of the tree. It is immutable: nothing in
-// it may be changed after Resolve returned it.
+// Settings is one resolved revision of the tree. It is immutable: nothing in it may be
+// changed after Resolve has returned it.
 type Settings struct {
 	Revision uint64
 	PeerKeys []Secret
@@ -82,7 +82,7 @@
 	byID         map[ServiceID]int
 }
 
-// WithRevision returns a copy under another revision number.
+// WithRevision returns a copy with another revision number.
 func (s Settings) WithRevision(revision uint64) Settings {
 	s.Revision = revision
 	return s
@@ -126,12 +126,12 @@
 	}
 }
 
-// FlowKey names a flow: the caller's IPv4 address (32 bits), the caller's port
-// (16 bits) and the service ID (16 bits), from high to low.
+// FlowKey identifies a flow: the caller's IPv4 address (32 bits), the caller's port (16
+// bits) and the service ID (16 bits), from most to least significant.
 type FlowKey uint64
 
-// NewFlowKey packs a caller's address and a service into a key. It reports
-// false for a caller that is not IPv4.
+// NewFlowKey packs a caller's address and a service into a key. It returns false for a
+// caller that is not IPv4.
 func NewFlowKey(caller netip.AddrPort, service ServiceID) (FlowKey, bool) {
 	address := caller.Addr().Unmap()
 	if !address.Is4() {
@@ -152,15 +152,14 @@
 // Service returns the service's ID.
 func (k FlowKey) Service() ServiceID { return ServiceID(k) }
 
-// ReturnAddress is the address from which a target is sent a flow's packets,
-// whichever host sends them.
+// ReturnAddress returns the source address of a flow's packets to its target, whichever
+// host sends them.
 //
-// What goes wrong without it: a stream that host A set up from an address of
-// its own breaks when A is replaced, since the peer's address is part of the
-// stream's identity at the target. All hosts share the prefix, and the fabric
-// hands any packet to any of them; the lower 64 bits are the flow key, so the
-// host that receives an answer reads the caller from the address alone, as a
-// stateless NAT64 gateway does (RFC 6052).
+// Without it, a stream that host A set up from an address of its own breaks when A is
+// replaced, since the peer's address is part of the stream's identity at the target. All
+// hosts share the prefix, and the fabric delivers any packet to any of them. The lower 64
+// bits are the flow key, so the host that receives a response reads the caller from the
+// address alone, as a stateless NAT64 gateway does (RFC 6052).
 //
 //	prefix fd00:51::/64, caller 10.1.2.3:40000, service 1
 //	-> fd00:51::a01:203:9c40:1
@@ -170,7 +169,7 @@
 	return netip.AddrFrom16(ip)
 }
 
-// FlowKeyFromAddress reads the key out of a return address.
+// FlowKeyFromAddress extracts the flow key from a return address.
 func FlowKeyFromAddress(address netip.Addr) FlowKey {
 	ip := address.As16()
 	return FlowKey(binary.BigEndian.Uint64(ip[8:]))
