--- a/core/encoder/encoder.go
+++ b/core/encoder/encoder.go
@@ -1,10 +1,8 @@
-// Package encoder writes the messages of package messenger as CBOR and reads
-// them back.
+// Package encoder encodes the messages of package messenger as CBOR and decodes them.
 //
-// Every message between hosts is sealed: an envelope followed by a tag that
-// proves knowledge of a peer key from the settings. Two keys may be valid at
-// once, so that keys are changed without a break: the first signs, both are
-// accepted.
+// Every message between hosts is authenticated: an envelope is followed by a MAC under a
+// peer key from the settings. Two keys may be valid at once, so that keys can be rotated
+// without interruption: the first signs, both are accepted.
 package encoder
 
 import (
@@ -21,27 +19,27 @@
 const (
 	// Version is the version of the envelope that this release writes.
 	Version = 1
-	// MaxDatagramBytes bounds a sealed Forward message.
+	// MaxDatagramBytes bounds an encoded Forward message.
 	MaxDatagramBytes = 64 << 10
-	// MaxControlBytes bounds any other sealed message; a settings document of
+	// MaxControlBytes bounds any other encoded message; a settings document of
 	// resolver.MaxDocumentBytes fits.
 	MaxControlBytes = resolver.MaxDocumentBytes + 64<<10
 	macBytes        = 16
 )
 
-// ErrorKind tells callers which sort of failure an Error is.
+// ErrorKind classifies an Error.
 type ErrorKind uint8
 
 // The kinds of Error.
 const (
-	// KindMalformed means that the bytes are no message.
+	// KindMalformed means that the bytes are not a valid message.
 	KindMalformed ErrorKind = iota + 1
-	// KindUnauthenticated means that no known key made the tag.
+	// KindUnauthenticated means that the MAC matches none of the peer keys.
 	KindUnauthenticated
-	// KindUnknown means that the message is of a kind or version that this
-	// release does not know; it is passed over.
+	// KindUnknown means that this release does not support the message's kind or version;
+	// the message is ignored.
 	KindUnknown
-	// KindTooLarge means that the message exceeds its bound.
+	// KindTooLarge means that the message exceeds its size limit.
 	KindTooLarge
 )
 
@@ -59,7 +57,7 @@
 	return "other"
 }
 
-// Error is the one error type of this package.
+// Error is the only error type of this package.
 type Error struct {
 	Op   string
 	Kind ErrorKind
@@ -71,7 +69,7 @@
 // Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.Err }
 
-// bodyKind numbers the bodies on the wire. A number is never used again.
+// bodyKind numbers the bodies on the wire. A number is never reused.
 type bodyKind uint8
 
 const (
@@ -169,8 +167,7 @@
 	return nil
 }
 
-// envelope is what stands around every body. Fields that a later release adds
-// are passed over by this one.
+// envelope encloses every body. Fields that a later release adds are ignored by this one.
 type envelope struct {
 	Version uint8           `cbor:"v"`
 	From    string          `cbor:"from"`
@@ -194,14 +191,14 @@
 	return mode
 }
 
-// MessageCodec seals the messages of one host and opens those of its peers.
+// MessageCodec encodes the messages of one host and decodes those of its peers.
 type MessageCodec struct {
 	self string
 	keys []resolver.Secret
 }
 
-// New makes a Sealer. Without keys, as in experiments without a network, messages
-// bear a tag under the empty key.
+// New returns a MessageCodec. Without keys, as in simulations without a network, the MAC is
+// under the empty key.
 func New(self string, keys []resolver.Secret) *MessageCodec {
 	if len(keys) == 0 {
 		keys = []resolver.Secret{""}
@@ -209,9 +206,9 @@
 	return &MessageCodec{self: self, keys: keys}
 }
 
-// Encode writes a message to a peer.
+// Encode encodes a message to a peer.
 func (s *MessageCodec) Encode(to string, body messenger.Body) ([]byte, error) {
-	const op = "seal message"
+	const op = "encode message"
 	raw, err := cbor.Marshal(body)
 	if err != nil {
 		return nil, &Error{Op: op, Kind: KindMalformed, Err: err}
@@ -225,29 +222,29 @@
 		limit = MaxDatagramBytes
 	}
 	if len(data)+macBytes > limit {
-		return nil, &Error{Op: op, Kind: KindTooLarge, Err: fmt.Errorf("%d bytes, at most %d", len(data)+macBytes, limit)}
+		return nil, &Error{Op: op, Kind: KindTooLarge, Err: fmt.Errorf("message has %d bytes, limit is %d", len(data)+macBytes, limit)}
 	}
 	return append(data, computeMAC(s.keys[0], data)...), nil
 }
 
-// Decode reads a message and names its sender.
+// Decode decodes a message and returns its sender.
 func (s *MessageCodec) Decode(message []byte) (from string, body messenger.Body, err error) {
-	const op = "open message"
+	const op = "decode message"
 	if len(message) <= macBytes || len(message) > MaxControlBytes {
-		return "", nil, &Error{Op: op, Kind: KindMalformed, Err: fmt.Errorf("%d bytes", len(message))}
+		return "", nil, &Error{Op: op, Kind: KindMalformed, Err: fmt.Errorf("invalid message size: %d bytes", len(message))}
 	}
 	data, receivedMAC := message[:len(message)-macBytes], message[len(message)-macBytes:]
 	if !s.verifyMAC(data, receivedMAC) {
-		return "", nil, &Error{Op: op, Kind: KindUnauthenticated, Err: fmt.Errorf("no peer key matches")}
+		return "", nil, &Error{Op: op, Kind: KindUnauthenticated, Err: fmt.Errorf("MAC matches no peer key")}
 	}
 	var e envelope
 	if err := decodeMode.Unmarshal(data, &e); err != nil {
 		return "", nil, &Error{Op: op, Kind: KindMalformed, Err: err}
 	}
-	// A report may go to a seed address whose host is not known by name.
+	// A report may be sent to a seed address, whose host's name is unknown.
 	reportToUnknownHost := e.To == "" && e.Kind == bodyReport
 	if e.To != s.self && !reportToUnknownHost {
-		return "", nil, &Error{Op: op, Kind: KindMalformed, Err: fmt.Errorf("message for %q", e.To)}
+		return "", nil, &Error{Op: op, Kind: KindMalformed, Err: fmt.Errorf("message is addressed to %q", e.To)}
 	}
 	body = newBody(e.Kind)
 	if body == nil || e.Version != Version {
@@ -274,8 +271,8 @@
 	return mac.Sum(nil)[:macBytes]
 }
 
-// EncapsulatedPacket is a packet between the fabric and a host: the packet with the
-// addresses that it bears outside. A host sends only from service addresses and
+// EncapsulatedPacket is a packet between the fabric and a host, with the source and
+// destination addresses that it has outside. A host sends only from service addresses and
 // return addresses, which are its own.
 type EncapsulatedPacket struct {
 	_       struct{} `cbor:",toarray"`
@@ -284,36 +281,36 @@
 	Payload []byte
 }
 
-// EncodeEncapsulatedPacket writes a Delivery.
+// EncodeEncapsulatedPacket encodes an EncapsulatedPacket.
 func EncodeEncapsulatedPacket(d EncapsulatedPacket) ([]byte, error) {
 	data, err := cbor.Marshal(d)
 	if err != nil {
-		return nil, &Error{Op: "encode delivery", Kind: KindMalformed, Err: err}
+		return nil, &Error{Op: "encode encapsulated packet", Kind: KindMalformed, Err: err}
 	}
 	return data, nil
 }
 
-// DecodeEncapsulatedPacket reads a Delivery.
+// DecodeEncapsulatedPacket decodes an EncapsulatedPacket.
 func DecodeEncapsulatedPacket(data []byte) (EncapsulatedPacket, error) {
 	var d EncapsulatedPacket
 	if err := decodeMode.Unmarshal(data, &d); err != nil {
-		return EncapsulatedPacket{}, &Error{Op: "decode delivery", Kind: KindMalformed, Err: err}
+		return EncapsulatedPacket{}, &Error{Op: "decode encapsulated packet", Kind: KindMalformed, Err: err}
 	}
 	if !d.From.IsValid() || !d.To.IsValid() {
-		return EncapsulatedPacket{}, &Error{Op: "decode delivery", Kind: KindMalformed, Err: fmt.Errorf("an address is missing")}
+		return EncapsulatedPacket{}, &Error{Op: "decode encapsulated packet", Kind: KindMalformed, Err: fmt.Errorf("source or destination address is missing")}
 	}
 	return d, nil
 }
 
-// Announcement tells the fabric whether a host takes packets. It stands in for
-// the routing protocol by which a host announces the shared addresses.
+// Announcement reports to the fabric whether a host accepts packets. It stands in for the
+// routing protocol by which a host announces the shared addresses.
 type Announcement struct {
 	_         struct{} `cbor:",toarray"`
 	Host      string
 	Accepting bool
 }
 
-// EncodeAnnouncement writes an Announcement.
+// EncodeAnnouncement encodes an Announcement.
 func EncodeAnnouncement(a Announcement) ([]byte, error) {
 	data, err := cbor.Marshal(a)
 	if err != nil {
@@ -322,7 +319,7 @@
 	return data, nil
 }
 
-// DecodeAnnouncement reads an Announcement.
+// DecodeAnnouncement decodes an Announcement.
 func DecodeAnnouncement(data []byte) (Announcement, error) {
 	var a Announcement
 	if err := decodeMode.Unmarshal(data, &a); err != nil {
@@ -331,7 +328,8 @@
 	return a, nil
 }
 
-// maxTargets bounds a list of targets, ten times what the two-year size has.
+// maxTargets bounds a list of targets. It is ten times the number of targets expected in
+// two years.
 const maxTargets = 38_000
 
 // targetsMode bounds what a list of targets can make this host allocate.
@@ -345,7 +343,7 @@
 	return mode
 }
 
-// EncodeTargets writes a list of targets.
+// EncodeTargets encodes a list of targets.
 func EncodeTargets(targets []messenger.TargetState) ([]byte, error) {
 	data, err := cbor.Marshal(targets)
 	if err != nil {
@@ -354,7 +352,7 @@
 	return data, nil
 }
 
-// DecodeTargets reads a list of targets.
+// DecodeTargets decodes a list of targets.
 func DecodeTargets(data []byte) ([]messenger.TargetState, error) {
 	var targets []messenger.TargetState
 	if err := targetsMode.Unmarshal(data, &targets); err != nil {
--- a/core/encoder/encoder_test.go
+++ b/core/encoder/encoder_test.go
@@ -49,10 +49,10 @@
 	}
 }
 
-// Symptom: hosts refuse each other while keys are changed.
-// Sequence: the tree gets a second key, the second becomes the first, the old
-// one goes; hosts adopt each revision at different times.
-// Cause: one key at a time.
+// Guards against hosts rejecting each other's messages while keys are rotated: when the
+// tree gets a second key, the second becomes the first and the old one is removed, hosts
+// adopt each revision at different times. With only one valid key at a time, their keys
+// would differ.
 func TestKeyRotationKeepsHostsConnected(t *testing.T) {
 	steps := [][]resolver.Secret{{"old"}, {"old", "new"}, {"new", "old"}, {"new"}}
 	for i := 1; i < len(steps); i++ {
@@ -85,9 +85,9 @@
 	return append(data, mac.Sum(nil)[:16]...)
 }
 
-// Symptom: a release that is being rolled out takes the old one down.
-// Sequence: a newer host sends a message with a field, or of a kind, that this
-// release does not know. Cause: a decoder that insists on knowing all.
+// Guards against a rolling upgrade that takes down the hosts of the old release: when a
+// newer host sends a message with a field, or of a kind, that this release does not know, a
+// decoder that accepts only what it knows fails.
 func TestNewerReleaseMessagesAreTolerated(t *testing.T) {
 	b := encoder.New("b", []resolver.Secret{"key"})
 	ack, err := cbor.Marshal(map[string]any{"seq": 5, "novelty": []int{1, 2}})
@@ -166,7 +166,7 @@
 	})
 }
 
-// previousReleaseTarget is a target as hosts told it before there were eras.
+// previousReleaseTarget is a target as hosts reported it before there were eras.
 type previousReleaseTarget struct {
 	_                struct{} `cbor:",toarray"`
 	ID               string
@@ -182,9 +182,10 @@
 	Unreadable       bool
 }
 
-// Symptom: while a release is rolled out, its hosts and those of the one before tell each
-// other neither lists nor changes of targets. Sequence: one of them reports a change, or
-// answers a question. Cause: a target is an array, and of another length.
+// Guards against hosts of this release and the previous one that can't exchange lists or
+// changes of targets during a rolling upgrade: when one of them reports a change or
+// responds to a sync request, the other can't decode it, because a target is encoded as an
+// array and has another length.
 func TestTargetsAreCompatibleWithPreviousRelease(t *testing.T) {
 	address := netip.MustParseAddrPort("10.2.0.1:80")
 	earlier := []previousReleaseTarget{{ID: "i-0a", Seen: 9, Service: "ledger", Address: address, Slots: 4, Draining: true, Born: 7, Unreadable: true}}
--- a/core/translator/translator.go
+++ b/core/translator/translator.go
@@ -1,7 +1,7 @@
-// Package translator makes packets, free of any wire format, from CoAP
-// datagrams (RFC 7252), and CoAP answers from the decisions' replies.
+// Package translator decodes CoAP datagrams (RFC 7252) to packets, which are independent of
+// any wire format, and encodes the load balancer's replies as CoAP responses.
 //
-// What a datagram means for its flow:
+// The flags of a packet by its method and options:
 //
 //	request                               opens  idempotent
 //	GET, PUT, DELETE, FETCH, iPATCH       yes    yes
@@ -13,8 +13,8 @@
 //	POST, Block1 later, the last          no     no
 //	GET, Block2 later                     no     yes
 //
-// A block that is not the last runs nothing: the target only stores it, and
-// stores it again in the same place. The last block of an upload runs it.
+// A block that is not the last runs nothing: the target only stores it, and stores a
+// retransmission in the same place. The last block of an upload runs it.
 package translator
 
 import (
@@ -34,14 +34,14 @@
 	"github.com/plgd-dev/go-coap/v3/udp/coder"
 )
 
-// ErrorKind tells callers which sort of failure an Error is.
+// ErrorKind classifies an Error.
 type ErrorKind uint8
 
 // The kinds of Error.
 const (
-	// KindMalformed means that a datagram is no CoAP message.
+	// KindMalformed means that a datagram is not a valid CoAP message.
 	KindMalformed ErrorKind = iota + 1
-	// KindUnsupported means that a message's code or version is not known.
+	// KindUnsupported means that a message's code or version is not supported.
 	KindUnsupported
 )
 
@@ -52,7 +52,7 @@
 	return "unsupported"
 }
 
-// Error is the one error type of this package.
+// Error is the only error type of this package.
 type Error struct {
 	Op   string
 	Kind ErrorKind
@@ -64,8 +64,8 @@
 // Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.Err }
 
-// deadlineQueryPrefix is the query by which a caller may say for how many
-// milliseconds it waits: GET /check?deadlineMs=800. Callers need not use it.
+// deadlineQueryPrefix starts the query option with which a caller may limit its wait, in
+// milliseconds: GET /check?deadlineMs=800. It is optional.
 const deadlineQueryPrefix = "deadlineMs="
 
 const (
@@ -73,19 +73,19 @@
 	maxOptionsCapacity     = 256
 )
 
-// Translator reads datagrams. It reuses its buffers, so it is not safe for
-// concurrent use.
+// Translator decodes datagrams. It reuses its buffers, so it is not safe for concurrent
+// use.
 type Translator struct {
 	message message.Message
 }
 
-// New makes a Translator.
+// New returns a Translator.
 func New() *Translator {
 	return &Translator{message: message.Message{Options: make(message.Options, 0, initialOptionsCapacity)}}
 }
 
-// Decode reads a datagram that came at now. The packet's payload is the
-// datagram itself, so the caller must not reuse it.
+// Decode decodes a datagram received at now. The packet's payload is the datagram itself,
+// so the caller must not reuse it.
 func (t *Translator) Decode(datagram []byte, now timekeeper.Instant) (messenger.Packet, error) {
 	const op = "decode datagram"
 	if err := t.parse(datagram); err != nil {
@@ -118,7 +118,8 @@
 	return packet, nil
 }
 
-// parse grows the options buffer for the rare message that needs more.
+// parse decodes a datagram. It grows the options buffer for the rare message that needs
+// more.
 func (t *Translator) parse(datagram []byte) error {
 	for {
 		_, err := coder.DefaultCoder.Decode(datagram, &t.message)
@@ -158,7 +159,7 @@
 	}
 }
 
-// applyBlockOptions reads the options of block-wise transfers (RFC 7959).
+// applyBlockOptions sets the flags for the options of block-wise transfers (RFC 7959).
 func (t *Translator) applyBlockOptions(packet *messenger.Packet) error {
 	if value, err := t.message.Options.GetUint32(message.Block1); err == nil {
 		_, number, more, err := blockwise.DecodeBlockOption(value)
@@ -230,8 +231,8 @@
 	return b[8-min(int(e.TokenLength), 8):]
 }
 
-// EncodeReply writes a Reply as a CoAP answer: 5.03 where the request did not
-// run, 5.04 where that is not known. Max-Age says when to come back.
+// EncodeReply encodes a Reply as a CoAP response: 5.03 if the request was not run, 5.04 if
+// that is unknown. Max-Age is the time after which the caller may retry.
 func EncodeReply(reply *reducer.Reply) ([]byte, error) {
 	m := message.Message{
 		Token:     tokenFromExchange(reply.Exchange),
@@ -247,7 +248,7 @@
 		m.Type = message.Acknowledgement
 	}
 	var buffer [8]byte
-	// Max-Age counts whole seconds; rounding up never asks a caller too early.
+	// Max-Age is in whole seconds. It is rounded up, so that callers never retry too early.
 	maxAge := uint32((reply.RetryAfter + time.Second - 1) / time.Second)
 	options, _, err := message.Options{}.SetUint32(buffer[:], message.MaxAge, maxAge)
 	if err != nil {
--- a/core/translator/translator_test.go
+++ b/core/translator/translator_test.go
@@ -121,7 +121,7 @@
 		var failure *translator.Error
 		require.ErrorAs(t, err, &failure, name)
 	}
-	// The reader works on after each of them, also for messages with many options.
+	// The decoder still works after each of them, also for messages with many options.
 	options := message.Options{}
 	for range 40 {
 		options, _, _ = options.AddString(make([]byte, 8), message.URIQuery, "a=b")
