--- a/core/encoder/encoder_test.go
+++ b/core/encoder/encoder_test.go
@@ -87,7 +87,7 @@
 
 // Guards against a rolling upgrade that takes down the hosts of the old release: when a
 // newer host sends a message with a field, or of a kind, that this release does not know, a
-// decoder that accepts only what it knows fails.
+// strict decoder fails.
 func TestNewerReleaseMessagesAreTolerated(t *testing.T) {
 	b := encoder.New("b", []resolver.Secret{"key"})
 	ack, err := cbor.Marshal(map[string]any{"seq": 5, "novelty": []int{1, 2}})
