--- a/balancer/internal/configurer/configurer.go
+++ b/balancer/internal/configurer/configurer.go
@@ -1,5 +1,5 @@
-// Package configurer reads what a host has to know before it can read the
-// settings tree: its own addresses and where the platform and the fabric are.
+// Package configurer reads the local configuration of a host, which it needs before it can
+// read published settings: its own addresses and those of the platform and the fabric.
 package configurer
 
 import (
@@ -13,18 +13,18 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Kind tells callers which sort of failure an Error is.
+// Kind classifies errors.
 type Kind uint8
 
 // The kinds of Error.
 const (
-	// KindFile means that the file can't be read or is no YAML.
+	// KindFile means that the file can't be read, is not valid YAML or has an unknown key.
 	KindFile Kind = iota + 1
-	// KindInvalid means that a value is missing or wrong.
+	// KindInvalid means that a value is missing or invalid.
 	KindInvalid
 )
 
-// Error is the one error type of this package.
+// Error is the error type of this package.
 type Error struct {
 	Op   string
 	Kind Kind
@@ -36,7 +36,7 @@
 // Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.Err }
 
-// RawConfig is a host's own settings as written in flags, environment or file.
+// RawConfig is a host's local configuration as written in flags, environment or file.
 type RawConfig struct {
 	Name          string `yaml:"name"`
 	Address       string `yaml:"address"`
@@ -47,33 +47,33 @@
 	LogLevel      string `yaml:"logLevel"`
 	// Seeds is a list such as "pa-2=10.0.0.2:7000,ct-1=10.0.1.1:7000".
 	Seeds string `yaml:"seeds"`
-	// SeedKey is a peer key of the tree.
+	// SeedKey is one of the peer keys in the settings tree.
 	SeedKey string `yaml:"seedKey"`
 }
 
-// Config is a host's own settings, checked.
+// Config is a host's validated local configuration.
 type Config struct {
 	// Name is the host's name in the settings tree.
 	Name string
-	// Address takes messages from peers, over UDP and TCP.
+	// Address receives messages from peers over UDP and TCP.
 	Address netip.AddrPort
-	// FabricAddress takes packets from the fabric.
+	// FabricAddress receives packets from the fabric.
 	FabricAddress netip.AddrPort
-	// Fabric is where packets to callers and targets go.
+	// Fabric is the address to which packets for callers and targets are sent.
 	Fabric netip.AddrPort
-	// Platform is the URL of the platform's service.
+	// Platform is the base URL of the platform's HTTP service.
 	Platform *url.URL
 	// Admin serves status and metrics over HTTP.
 	Admin netip.AddrPort
 	// LogLevel is debug, info, warn or error.
 	LogLevel string
-	// Seeds are other hosts by name, which are asked for settings while the
-	// platform does not answer. SeedKey authenticates the question.
+	// Seeds are other hosts by name, from which settings are requested while the platform
+	// does not respond. SeedKey authenticates the messages to them.
 	Seeds   map[string]netip.AddrPort
 	SeedKey resolver.Secret
 }
 
-// ReadFile reads a YAML file. An empty path gives an empty Text.
+// ReadFile reads a YAML file. An empty path gives an empty RawConfig.
 func ReadFile(path string) (RawConfig, error) {
 	if path == "" {
 		return RawConfig{}, nil
@@ -92,7 +92,7 @@
 	return raw, nil
 }
 
-// WithFallback returns a copy in which the values that t sets go before those of other.
+// WithFallback returns a copy of r in which values that r does not set are those of other.
 func (r RawConfig) WithFallback(other RawConfig) RawConfig {
 	firstNonEmpty := func(first, second string) string {
 		if first != "" {
@@ -113,7 +113,7 @@
 	}
 }
 
-// Parse turns the text into a Config.
+// Parse validates the configuration.
 func (r RawConfig) Parse() (Config, error) {
 	config := Config{Name: r.Name, LogLevel: r.LogLevel}
 	if r.Name == "" {
@@ -137,7 +137,7 @@
 	}
 	platform, err := url.Parse(r.Platform)
 	if err != nil || platform.Host == "" {
-		return Config{}, invalidError("platform: %q is no URL such as http://10.0.0.9:8080", r.Platform)
+		return Config{}, invalidError("platform: %q is not a URL such as http://10.0.0.9:8080", r.Platform)
 	}
 	config.Platform = platform
 	config.SeedKey = resolver.Secret(r.SeedKey)
@@ -156,7 +156,7 @@
 		name, address, _ := strings.Cut(part, "=")
 		parsed, err := netip.ParseAddrPort(address)
 		if err != nil || name == "" {
-			return nil, invalidError("seeds: %q is no NAME=ADDRESS such as pa-2=10.0.0.2:7000", part)
+			return nil, invalidError("seeds: %q is not NAME=ADDRESS such as pa-2=10.0.0.2:7000", part)
 		}
 		seeds[name] = parsed
 	}
@@ -164,5 +164,5 @@
 }
 
 func missingError(key string) error {
-	return invalidError("%s is missing: give it as a flag, in the environment or in the file", key)
+	return invalidError("%s is missing: set it with a flag, in the environment or in the file", key)
 }
--- a/balancer/internal/configurer/flows.go
+++ b/balancer/internal/configurer/flows.go
@@ -13,12 +13,12 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// rawFlowConfig is the file of a host that steers flows.
+// rawFlowConfig is the settings file of a flow host as written.
 type rawFlowConfig struct {
 	Name             string `yaml:"name"`
 	AvailabilityZone string `yaml:"availabilityZone"`
 	Address          string `yaml:"address"`
-	// AdvertisedAddress may be left out.
+	// AdvertisedAddress is optional and defaults to Address.
 	AdvertisedAddress string `yaml:"advertisedAddress"`
 	PacketAddress     string `yaml:"packetAddress"`
 	ReadyAddress      string `yaml:"readyAddress"`
@@ -28,38 +28,38 @@
 	Seeds           string   `yaml:"seeds"`
 	PeerKeys        []string `yaml:"peerKeys"`
 	MemoryMegabytes int64    `yaml:"memoryMegabytes"`
-	// LinkMegabits may be left out.
+	// LinkMegabits is the rate of the host's link in Mbit/s. It is optional.
 	LinkMegabits float64 `yaml:"linkMegabits"`
 	Bootstrap    bool    `yaml:"firstStart"`
 	// SettingsPropagationLimit and DrainingPropagationLimit are durations such as "3000ms".
 	SettingsPropagationLimit string `yaml:"settingsWithin"`
 	DrainingPropagationLimit string `yaml:"drainingWithin"`
-	// EvacuationPropagationLimit may be left out, and then is SettingsPropagationLimit.
+	// EvacuationPropagationLimit is optional and defaults to SettingsPropagationLimit.
 	EvacuationPropagationLimit string `yaml:"evacuatedWithin"`
-	// Regions gives the region of each availability zone. It may be left out where no
-	// route names regions.
+	// Regions maps each availability zone to its region. It is optional where no route
+	// is restricted to regions.
 	Regions map[string]string `yaml:"regions"`
-	// ColdBurstFactor and ColdBurstAllowance may be left out, and then are 1 and 0.
+	// ColdBurstFactor and ColdBurstAllowance are optional and default to 1 and 0.
 	ColdBurstFactor    *float64 `yaml:"coldOverage"`
 	ColdBurstAllowance *float64 `yaml:"coldAllowance"`
 	Forwarding         string   `yaml:"forwarding"`
-	// Quotas may be left out.
+	// Quotas are optional.
 	Quotas []throttler.QuotaSpec `yaml:"quotas"`
 }
 
-// FlowConfig is what a host that steers flows has to know before it can read the
-// platform, checked.
+// FlowConfig is the validated configuration that a flow host needs before it can read the
+// platform.
 type FlowConfig struct {
 	Name             string
 	AvailabilityZone string
-	// Address takes reports from other hosts, over UDP.
+	// Address receives reports from other hosts over UDP, and sync requests over TCP.
 	Address netip.AddrPort
-	// AdvertisedAddress is where other hosts reach Address, if that is translated
-	// on the way.
+	// AdvertisedAddress is the address at which other hosts reach Address. It differs
+	// from Address behind network address translation.
 	AdvertisedAddress netip.AddrPort
-	// PacketAddress takes packets from the fabric, over UDP.
+	// PacketAddress receives packets from the fabric over UDP.
 	PacketAddress netip.AddrPort
-	// ReadyAddress answers the fabric's readiness checks, over HTTP.
+	// ReadyAddress serves the fabric's readiness checks over HTTP.
 	ReadyAddress netip.AddrPort
 	// AdminAddress serves metrics over HTTP.
 	AdminAddress netip.AddrPort
@@ -67,28 +67,29 @@
 	Platform netip.AddrPort
 	// Seeds are addresses at which other hosts may be found.
 	Seeds []netip.AddrPort
-	// PeerKeys authenticate reports. Without any, whoever reaches Address may
-	// report: this suits only a network that admits hosts alone.
+	// PeerKeys authenticate messages between hosts. Without keys, anyone who can reach
+	// Address can send them, so that is safe only on a network that only hosts can use.
 	PeerKeys    []resolver.Secret
 	MemoryBytes int64
-	// LinkBytesPerSecond is what the host's link carries each way; 0 if unknown.
+	// LinkBytesPerSecond is the rate of the host's link in each direction, 0 if unknown.
 	LinkBytesPerSecond int
-	// Bootstrap says that the whole fleet starts for the first time.
+	// Bootstrap is set when the whole fleet starts for the first time.
 	Bootstrap bool
-	// SettingsPropagationLimit and DrainingPropagationLimit are the times within which the host has to
-	// know new settings, and targets that drain.
+	// SettingsPropagationLimit and DrainingPropagationLimit are the times within which the
+	// host has to learn of new settings and of draining targets.
 	SettingsPropagationLimit time.Duration
 	DrainingPropagationLimit time.Duration
-	// EvacuationPropagationLimit is the time within which the host has to know orders to evacuate a
-	// zone.
+	// EvacuationPropagationLimit is the time within which the host has to learn of orders
+	// to evacuate a zone.
 	EvacuationPropagationLimit time.Duration
-	// Regions gives the region of each availability zone.
+	// Regions maps each availability zone to its region.
 	Regions map[string]string
-	// ColdBurstFactor times the new flows a second that a cold target bears for long, and
-	// ColdBurstAllowance more, is what it bears in any one second.
+	// A cold target sustains ColdBurstFactor times its long-term rate limit of new flows,
+	// plus ColdBurstAllowance, in any one second.
 	ColdBurstFactor    float64
 	ColdBurstAllowance float64
-	// Quotas bound the requests of some callers, over all hosts of this host's zone together.
+	// Quotas limit the request rates of some callers, summed over all hosts of this host's
+	// zone.
 	Quotas []throttler.Quota
 }
 
@@ -98,29 +99,29 @@
 	return c
 }
 
-// WithPlatform returns a copy with another address of the platform.
+// WithPlatform returns a copy with another platform address.
 func (c FlowConfig) WithPlatform(platform netip.AddrPort) FlowConfig {
 	c.Platform = platform
 	return c
 }
 
-// Differs reports whether two configurations are not the same.
+// Differs reports whether two configurations differ in any value.
 func (c FlowConfig) Differs(other FlowConfig) bool { return !reflect.DeepEqual(c, other) }
 
-// forwardingEcho is the one way of forwarding that this release knows: targets
-// and callers repeat the tag of each packet.
+// forwardingEcho is the only forwarding mode that this release supports: targets and
+// callers echo the tag of each packet.
 const forwardingEcho = "echo"
 
 const (
-	// bytesPerMegabit turns a link's rate, which networks give in decimal megabits.
+	// bytesPerMegabit converts link rates, which are given in decimal megabits.
 	bytesPerMegabit = 1_000_000 / 8
-	// minPropagationLimit leaves time for a read and a report to the other hosts.
+	// minPropagationLimit leaves time for a platform read and a report to the other hosts.
 	minPropagationLimit = time.Second
-	// maxPropagationLimit keeps a slip of the pen from hiding changes for ever.
+	// maxPropagationLimit catches typing errors that would delay changes indefinitely.
 	maxPropagationLimit = 10 * time.Minute
 )
 
-// ReadFlowFile reads and checks the file of a host that steers flows.
+// ReadFlowFile reads and validates the settings file of a flow host.
 func ReadFlowFile(path string) (FlowConfig, error) {
 	const op = "read host settings"
 	file, err := os.Open(path)
@@ -149,15 +150,15 @@
 	case r.AvailabilityZone == "":
 		return FlowConfig{}, missingError("availabilityZone")
 	case r.MemoryMegabytes <= 0:
-		return FlowConfig{}, invalidError("memoryMegabytes: %d is no size; write the megabytes that the process may take", r.MemoryMegabytes)
+		return FlowConfig{}, invalidError("memoryMegabytes: %d is not a positive size; set it to the memory that the process may use, in MiB", r.MemoryMegabytes)
 	case r.LinkMegabits < 0:
-		return FlowConfig{}, invalidError("linkMegabits: %g is no rate; write the megabits a second that the host's link carries each way", r.LinkMegabits)
+		return FlowConfig{}, invalidError("linkMegabits: %g is negative; set it to the rate of the host's link in each direction, in Mbit/s", r.LinkMegabits)
 	case !(config.ColdBurstFactor >= 1):
-		return FlowConfig{}, invalidError("coldOverage: %g is below 1; write how many times its rate a cold target bears in one second", config.ColdBurstFactor)
+		return FlowConfig{}, invalidError("coldOverage: %g is not a number from 1 up; set it to how many times its rate limit a cold target sustains in one second", config.ColdBurstFactor)
 	case !(config.ColdBurstAllowance >= 0):
-		return FlowConfig{}, invalidError("coldAllowance: %g is below 0; write how many new flows a cold target bears beyond its rate in one second", config.ColdBurstAllowance)
+		return FlowConfig{}, invalidError("coldAllowance: %g is not a number from 0 up; set it to how many new flows above its rate limit a cold target sustains in one second", config.ColdBurstAllowance)
 	case r.Forwarding != forwardingEcho:
-		return FlowConfig{}, invalidError("forwarding: %q is not known; only %q is", r.Forwarding, forwardingEcho)
+		return FlowConfig{}, invalidError("forwarding: unknown mode %q; the only mode is %q", r.Forwarding, forwardingEcho)
 	}
 	if r.AdvertisedAddress == "" {
 		r.AdvertisedAddress = r.Address
@@ -194,7 +195,7 @@
 	} {
 		limit, err := time.ParseDuration(d.text)
 		if err != nil || limit < minPropagationLimit || limit > maxPropagationLimit {
-			return FlowConfig{}, invalidError("%s: %q is no duration from %s to %s, such as 3s", d.key, d.text, minPropagationLimit, maxPropagationLimit)
+			return FlowConfig{}, invalidError("%s: %q is not a duration from %s to %s, such as 3s", d.key, d.text, minPropagationLimit, maxPropagationLimit)
 		}
 		*d.dest = limit
 	}
@@ -216,7 +217,7 @@
 	return config, nil
 }
 
-// valueOr returns what was written, or a default if nothing was.
+// valueOr returns the value, or fallback if it is not set.
 func valueOr(value *float64, fallback float64) float64 {
 	if value == nil {
 		return fallback
@@ -230,7 +231,7 @@
 	}
 	address, err := netip.ParseAddrPort(text)
 	if err != nil {
-		return netip.AddrPort{}, invalidError("%s: %q is no address and port such as 10.0.0.1:7000", key, text)
+		return netip.AddrPort{}, invalidError("%s: %q is not an IP address and port such as 10.0.0.1:7000", key, text)
 	}
 	return address, nil
 }
--- a/balancer/internal/exchanger/exchanger.go
+++ b/balancer/internal/exchanger/exchanger.go
@@ -1,6 +1,6 @@
-// Package exchanger asks other hosts questions and answers theirs: one sealed
-// message each way over a WebSocket of its own. No connection is kept, so none
-// can fall silent unnoticed.
+// Package exchanger sends sync requests to other hosts and serves theirs: one
+// authenticated message each way over a WebSocket connection opened for the exchange.
+// Connections are not reused, so none can break unnoticed while idle.
 package exchanger
 
 import (
@@ -27,20 +27,20 @@
 	"github.com/coder/websocket"
 )
 
-// Kind tells callers which sort of failure an Error is.
+// Kind classifies errors.
 type Kind uint8
 
 // The kinds of Error.
 const (
-	// KindListen means that the address can't be served.
+	// KindListen means that the host can't listen on its address.
 	KindListen Kind = iota + 1
-	// KindUnreachable means that the other host did not answer in time.
+	// KindUnreachable means that the other host did not respond in time.
 	KindUnreachable
-	// KindMalformed means that its answer makes no sense.
+	// KindMalformed means that a message can't be encoded or decoded.
 	KindMalformed
 )
 
-// Error is the one error type of this package.
+// Error is the error type of this package.
 type Error struct {
 	Op   string
 	Kind Kind
@@ -54,32 +54,32 @@
 
 const (
 	syncPath = "/knowledge"
-	// readHeaderTimeout gives up a connection on which no question comes: as long as the most
-	// patient host waits for an answer.
+	// readHeaderTimeout closes a connection on which no request arrives. It equals the longest
+	// time that a host waits for a sync response.
 	readHeaderTimeout = 2 * time.Second
-	// exchangeTimeout gives up a whole exchange: a document of 1 MB and a list of 3,800
-	// targets, 170 KB when compressed, take 0.7 s on a link of 2 Mbit/s that carries
-	// nothing else, and some times that on a full one.
+	// exchangeTimeout limits a complete exchange. A document of 1 MB and a list of 3,800
+	// targets, 170 KB when compressed, take 0.7 s on an otherwise idle link of 2 Mbit/s, and
+	// a multiple of that on a full one.
 	exchangeTimeout = 5 * time.Second
-	// maxConcurrentRequests bounds the questions that are answered at once, so that each gets
-	// a fair part of the link. Others are turned away and ask elsewhere.
+	// maxConcurrentRequests limits the requests served at once, so that each gets a fair share
+	// of the link. Further requests are rejected, and the requesting hosts try another peer.
 	maxConcurrentRequests = 4
-	// gzipLevel takes less than half of the time of the usual level on lists of targets,
-	// and makes them a thirtieth longer.
+	// gzipLevel takes less than half of the time of the default level on lists of targets,
+	// for output that is a thirtieth larger.
 	gzipLevel = 3
-	// responseTimeBudget is how long the answers that are sent at once may take together, and
-	// typicalResponseBytes what one takes: 1,800 routes, compressed. A small link answers one
-	// question at a time.
+	// responseTimeBudget is how long the responses sent at once may take together, and
+	// typicalResponseBytes is the size of one: 1,800 routes, compressed. On a slow link a host
+	// serves one request at a time.
 	responseTimeBudget   = 250 * time.Millisecond
 	typicalResponseBytes = 50_000
 )
 
-// concurrentRequestLimit is how many questions a host answers at once.
+// concurrentRequestLimit returns how many sync requests a host serves at once.
 //
-// What goes wrong if small links take as many as large ones: four answers at once take
-// 0.7 s on a link of 2 Mbit/s, no asker hears anything in time, all give
-// up, and what was sent was sent for nothing. One notices by hosts that are asked by
-// many after a change, and of which none gets an answer.
+// If slow links served as many as fast ones, four responses at once would take 0.7 s on a
+// link of 2 Mbit/s, every requesting host would time out before its response, and the bytes
+// sent would be wasted. This would show after a change, as hosts that receive many sync
+// requests and complete none.
 func concurrentRequestLimit(linkBytesPerSecond int) int {
 	if linkBytesPerSecond <= 0 {
 		return maxConcurrentRequests
@@ -88,13 +88,13 @@
 	return min(max(fit, 1), maxConcurrentRequests)
 }
 
-// SettingsDecoder reads published settings.
+// SettingsDecoder decodes published settings.
 type SettingsDecoder func(document []byte) (*steerer.Settings, error)
 
-// RequestHandler answers a question from the host's own state.
+// RequestHandler builds the response to a sync request from the host's own state.
 type RequestHandler func(ctx context.Context, request *messenger.SyncRequest) (*messenger.SyncResponse, error)
 
-// Exchanger serves and asks.
+// Exchanger sends and serves sync requests.
 type Exchanger struct {
 	listener net.Listener
 	sealer   *encoder.MessageCodec
@@ -104,22 +104,23 @@
 	outgoing sync.WaitGroup
 	// client opens connections to other hosts.
 	client *http.Client
-	// requestSemaphore holds a place for each question that is being answered.
+	// requestSemaphore holds an element for each request being served.
 	requestSemaphore chan struct{}
-	// documentCache and targets are what was last told: the settings by version, and whole lists of
-	// targets by their position.
+	// documentCache and targetsCache hold the last compressed settings document, by version,
+	// and the last compressed full list of targets, by position.
 	documentCache compressionCache[uint64]
 	targetsCache  compressionCache[sequencer.Position]
-	// Rejected counts questions that could not be read or answered.
+	// Rejected counts requests that were turned down, could not be read, or failed while
+	// being served.
 	Rejected atomic.Uint64
 }
 
-// New listens on a host's address, on a link that carries so many bytes a second; 0 if that
-// is unknown. The meter counts the bytes of questions and answers.
+// New listens on a host's address. linkBytesPerSecond is the rate of the host's link, 0 if
+// unknown. The meter counts the bytes of requests and responses.
 func New(address netip.AddrPort, linkBytesPerSecond int, sealer *encoder.MessageCodec, decode SettingsDecoder, handler RequestHandler, meter *meterer.Meter, events chan<- steerer.Event) (*Exchanger, error) {
 	listener, err := net.Listen("tcp4", address.String())
 	if err != nil {
-		return nil, &Error{Op: "listen for questions", Kind: KindListen, Err: err}
+		return nil, &Error{Op: "listen for sync requests", Kind: KindListen, Err: err}
 	}
 	return &Exchanger{
 		listener: meter.WrapListener(listener), sealer: sealer, decode: decode, handler: handler, events: events,
@@ -128,7 +129,8 @@
 	}, nil
 }
 
-// Run answers questions until the context ends, and reports its end.
+// Run serves sync requests until the context is canceled. The returned channel receives the
+// error that stopped it, or nil.
 func (x *Exchanger) Run(ctx context.Context) <-chan error {
 	done := make(chan error, 1)
 	mux := http.NewServeMux()
@@ -137,7 +139,7 @@
 		case x.requestSemaphore <- struct{}{}:
 		default:
 			x.Rejected.Add(1)
-			http.Error(w, "busy with other questions", http.StatusServiceUnavailable)
+			http.Error(w, "too many concurrent sync requests", http.StatusServiceUnavailable)
 			return
 		}
 		defer func() { <-x.requestSemaphore }()
@@ -176,7 +178,7 @@
 	}
 	syncRequest, ok := body.(*messenger.SyncRequest)
 	if !ok {
-		return fmt.Errorf("unexpected %T", body)
+		return fmt.Errorf("unexpected message %T, expected a sync request", body)
 	}
 	knowledge, err := x.handler(ctx, syncRequest)
 	if err != nil {
@@ -195,7 +197,8 @@
 	return conn.Close(websocket.StatusNormalClosure, "")
 }
 
-// Request sends a question; the answer, or why there is none, becomes an event.
+// Request sends a sync request. The response, or the error that prevented it, becomes an
+// event.
 func (x *Exchanger) Request(ctx context.Context, e *steerer.SendSyncRequest) {
 	x.outgoing.Add(1)
 	request := *e
@@ -214,7 +217,7 @@
 }
 
 func (x *Exchanger) roundTrip(ctx context.Context, request *steerer.SendSyncRequest) (*messenger.SyncResponse, error) {
-	const op = "ask host"
+	const op = "sync with host"
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	ctx, cancelWait := context.WithCancel(ctx)
@@ -252,7 +255,7 @@
 	}
 	knowledge, ok := body.(*messenger.SyncResponse)
 	if !ok {
-		return nil, &Error{Op: op, Kind: KindMalformed, Err: fmt.Errorf("unexpected %T", body)}
+		return nil, &Error{Op: op, Kind: KindMalformed, Err: fmt.Errorf("unexpected message %T, expected a sync response", body)}
 	}
 	if err := decompressTargets(knowledge); err != nil {
 		return nil, &Error{Op: op, Kind: KindMalformed, Err: err}
@@ -260,19 +263,21 @@
 	return knowledge, nil
 }
 
-// compressionCache keeps what was last told to another host, compressed, with the key that it belongs
-// to.
+// compressionCache keeps the last value sent to another host in compressed form, with its
+// key.
 //
-// What goes wrong without it: after a change, or while many hosts start, many ask the few
-// that know. A document of 400 KB, or a list of 6,000 targets, takes 10 ms of a whole
-// processor to compress, for each of them, and a small host has an eighth of one.
+// Without it, after a change or while many hosts start, the few hosts that have the new
+// state would compress it again for each sync request. A document of 400 KB, or a list of
+// 6,000 targets, takes 10 ms of a full CPU core to compress, and a small host has an eighth
+// of a core.
 type compressionCache[K comparable] struct {
 	mu         sync.Mutex
 	key        K
 	compressed []byte
 }
 
-// get returns what belongs to a key, compressed; write writes it plain.
+// get returns the compressed value of a key. encode returns the uncompressed value, and is
+// called only if the cache holds another key.
 func (p *compressionCache[K]) get(key K, encode func() ([]byte, error)) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -291,7 +296,7 @@
 	return compressed, nil
 }
 
-// compressSyncResponse compresses what a host tells another.
+// compressSyncResponse fills in the compressed settings and targets of a response.
 func (x *Exchanger) compressSyncResponse(k *messenger.SyncResponse) error {
 	var err error
 	if document := k.CompressedSettings; len(document) > 0 {
@@ -316,8 +321,8 @@
 	return err
 }
 
-// isCold reports whether a state says for how much longer its target is slow, which is soon
-// out of date.
+// isCold reports whether a state contains the rest of its target's slow start, which is
+// soon out of date and must not be cached.
 func isCold(t messenger.TargetState) bool { return t.WarmUp > 0 }
 
 func decompressTargets(k *messenger.SyncResponse) error {
@@ -333,7 +338,7 @@
 }
 
 func (x *Exchanger) decodeDocument(compressed []byte) ([]byte, *steerer.Settings, error) {
-	const op = "unpack settings"
+	const op = "decode settings"
 	document, err := decompress(compressed)
 	if err != nil {
 		return nil, nil, &Error{Op: op, Kind: KindMalformed, Err: err}
@@ -345,8 +350,8 @@
 	return document, settings, nil
 }
 
-// maxDecompressedBytes bounds what a compressed answer may take in memory: a settings
-// document of 1 MB, or a list of some 40,000 targets.
+// maxDecompressedBytes limits the memory that a compressed response may take: enough for a
+// settings document of 1 MB, or a list of about 40,000 targets.
 const maxDecompressedBytes = 4 * resolver.MaxDocumentBytes
 
 func decompress(compressed []byte) ([]byte, error) {
--- a/balancer/internal/flowrunner/flowrunner.go
+++ b/balancer/internal/flowrunner/flowrunner.go
@@ -1,6 +1,6 @@
-// Package flowrunner is the daemon of a host whose targets answer callers
-// directly: it feeds events to the steerer, one after another, and carries its
-// effects out.
+// Package flowrunner is the daemon of a flow host, whose targets respond to callers
+// directly (direct server return). It passes events to the steerer one at a time and
+// executes the effects that the steerer returns.
 package flowrunner
 
 import (
@@ -32,27 +32,28 @@
 )
 
 const (
-	// eventQueueSize bounds the events that wait for the steerer: about a tenth of a
-	// second of packets at the highest rate that a host can pass on.
+	// eventQueueSize limits the events queued for the steerer: about a tenth of a second
+	// of packets at the highest rate that a host can forward.
 	eventQueueSize = 4096
-	// bytesPerFlow is what a remembered flow takes in memory, with its place in the
-	// map, rounded up: 381 bytes with 50,000 flows (TestFlowsTakeLittleMemory).
+	// bytesPerFlow is the memory that an entry of the flow table takes, including that of
+	// the map, rounded up: 381 bytes with 50,000 flows (TestFlowsTakeLittleMemory).
 	bytesPerFlow = 512
-	// flowMemoryFraction is the part of a host's memory that flows may take.
+	// flowMemoryFraction is the fraction of a host's memory that the flow table may take.
 	flowMemoryFraction = 0.25
 )
 
-// PlatformAdapter is the host's way to its platform.
+// PlatformAdapter is the part of the host that depends on its platform: the client of the
+// store, and the formats of packets and settings.
 type PlatformAdapter struct {
-	// NewClient makes a client of the platform at an address, which reads over
-	// connections that dial opens.
+	// NewClient returns a client of the platform at an address, which opens its
+	// connections with dial.
 	NewClient func(address netip.AddrPort, dial DialFunc) fetcher.PlatformClient
 	Codec     forwarder.Codec
 	// MaxDatagramBytes is the size of the largest datagram of Codec.
 	MaxDatagramBytes int
-	// DecodeSettings reads settings as they were published.
+	// DecodeSettings decodes published settings.
 	DecodeSettings exchanger.SettingsDecoder
-	// ReadyPath is where the fabric asks whether the host takes packets.
+	// ReadyPath is the HTTP path of the fabric's readiness checks.
 	ReadyPath string
 }
 
@@ -61,7 +62,7 @@
 
 // Runner is one host's daemon.
 type Runner struct {
-	// path is where the settings file lies.
+	// path is that of the host's settings file.
 	path      string
 	config    configurer.FlowConfig
 	platform  PlatformAdapter
@@ -72,7 +73,7 @@
 	inspector inspector.Inspector[*steerer.Steerer]
 
 	meter *meterer.Meter
-	// lastTransferTotals is what the meterer had counted at the last tick.
+	// lastTransferTotals are the meter's totals at the last tick.
 	lastTransferTotals      transferTotals
 	forwarder               *forwarder.Forwarder
 	gossiper                *gossiper.Gossiper
@@ -85,7 +86,7 @@
 	ready                   bool
 }
 
-// New opens the host's sockets. The settings in config were read from path.
+// New opens the host's sockets. config was read from the file at path.
 func New(path string, config configurer.FlowConfig, platform PlatformAdapter, log *logger.Logger) (*Runner, error) {
 	r := &Runner{path: path, config: config, platform: platform, log: log, startTime: time.Now(), events: make(chan steerer.Event, eventQueueSize), meter: meterer.New(), inspector: inspector.New[*steerer.Steerer]()}
 	incarnation := uint64(r.startTime.UnixMilli())
@@ -134,27 +135,26 @@
 	return r, nil
 }
 
-// now is the host's clock. It counts the time for which the host was suspended,
-// which the usual monotonic clock leaves out: a host that wakes must know that
-// what it learned before is old. It starts above zero, since zero stands for no
-// deadline.
+// now reads the host's clock. Unlike CLOCK_MONOTONIC, it includes time during which the
+// host was suspended: after a resume, the host must recognize its state as outdated. The
+// clock starts above zero, since zero stands for no deadline.
 func (r *Runner) now() timekeeper.Instant {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		return timekeeper.Instant(time.Since(r.startTime) + time.Second) // A kernel without that clock.
+		return timekeeper.Instant(time.Since(r.startTime) + time.Second) // The kernel lacks CLOCK_BOOTTIME.
 	}
 	return timekeeper.Instant(t.Nano()) + timekeeper.Instant(time.Second)
 }
 
-// handleSyncRequest answers another host's question.
+// handleSyncRequest builds the response to another host's sync request.
 func (r *Runner) handleSyncRequest(ctx context.Context, request *messenger.SyncRequest) (*messenger.SyncResponse, error) {
 	var knowledge *messenger.SyncResponse
 	err := r.inspector.Inspect(ctx, func(s *steerer.Steerer) { knowledge = s.SyncResponse(request) })
 	return knowledge, err
 }
 
-// Run serves until leave ends and the host has left, or until ctx ends, which
-// ends it at once.
+// Run serves until shutdown is closed and the graceful shutdown is complete, or until ctx
+// is canceled, which stops the host at once.
 func (r *Runner) Run(ctx context.Context, shutdown <-chan struct{}) error {
 	componentCtx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -175,11 +175,11 @@
 	return err
 }
 
-// loop is the only place that touches the steerer.
+// loop handles all events. It is the only goroutine that accesses the steerer.
 func (r *Runner) loop(ctx context.Context, shutdown <-chan struct{}, componentErrors <-chan error) error {
 	ticker := time.NewTicker(steerer.TickInterval)
 	defer ticker.Stop()
-	if r.handle(ctx, &steerer.Tick{}) { // The first reads need not wait for the ticker.
+	if r.handle(ctx, &steerer.Tick{}) { // Starts the first platform reads without waiting for the ticker.
 		return nil
 	}
 	for {
@@ -209,10 +209,10 @@
 	}
 }
 
-// transferTotals is how many bytes have gone over connections that are not flows.
+// transferTotals are the bytes transferred over connections other than flows.
 type transferTotals struct{ received, sent uint64 }
 
-// newTickEvent makes a Tick event.
+// newTickEvent returns a Tick with the bytes transferred since the last one.
 func (r *Runner) newTickEvent() *steerer.Tick {
 	var now transferTotals
 	now.received, now.sent = r.meter.Totals()
@@ -224,7 +224,7 @@
 	return event
 }
 
-// handle takes in one event and reports whether the host has left.
+// handle processes one event and reports whether the graceful shutdown is complete.
 func (r *Runner) handle(ctx context.Context, event steerer.Event) bool {
 	steerer.SetTime(event, r.now())
 	ended := r.executeEffects(ctx, r.steerer.Reduce(event))
