--- a/balancer/internal/carrier/carrier.go
+++ b/balancer/internal/carrier/carrier.go
@@ -1,5 +1,5 @@
-// Package carrier moves datagrams: packets between the fabric and this host,
-// and forwarded packets between hosts.
+// Package carrier sends and receives datagrams: packets exchanged with the fabric, and
+// packets forwarded between hosts.
 package carrier
 
 import (
@@ -18,13 +18,13 @@
 	"cranberryspan.dev/core/translator"
 )
 
-// Kind tells callers which sort of failure an Error is.
+// Kind classifies errors.
 type Kind uint8
 
 // KindSocket means that a socket can't be opened, read or written.
 const KindSocket Kind = 1
 
-// Error is the one error type of this package.
+// Error is the error type of this package.
 type Error struct {
 	Op   string
 	Kind Kind
@@ -42,7 +42,8 @@
 	returnPort = 5683
 )
 
-// Counters count what could not be passed on. They are safe for concurrent use.
+// Counters count dropped datagrams and failed sends by reason. They are safe for concurrent
+// use.
 type Counters struct {
 	Malformed   atomic.Uint64
 	Unauthentic atomic.Uint64
@@ -52,7 +53,7 @@
 	Fenced      atomic.Uint64
 }
 
-// Carrier owns the two sockets of a host.
+// Carrier manages the two datagram sockets of a host: one to the fabric, one to its peers.
 type Carrier struct {
 	fabric     netip.AddrPort
 	fabricConn *net.UDPConn
@@ -63,7 +64,8 @@
 	Counters   Counters
 }
 
-// New opens the sockets. Packets become events; clock stamps deadlines.
+// New opens the sockets. Received packets are sent to events; clock gives their arrival
+// times and is compared with send deadlines.
 func New(fabricAddress, peerAddress, fabric netip.AddrPort, sealer *atomic.Pointer[encoder.MessageCodec], clock func() timekeeper.Instant, events chan<- reducer.Event) (*Carrier, error) {
 	fabricConn, err := listen(fabricAddress)
 	if err != nil {
@@ -82,7 +84,7 @@
 	if err != nil {
 		return nil, &Error{Op: "listen for datagrams", Kind: KindSocket, Err: err}
 	}
-	// A larger buffer than the kernel allows is cut by the kernel.
+	// The kernel silently limits the buffers to the maximum that it allows.
 	_ = conn.SetReadBuffer(socketBufferBytes)
 	_ = conn.SetWriteBuffer(socketBufferBytes)
 	if err := enableReceiveTimestamps(conn); err != nil {
@@ -92,8 +94,8 @@
 	return conn, nil
 }
 
-// Run reads both sockets until the context ends. Each reader reports its end on
-// the returned channel, which gets two values.
+// Run reads both sockets until the context is canceled. The returned channel receives two
+// values: for each socket, the error that stopped its reader, or nil.
 func (c *Carrier) Run(ctx context.Context) <-chan error {
 	done := make(chan error, 2)
 	context.AfterFunc(ctx, func() {
@@ -123,8 +125,8 @@
 		select {
 		case c.events <- event:
 		default:
-			// The host is overloaded. Callers repeat what matters, so the
-			// newest packet is dropped rather than all delayed.
+			// The host is overloaded. Callers retransmit what matters, so the
+			// newest packet is dropped instead of delaying all.
 			c.Counters.Overflow.Add(1)
 		}
 	}
@@ -183,10 +185,12 @@
 	c.sendToFabric(encoder.EncapsulatedPacket{From: service, To: caller, Payload: payload})
 }
 
-// SendToTarget sends a packet to a target from a return address.
+// SendToTarget sends a packet to a target from a return address, unless the packet's
+// deadline has passed.
 func (c *Carrier) SendToTarget(e *reducer.ToTarget) {
 	if e.Deadline != 0 && e.Deadline.Passed(c.clock()) {
-		// The process was paused after the decision; the right to send is gone.
+		// The process was paused after the decision, and the host's permission to send
+		// has expired.
 		c.Counters.Fenced.Add(1)
 		return
 	}
@@ -203,7 +207,7 @@
 	}
 }
 
-// Announce tells the fabric whether this host takes packets.
+// Announce reports to the fabric whether this host accepts packets.
 func (c *Carrier) Announce(host string, accepting bool) {
 	data, err := encoder.EncodeAnnouncement(encoder.Announcement{Host: host, Accepting: accepting})
 	if err == nil {
--- a/balancer/internal/carrier/timestamp.go
+++ b/balancer/internal/carrier/timestamp.go
@@ -8,14 +8,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// controlBufferBytes holds the one control message that is asked for, with room.
+// controlBufferBytes is larger than the one control message that is requested.
 const controlBufferBytes = 128
 
-// enableReceiveTimestamps has the kernel note when it took each datagram in.
+// enableReceiveTimestamps makes the kernel record when it received each datagram.
 //
-// What goes wrong without it: the process is paused while datagrams wait in the
-// socket. When it wakes they look new, and a request that its caller has long
-// given up runs. The reducer drops what waited too long, see DropStale.
+// Without this, datagrams that waited in the socket while the process was paused would look
+// new after it resumes, and requests that their callers have long abandoned would run. The
+// reducer drops packets that waited too long, see reducer.DropStale.
 func enableReceiveTimestamps(conn *net.UDPConn) error {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -31,9 +31,9 @@
 	return sockoptErr
 }
 
-// socketDelay returns how long a datagram waited in the socket, from its control
-// message. The kernel's time is that of the wall clock, so a step of that clock
-// can make the answer wrong once; it is never negative.
+// socketDelay returns how long a datagram waited in the socket, according to the timestamp
+// in its control message, or 0 if there is none. The timestamp is wall-clock time, so the
+// result is wrong for datagrams that wait across a step of that clock; it is never negative.
 func socketDelay(control []byte, now time.Time) time.Duration {
 	messages, err := unix.ParseSocketControlMessage(control)
 	if err != nil {
--- a/balancer/internal/exporter/exporter.go
+++ b/balancer/internal/exporter/exporter.go
@@ -1,5 +1,5 @@
-// Package exporter serves a host's admin address: its metrics, and whatever else
-// its owner adds.
+// Package exporter serves a host's admin address over HTTP: its metrics, a health check,
+// and any handlers that its user adds.
 package exporter
 
 import (
@@ -15,18 +15,18 @@
 	"github.com/uber-go/tally/v4/prometheus"
 )
 
-// Kind tells callers which sort of failure an Error is.
+// Kind classifies errors.
 type Kind uint8
 
 // The kinds of Error.
 const (
-	// KindListen means that the admin address can't be served.
+	// KindListen means that the host can't listen on the admin address.
 	KindListen Kind = iota + 1
-	// KindServe means that serving it failed.
+	// KindServe means that the HTTP server on it failed.
 	KindServe
 )
 
-// Error is the one error type of this package.
+// Error is the error type of this package.
 type Error struct {
 	Op   string
 	Kind Kind
@@ -40,17 +40,17 @@
 
 const (
 	readHeaderTimeout = 5 * time.Second
-	// smallestBucket, bucketGrowth and buckets span the latencies that matter to
+	// smallestBucket, bucketGrowth and bucketCount span the latencies that matter to
 	// callers, from a quarter of a millisecond to half a minute.
 	smallestBucket = 250 * time.Microsecond
 	bucketGrowth   = 2
 	bucketCount    = 18
 )
 
-// Exporter owns the admin address and the metrics of a host.
+// Exporter manages the admin address and the metrics of a host.
 type Exporter struct {
 	Scope tally.Scope
-	// Mux takes further handlers before Run.
+	// Mux accepts further handlers before Run.
 	Mux           *http.ServeMux
 	flushInterval time.Duration
 	listener      net.Listener
@@ -59,12 +59,11 @@
 	lastValues    map[string]uint64
 }
 
-// New listens on the admin address. flushInterval is the age that a figure may have
-// when it is read.
+// New listens on the admin address. flushInterval is the maximum age of exported values.
 func New(admin netip.AddrPort, host string, flushInterval time.Duration) (*Exporter, error) {
 	listener, err := net.Listen("tcp", admin.String())
 	if err != nil {
-		return nil, &Error{Op: "listen for admin", Kind: KindListen, Err: err}
+		return nil, &Error{Op: "listen on admin address", Kind: KindListen, Err: err}
 	}
 	metrics := prometheus.NewReporter(prometheus.Options{})
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
@@ -72,7 +71,7 @@
 		Tags:           map[string]string{"host": host},
 		CachedReporter: metrics,
 		Separator:      prometheus.DefaultSeparator,
-		// The library's metrics about itself have names that scrapers refuse.
+		// The names of the library's metrics about itself are rejected by scrapers.
 		OmitCardinalityMetrics: true,
 		SanitizeOptions:        &prometheus.DefaultSanitizerOpts,
 	}, flushInterval)
@@ -90,8 +89,9 @@
 	}, nil
 }
 
-// Run serves, and calls collect before each flush, until the context ends. Server
-// and collector report their ends on the returned channel, which gets two values.
+// Run serves, and calls collect once per flush interval, until the context is canceled. The
+// returned channel receives two values: the errors, or nil, that stopped the server and the
+// collector.
 func (e *Exporter) Run(ctx context.Context, collect func(ctx context.Context)) <-chan error {
 	done := make(chan error, 2)
 	server := &http.Server{Handler: e.Mux, ReadHeaderTimeout: readHeaderTimeout}
@@ -102,7 +102,7 @@
 			done <- nil
 			return
 		}
-		done <- &Error{Op: "serve admin", Kind: KindServe, Err: err}
+		done <- &Error{Op: "serve admin address", Kind: KindServe, Err: err}
 	}()
 	go func() { done <- e.collect(ctx, collect) }()
 	return done
@@ -121,9 +121,9 @@
 	}
 }
 
-// SetCounter brings a counter to a value that only grows. A counter is shown from the
-// first call on, also while it is zero: whoever watches it has to see that it is
-// there.
+// SetCounter raises a counter to value, which must never decrease. A counter is exported
+// from the first call on, even while it is zero, so that alerts on it can tell zero from
+// missing data.
 func (e *Exporter) SetCounter(name, reason string, value uint64) {
 	key := name + "/" + reason
 	if last, exists := e.lastValues[key]; exists && value == last {
@@ -133,12 +133,12 @@
 	e.lastValues[key] = value
 }
 
-// Histogram returns a histogram of latencies with tags.
+// Histogram returns the latency histogram with the given name and tags.
 func (e *Exporter) Histogram(name string, tags map[string]string) tally.Histogram {
 	return e.Scope.Tagged(tags).Histogram(name, e.buckets)
 }
 
-// BoolToFloat is 1 if a condition holds and 0 otherwise.
+// BoolToFloat returns 1 if a condition holds and 0 otherwise.
 func BoolToFloat(condition bool) float64 {
 	if condition {
 		return 1
--- a/balancer/internal/forwarder/forwarder.go
+++ b/balancer/internal/forwarder/forwarder.go
@@ -1,5 +1,5 @@
-// Package forwarder moves the packets of flows between the fabric, this host and
-// targets.
+// Package forwarder receives the packets of flows from the fabric and sends packets to
+// targets and callers.
 package forwarder
 
 import (
@@ -13,13 +13,13 @@
 	"cranberryspan.dev/core/steerer"
 )
 
-// Kind tells callers which sort of failure an Error is.
+// Kind classifies errors.
 type Kind uint8
 
-// KindSocket means that the socket can't be opened or read.
+// KindSocket means that the packet socket can't be opened or read.
 const KindSocket Kind = 1
 
-// Error is the one error type of this package.
+// Error is the error type of this package.
 type Error struct {
 	Op   string
 	Kind Kind
@@ -31,18 +31,19 @@
 // Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.Err }
 
-// socketBufferBytes holds what arrives while the process waits for its share of
-// the processor, some hundred packets of 1.2 KB, twice over.
+// socketBufferBytes is the size of the receive buffer. It holds twice what arrives while
+// the process waits to be scheduled, which is several hundred packets of 1.2 KB.
 const socketBufferBytes = 1 << 20
 
-// Codec reads and writes packets.
+// Codec encodes and decodes packets.
 type Codec interface {
 	Decode(data []byte) (steerer.Packet, error)
 	AppendToTarget(buffer []byte, e *steerer.ForwardPacket) []byte
 	AppendReset(buffer []byte, e *steerer.ResetFlow) []byte
 }
 
-// Counters count what could not be passed on. They are safe for concurrent use.
+// Counters count received and dropped packets and failed sends. They are safe for
+// concurrent use.
 type Counters struct {
 	Malformed  atomic.Uint64
 	Overflow   atomic.Uint64
@@ -50,7 +51,7 @@
 	Received   atomic.Uint64
 }
 
-// Forwarder owns the socket for packets.
+// Forwarder manages the packet socket.
 type Forwarder struct {
 	conn       *net.UDPConn
 	codec      Codec
@@ -61,27 +62,28 @@
 	Counters   Counters
 }
 
-// New opens the socket. Packets become events; maxBytes is the size of the
+// New opens the socket. Received packets are sent to events; maxBytes is the size of the
 // largest datagram.
 func New(address netip.AddrPort, codec Codec, maxBytes int, events chan<- steerer.Event) (*Forwarder, error) {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
 	if err != nil {
 		return nil, &Error{Op: "listen for packets", Kind: KindSocket, Err: err}
 	}
-	// A larger buffer than the kernel allows is cut by the kernel.
+	// The kernel silently limits the buffer to the maximum that it allows.
 	_ = conn.SetReadBuffer(socketBufferBytes)
 	f := &Forwarder{conn: conn, codec: codec, events: events, port: address.Port()}
 	f.buffers.New = func() any { return &pooledPacket{buffer: make([]byte, maxBytes)} }
 	return f, nil
 }
 
-// pooledPacket is a packet on its way through the host, with its memory.
+// pooledPacket is a packet event with its reusable receive buffer.
 type pooledPacket struct {
 	event  steerer.CallerPacket
 	buffer []byte
 }
 
-// Run reads packets until the context ends, and reports its end.
+// Run reads packets until the context is canceled. The returned channel receives the error
+// that stopped it, or nil.
 func (f *Forwarder) Run(ctx context.Context) <-chan error {
 	done := make(chan error, 1)
 	context.AfterFunc(ctx, func() { _ = f.conn.Close() })
@@ -110,27 +112,28 @@
 		select {
 		case f.events <- &d.event:
 		default:
-			// The host is overloaded. Callers repeat what matters, so the newest
-			// packet is dropped rather than all delayed.
+			// The host is overloaded. Callers retransmit what matters, so the newest
+			// packet is dropped instead of delaying all.
 			f.Counters.Overflow.Add(1)
 			f.buffers.Put(d)
 		}
 	}
 }
 
-// Release takes back the memory of a packet whose effects are carried out.
+// Release returns the buffer of a packet to the pool once its effects are executed.
 func (f *Forwarder) Release(event *steerer.CallerPacket) {
 	f.buffers.Put(&pooledPacket{buffer: event.Packet.Data[:cap(event.Packet.Data)]})
 }
 
-// SendToTarget passes a packet on. Only one goroutine may send.
+// SendToTarget forwards a packet to its target. It is not safe for concurrent use with
+// itself or SendReset.
 func (f *Forwarder) SendToTarget(e *steerer.ForwardPacket) {
 	f.sendBuffer = f.codec.AppendToTarget(f.sendBuffer[:0], e)
 	f.send(e.Address)
 }
 
-// SendReset tells a caller that its flow has ended. Callers take packets at the port
-// at which hosts do.
+// SendReset tells a caller that its flow has ended. Callers receive packets on the same
+// port number as hosts.
 func (f *Forwarder) SendReset(e *steerer.ResetFlow) {
 	f.sendBuffer = f.codec.AppendReset(f.sendBuffer[:0], e)
 	f.send(netip.AddrPortFrom(e.Caller.Addr(), f.port))
--- a/balancer/internal/linker/linker.go
+++ b/balancer/internal/linker/linker.go
@@ -1,8 +1,8 @@
-// Package linker keeps the control links between hosts: WebSocket connections
-// that carry sealed messages in order.
+// Package linker maintains the control links between hosts: WebSocket connections
+// that carry authenticated messages in order.
 //
-// Each host dials those it sends to and only reads on the links that others
-// dialed, so a link has one writer and needs no agreement on who dials.
+// Each host dials the hosts that it sends to, and only reads from the links that others
+// dialed. So each link has one writer, and hosts need not agree on which of them dials.
 package linker
 
 import (
@@ -23,13 +23,13 @@
 	"golang.org/x/time/rate"
 )
 
-// Kind tells callers which sort of failure an Error is.
+// Kind classifies errors.
 type Kind uint8
 
-// KindListen means that the control address can't be served.
+// KindListen means that the host can't listen on its address for control links.
 const KindListen Kind = 1
 
-// Error is the one error type of this package.
+// Error is the error type of this package.
 type Error struct {
 	Op   string
 	Kind Kind
@@ -42,22 +42,21 @@
 func (e *Error) Unwrap() error { return e.Err }
 
 const (
-	// queueCapacity bounds the messages that wait for a link; the oldest is
-	// dropped first, since heartbeats lose their worth with time and everything
-	// else is repeated.
+	// queueCapacity limits the messages queued for a link. The oldest is dropped first,
+	// since old heartbeats are useless and all other messages are retransmitted.
 	queueCapacity = 512
 	dialTimeout   = time.Second
 	writeTimeout  = 2 * time.Second
 	minBackoff    = 100 * time.Millisecond
 	maxBackoff    = 2 * time.Second
 	linkPath      = "/link"
-	// messagesPerSecond bounds what one link may bring; what is more waits in the
-	// connection and so with its sender, whose queue drops the oldest.
+	// messagesPerSecond limits the messages received on one link. Beyond that, TCP flow
+	// control blocks the sender, whose queue drops its oldest messages.
 	messagesPerSecond = 5000
 	messageBurst      = 1000
 )
 
-// Counters count what happened on the links. They are safe for concurrent use.
+// Counters count the messages on all links by outcome. They are safe for concurrent use.
 type Counters struct {
 	Sent        atomic.Uint64
 	SentBytes   atomic.Uint64
@@ -68,7 +67,7 @@
 	Unknown     atomic.Uint64
 }
 
-// Linker owns the control links of a host.
+// Linker manages the control links of a host.
 type Linker struct {
 	sealer   *atomic.Pointer[encoder.MessageCodec]
 	events   chan<- reducer.Event
@@ -85,7 +84,7 @@
 	queue   chan []byte
 }
 
-// New listens on a host's address. Messages from peers become events.
+// New listens on a host's address. Messages from peers are sent to events.
 func New(address netip.AddrPort, sealer *atomic.Pointer[encoder.MessageCodec], events chan<- reducer.Event) (*Linker, error) {
 	listener, err := net.Listen("tcp", address.String())
 	if err != nil {
@@ -94,7 +93,8 @@
 	return &Linker{sealer: sealer, events: events, listener: listener, links: map[string]*outgoingLink{}}, nil
 }
 
-// Run serves incoming links until the context ends, and reports its end.
+// Run serves incoming links until the context is canceled. The returned channel receives
+// the error that stopped it, or nil.
 func (l *Linker) Run(ctx context.Context) <-chan error {
 	done := make(chan error, 1)
 	mux := http.NewServeMux()
@@ -134,8 +134,9 @@
 	}
 }
 
-// receive opens a message. A link whose messages can't be opened is closed: its
-// sender has another key, or is no host of this system.
+// receive decodes a message and reports whether to keep the link. A link is closed if a
+// message on it is malformed or can't be authenticated: its sender has another key, or is
+// not a host of this system. Messages of unknown kinds or versions are skipped.
 func (l *Linker) receive(ctx context.Context, data []byte) bool {
 	from, body, err := l.sealer.Load().Decode(data)
 	var failure *encoder.Error
@@ -160,7 +161,8 @@
 	}
 }
 
-// Send queues a message for a peer and dials it if need be. It never blocks.
+// Send queues a message for a peer, opening a link if there is none. It never blocks: if
+// the queue is full, its oldest message is dropped.
 func (l *Linker) Send(ctx context.Context, name string, address netip.AddrPort, body messenger.Body) {
 	data, err := l.sealer.Load().Encode(name, body)
 	if err != nil {
@@ -202,7 +204,8 @@
 	return link
 }
 
-// writeLoop sends a link's queue, dialing anew with growing pauses when it breaks.
+// writeLoop sends a link's queued messages, and reconnects with exponential backoff when
+// the connection breaks.
 func (l *Linker) writeLoop(ctx context.Context, link *outgoingLink) {
 	backoff := minBackoff
 	for ctx.Err() == nil {
@@ -234,10 +237,10 @@
 	return conn, err
 }
 
-// writeQueue writes messages until the link breaks, and reports whether the link is
-// of no more use.
+// writeQueue writes queued messages until the connection breaks, and reports whether the
+// link is finished: replaced by one to another address, or the context is canceled.
 func (l *Linker) writeQueue(ctx context.Context, conn *websocket.Conn, link *outgoingLink) bool {
-	// The peer never writes; reading notices that it closed the link.
+	// The peer never writes; reading detects that it closed the connection.
 	peerClosed := conn.CloseRead(ctx)
 	for {
 		select {
--- a/balancer/internal/logger/logger.go
+++ b/balancer/internal/logger/logger.go
@@ -1,5 +1,5 @@
-// Package logger writes one line of key=value pairs for each event, to standard
-// output, without ever making the program wait for the reader of its log.
+// Package logger writes one line of key=value pairs per event to a writer. It never blocks
+// the caller on a slow log reader.
 package logger
 
 import (
@@ -16,44 +16,46 @@
 )
 
 const (
-	// queueCapacity bounds the lines that wait to be written. A reader that stalls
-	// costs lines, never packets.
+	// queueCapacity limits the lines that wait to be written. If the log reader stalls,
+	// lines are dropped, but no packets are delayed.
 	queueCapacity = 512
-	// LinesPerSecond and lineBurst bound the lines of a host. A line takes 2.3
-	// microseconds to encode and queue, and a system call to write, so 100 a second
-	// are far below a hundredth of a core.
+	// LinesPerSecond and lineBurst limit the lines of a host. A line takes 2.3
+	// microseconds to encode and queue, and a system call to write, so 100 per second
+	// take far less than a hundredth of a core.
 	LinesPerSecond = 100
 	lineBurst      = 300
-	// dropReportInterval is how often the lines that were left out are counted in a line.
+	// dropReportInterval is the interval between lines that report the number of dropped
+	// lines.
 	dropReportInterval = time.Second
 )
 
-// Logger writes lines.
+// Logger queues log lines and writes them in the background.
 type Logger struct {
 	core    zapcore.Core
 	limiter *rate.Limiter
 	lines   chan []byte
 	out     io.Writer
-	// unreportedDrops counts the lines that were left out since the last line about it.
+	// unreportedDrops counts the lines dropped since the last line that reported drops,
+	// reportedDrops those before.
 	unreportedDrops atomic.Uint64
 	reportedDrops   atomic.Uint64
 }
 
-// New makes a Logger that writes to out.
+// New returns a Logger that writes to out.
 func New(out io.Writer) *Logger {
 	l := &Logger{limiter: rate.NewLimiter(LinesPerSecond, lineBurst), lines: make(chan []byte, queueCapacity), out: out}
 	l.core = zapcore.NewCore(NewEncoder(), queueWriter{l}, zapcore.InfoLevel)
 	return l
 }
 
-// NewEncoder writes lines of key=value pairs.
+// NewEncoder returns an encoder of lines of key=value pairs.
 func NewEncoder() zapcore.Encoder {
 	encoding := zap.NewProductionEncoderConfig()
 	encoding.EncodeTime = zapcore.ISO8601TimeEncoder
 	return zaplogfmt.NewEncoder(encoding)
 }
 
-// Fields turns what decisions say into zap's fields.
+// Fields converts a line recorded by the core packages into zap fields.
 func Fields(line recorder.Line) []zap.Field {
 	fields := make([]zap.Field, 0, len(line.Fields))
 	for _, f := range line.Fields {
@@ -62,10 +64,10 @@
 	return fields
 }
 
-// queueWriter takes the lines of zap's core.
+// queueWriter receives the encoded lines of zap's core.
 type queueWriter struct{ logger *Logger }
 
-// Write queues a line, or leaves it out if the queue is full.
+// Write queues a line, or drops it if the queue is full.
 func (q queueWriter) Write(line []byte) (int, error) {
 	select {
 	case q.logger.lines <- append([]byte(nil), line...):
@@ -75,11 +77,11 @@
 	return len(line), nil
 }
 
-// Sync does nothing: Run writes what is queued before it ends.
+// Sync does nothing: Run writes all queued lines before it returns.
 func (queueWriter) Sync() error { return nil }
 
-// Allow reports whether there is room for a line that may be left out, and
-// counts it if not.
+// Allow reports whether the rate limit permits a line, and counts the line as dropped if
+// not.
 func (l *Logger) Allow() bool {
 	if l.limiter.Allow() {
 		return true
@@ -88,19 +90,19 @@
 	return false
 }
 
-// Write writes one line.
+// Write queues one line, regardless of the rate limit.
 func (l *Logger) Write(event string, fields ...zap.Field) {
 	entry := zapcore.Entry{Level: zapcore.InfoLevel, Time: time.Now(), Message: event}
 	if err := l.core.Write(entry, fields); err != nil {
-		l.unreportedDrops.Add(1) // The line could not be encoded; the count shows it.
+		l.unreportedDrops.Add(1) // The line could not be encoded; it shows only in the count.
 	}
 }
 
-// Dropped is how many lines were left out since the start.
+// Dropped returns the number of lines dropped since the start.
 func (l *Logger) Dropped() uint64 { return l.reportedDrops.Load() + l.unreportedDrops.Load() }
 
-// Run writes queued lines until the context ends and the queue is empty, and
-// reports its end.
+// Run writes queued lines until the context is canceled and the queue is empty. The
+// returned channel then receives nil.
 func (l *Logger) Run(ctx context.Context) <-chan error {
 	done := make(chan error, 1)
 	go func() {
@@ -124,7 +126,7 @@
 
 func (l *Logger) writeLine(line []byte) {
 	if _, err := l.out.Write(line); err != nil {
-		l.unreportedDrops.Add(1) // Nobody reads the log; there is nowhere to say so.
+		l.unreportedDrops.Add(1) // The log can't be written, so the error can't be logged either.
 	}
 }
 
--- a/balancer/internal/watcher/watcher.go
+++ b/balancer/internal/watcher/watcher.go
@@ -1,5 +1,5 @@
 // Package watcher reads the settings tree and the list of hosts from the
-// platform. It only ever reads.
+// platform. It never writes to the platform.
 package watcher
 
 import (
@@ -18,18 +18,18 @@
 	"cranberryspan.dev/core/resolver"
 )
 
-// Kind tells callers which sort of failure an Error is.
+// Kind classifies errors.
 type Kind uint8
 
 // The kinds of Error.
 const (
-	// KindUnreachable means that the platform did not answer.
+	// KindUnreachable means that the platform did not respond, or not completely.
 	KindUnreachable Kind = iota + 1
-	// KindInvalidResponse means that the platform's answer makes no sense.
+	// KindInvalidResponse means that the platform's response is invalid or outdated.
 	KindInvalidResponse
 )
 
-// Error is the one error type of this package.
+// Error is the error type of this package.
 type Error struct {
 	Op   string
 	Kind Kind
@@ -42,18 +42,19 @@
 func (e *Error) Unwrap() error { return e.Err }
 
 const (
-	// longPollTimeout is how long the platform holds a watch without news.
+	// longPollTimeout limits how long the platform holds a request while the settings do
+	// not change.
 	longPollTimeout = 20 * time.Second
-	// readTimeout exceeds longPollTimeout, so that the platform ends a watch first.
+	// readTimeout exceeds longPollTimeout, so that the platform ends a long poll first.
 	readTimeout   = longPollTimeout + 5*time.Second
 	minBackoff    = 300 * time.Millisecond
 	maxBackoff    = 5 * time.Second
 	hostsInterval = 5 * time.Second
-	// RevisionHeader bears the revision of a settings document.
+	// RevisionHeader carries the revision of a settings document.
 	RevisionHeader = "Settings-Revision"
 )
 
-// Watcher reads the platform while it is enabled.
+// Watcher polls the platform while it is enabled.
 type Watcher struct {
 	platform *url.URL
 	client   *http.Client
@@ -65,12 +66,14 @@
 	Failures atomic.Uint64
 }
 
-// New makes a Watcher that is enabled: a host without settings has to read.
+// New returns an enabled Watcher, since a host starts without settings and has to read
+// them.
 func New(platform *url.URL, events chan<- reducer.Event) *Watcher {
 	return &Watcher{platform: platform, client: &http.Client{Timeout: readTimeout}, events: events, enabled: make(chan bool, 16)}
 }
 
-// SetEnabled starts or stops the watch. It never blocks for long.
+// SetEnabled starts or stops polling. It does not block: a change is discarded if too many
+// are pending.
 func (w *Watcher) SetEnabled(enabled bool) {
 	select {
 	case w.enabled <- enabled:
@@ -78,10 +81,10 @@
 	}
 }
 
-// SetRevision tells the watcher which revision is in force.
+// SetRevision sets the revision in force; only settings above it are read.
 func (w *Watcher) SetRevision(revision uint64) { w.revision.Store(revision) }
 
-// Run watches until the context ends, and reports its end.
+// Run polls until the context is canceled. The returned channel then receives nil.
 func (w *Watcher) Run(ctx context.Context) <-chan error {
 	done := make(chan error, 1)
 	go func() {
@@ -124,8 +127,7 @@
 			continue
 		}
 		w.Failures.Add(1)
-		// Jitter keeps hosts that lost the platform together from coming back
-		// together.
+		// Jitter spreads the retries of hosts that lost the platform at the same time.
 		pause := backoff/2 + rand.N(backoff)
 		select {
 		case <-ctx.Done():
@@ -150,20 +152,21 @@
 		return nil
 	}
 	if response.StatusCode != http.StatusOK {
-		return &Error{Op: op, Kind: KindInvalidResponse, Err: fmt.Errorf("status %d", response.StatusCode)}
+		return &Error{Op: op, Kind: KindInvalidResponse, Err: fmt.Errorf("unexpected HTTP status %d", response.StatusCode)}
 	}
 	revision, err := strconv.ParseUint(response.Header.Get(RevisionHeader), 10, 64)
 	if err != nil {
 		return &Error{Op: op, Kind: KindInvalidResponse, Err: err}
 	}
-	// One byte more than allowed is enough to see that a document is too large.
+	// One byte above the limit is enough to detect that a document is too large.
 	document, err := io.ReadAll(io.LimitReader(response.Body, resolver.MaxDocumentBytes+1))
 	if err != nil {
 		return &Error{Op: op, Kind: KindUnreachable, Err: err}
 	}
 	if w.revision.Load() >= revision {
-		// The platform is stale. Asking again at once would only load it.
-		return &Error{Op: op, Kind: KindInvalidResponse, Err: fmt.Errorf("revision %d is not above %d", revision, w.revision.Load())}
+		// The platform's state is stale. The error causes a backoff, since an immediate
+		// retry would only load the platform.
+		return &Error{Op: op, Kind: KindInvalidResponse, Err: fmt.Errorf("stale response: revision %d is not above the known revision %d", revision, w.revision.Load())}
 	}
 	w.emit(ctx, &reducer.SettingsPublished{Revision: revision, Document: document})
 	w.revision.Store(revision)
