--- a/balancer/flows.go
+++ b/balancer/flows.go
@@ -15,16 +15,16 @@
 	"github.com/urfave/cli/v3"
 )
 
-// heapMemoryFraction is the part of a host's memory up to which the garbage
-// collector may let the heap grow; the rest is for stacks and received bytes.
+// heapMemoryFraction is the fraction of a host's memory that the garbage collector takes
+// as its soft limit; the rest is for stacks and received bytes.
 const heapMemoryFraction = 0.7
 
-// flowsCommand runs a host that steers flows to targets which answer callers
-// directly.
+// flowsCommand returns the command that runs a flow host: an entry host that forwards flows
+// to targets which respond to callers directly (direct server return).
 func flowsCommand(code *int) *cli.Command {
 	return &cli.Command{
 		Name:  "flows",
-		Usage: "run one entry host in front of targets that answer callers directly",
+		Usage: "run one entry host in front of targets that respond to callers directly",
 		Flags: []cli.Flag{flag("config", "YAML file with the host's settings")},
 		Action: func(ctx context.Context, command *cli.Command) error {
 			*code = serveFlows(ctx, command.String("config"))
--- a/balancer/internal/fetcher/fetcher.go
+++ b/balancer/internal/fetcher/fetcher.go
@@ -1,5 +1,5 @@
-// Package fetcher carries out reads of the platform and liveness checks of
-// targets, each in a goroutine of its own, and turns what they bring into events.
+// Package fetcher performs platform reads and target probes, each in its own goroutine, and
+// turns their results into events.
 package fetcher
 
 import (
@@ -12,15 +12,15 @@
 	"cranberryspan.dev/core/timekeeper"
 )
 
-// PlatformClient is what a host asks of its platform.
+// PlatformClient is the client of the platform that a host needs.
 type PlatformClient interface {
 	ReadSettings(ctx context.Context, options steerer.ReadOptions) (steerer.Published, error)
 	ReadTargets(ctx context.Context, options steerer.ReadOptions) (steerer.TargetList, error)
 	Check(ctx context.Context, target string, address netip.AddrPort, path string, timeout time.Duration) steerer.ProbeOutcome
 }
 
-// Fetcher runs calls. Its caller bounds how many are under way: the steerer has
-// one read of each kind and one check of each target at a time.
+// Fetcher runs calls to the platform and to targets. It does not limit how many are in
+// flight: the steerer starts one read of each kind and one probe of each target at a time.
 type Fetcher struct {
 	platform PlatformClient
 	clock    func() timekeeper.Instant
@@ -28,17 +28,17 @@
 	inFlight sync.WaitGroup
 }
 
-// New makes a Fetcher.
+// New returns a Fetcher that sends results to events.
 func New(platform PlatformClient, clock func() timekeeper.Instant, events chan<- steerer.Event) *Fetcher {
 	return &Fetcher{platform: platform, clock: clock, events: events}
 }
 
-// SetPlatform makes later calls go to another platform. It may not be called while
-// another goroutine starts calls.
+// SetPlatform sets the platform of later calls. It must not be called while another
+// goroutine starts calls.
 func (f *Fetcher) SetPlatform(platform PlatformClient) { f.platform = platform }
 
-// Run reports on the returned channel when the context has ended and every call
-// has returned.
+// Run waits until the context is canceled and every call has returned. The returned
+// channel then receives nil.
 func (f *Fetcher) Run(ctx context.Context) <-chan error {
 	done := make(chan error, 1)
 	go func() {
@@ -49,7 +49,7 @@
 	return done
 }
 
-// ReadSettings starts a read of what operators have published.
+// ReadSettings starts a read of the published settings.
 func (f *Fetcher) ReadSettings(ctx context.Context, e *steerer.ReadSettings) {
 	platform, options := f.platform, e.Options
 	f.start(ctx, func(started timekeeper.Instant) steerer.Event {
@@ -67,7 +67,7 @@
 	})
 }
 
-// Probe starts a liveness check.
+// Probe starts a probe of a target.
 func (f *Fetcher) Probe(ctx context.Context, e *steerer.Probe) {
 	platform, probe := f.platform, *e
 	f.start(ctx, func(started timekeeper.Instant) steerer.Event {
--- a/balancer/internal/gossiper/gossiper.go
+++ b/balancer/internal/gossiper/gossiper.go
@@ -1,6 +1,6 @@
-// Package gossiper exchanges reports with other hosts, as sealed datagrams. They
-// go over UDP, not over the control links: a report is of no use once the next
-// one is due, and a link that hangs must not hold up the others.
+// Package gossiper exchanges reports with other hosts as authenticated datagrams. It uses
+// UDP instead of connections, since a report is useless once the next one is due, and an
+// unresponsive peer must not delay reports to the others.
 package gossiper
 
 import (
@@ -15,13 +15,13 @@
 	"cranberryspan.dev/core/steerer"
 )
 
-// Kind tells callers which sort of failure an Error is.
+// Kind classifies errors.
 type Kind uint8
 
 // KindSocket means that the socket can't be opened or read.
 const KindSocket Kind = 1
 
-// Error is the one error type of this package.
+// Error is the error type of this package.
 type Error struct {
 	Op   string
 	Kind Kind
@@ -33,14 +33,15 @@
 // Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Counters count what happened to reports. They are safe for concurrent use.
+// Counters count unreadable reports, failed sends and the bytes sent. They are safe for
+// concurrent use.
 type Counters struct {
 	Unreadable atomic.Uint64
 	SendFailed atomic.Uint64
 	SentBytes  atomic.Uint64
 }
 
-// Gossiper owns the socket for reports.
+// Gossiper manages the socket for reports.
 type Gossiper struct {
 	conn     *net.UDPConn
 	sealer   *encoder.MessageCodec
@@ -48,7 +49,7 @@
 	Counters Counters
 }
 
-// New opens the socket. Reports become events.
+// New opens the socket. Received reports are sent to events.
 func New(address netip.AddrPort, sealer *encoder.MessageCodec, events chan<- steerer.Event) (*Gossiper, error) {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
 	if err != nil {
@@ -57,7 +58,8 @@
 	return &Gossiper{conn: conn, sealer: sealer, events: events}, nil
 }
 
-// Run reads reports until the context ends, and reports its end.
+// Run reads reports until the context is canceled. The returned channel receives the error
+// that stopped it, or nil.
 func (g *Gossiper) Run(ctx context.Context) <-chan error {
 	done := make(chan error, 1)
 	context.AfterFunc(ctx, func() { _ = g.conn.Close() })
@@ -89,7 +91,7 @@
 	}
 }
 
-// Send sends a report.
+// Send sends a report, without retransmission.
 func (g *Gossiper) Send(e *steerer.SendReport) {
 	data, err := g.sealer.Encode(e.Host, e.Report)
 	if err == nil {
--- a/balancer/internal/prober/prober.go
+++ b/balancer/internal/prober/prober.go
@@ -1,5 +1,5 @@
-// Package prober asks targets how they are: a CoAP GET of /health, whose answer
-// is JSON such as {"inFlight": 2}.
+// Package prober sends health probes to targets: a CoAP GET of /health, to which a healthy
+// target responds with JSON such as {"inFlight": 2}.
 package prober
 
 import (
@@ -18,13 +18,13 @@
 	"github.com/plgd-dev/go-coap/v3/udp/coder"
 )
 
-// Kind tells callers which sort of failure an Error is.
+// Kind classifies errors.
 type Kind uint8
 
-// KindSocket means that the socket can't be opened or read.
+// KindSocket means that the socket can't be opened.
 const KindSocket Kind = 1
 
-// Error is the one error type of this package.
+// Error is the error type of this package.
 type Error struct {
 	Op   string
 	Kind Kind
@@ -44,8 +44,8 @@
 	tokenLength      = 8
 )
 
-// Prober sends probes from a socket of its own. It trusts nothing but the
-// address and token of an answer.
+// Prober sends probes from its own socket. It accepts a response only if address and token
+// match a pending probe.
 type Prober struct {
 	conn   *net.UDPConn
 	events chan<- reducer.Event
@@ -69,8 +69,8 @@
 	return &Prober{conn: conn, events: events, pending: map[uint64]pendingProbe{}}, nil
 }
 
-// Run reads answers and watches deadlines until the context ends. Reader and
-// sweeper report their ends on the returned channel, which gets two values.
+// Run reads responses and expires probes until the context is canceled. The returned
+// channel receives two values, nil from each of the two goroutines when it stops.
 func (p *Prober) Run(ctx context.Context) <-chan error {
 	done := make(chan error, 2)
 	context.AfterFunc(ctx, func() { _ = p.conn.Close() })
@@ -96,7 +96,7 @@
 	if err == nil {
 		_, err = p.conn.WriteToUDPAddrPort(data, target)
 	}
-	_ = err // A probe that is not sent fails by its deadline.
+	_ = err // A probe that could not be sent fails at its deadline.
 }
 
 func encode(token uint64) ([]byte, error) {
@@ -122,7 +122,7 @@
 			return
 		}
 		if err != nil {
-			continue // An earlier probe came back undeliverable.
+			continue // The error reports that an earlier probe was undeliverable.
 		}
 		if _, err := coder.DefaultCoder.Decode(buffer[:n], &m); err != nil || len(m.Token) != tokenLength {
 			continue
--- a/balancer/internal/reloader/reloader.go
+++ b/balancer/internal/reloader/reloader.go
@@ -1,5 +1,5 @@
-// Package reloader notices that a host's settings file may have changed: at
-// SIGHUP, and by the file's time of change, since nobody has to send a signal.
+// Package reloader detects that a host's settings file may have changed: at SIGHUP, and by
+// polling the file's modification time, so that a signal is not required.
 package reloader
 
 import (
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// pollInterval is how often the file's time of change is read, by one system call;
-// settings that change without a signal are in no hurry.
+// pollInterval is how often the file's modification time is read, with one system call.
+// Changes without a signal are not urgent.
 const pollInterval = 2 * time.Second
 
 // Reloader watches one file.
@@ -22,7 +22,8 @@
 	lastModTime time.Time
 }
 
-// New takes over SIGHUP, which otherwise ends the process.
+// New returns a Reloader of the file at path. It handles SIGHUP, which would otherwise
+// terminate the process.
 func New(path string) *Reloader {
 	r := &Reloader{path: path, changed: make(chan string, 1), signals: make(chan os.Signal, 1)}
 	signal.Notify(r.signals, syscall.SIGHUP)
@@ -30,10 +31,11 @@
 	return r
 }
 
-// Changed delivers the cause whenever the file should be read again.
+// Changed returns a channel that receives the cause whenever the file should be reloaded.
 func (r *Reloader) Changed() <-chan string { return r.changed }
 
-// Run watches until the context ends, and reports its end.
+// Run watches the file until the context is canceled. The returned channel then receives
+// nil.
 func (r *Reloader) Run(ctx context.Context) <-chan error {
 	done := make(chan error, 1)
 	go func() {
@@ -56,8 +58,8 @@
 	return done
 }
 
-// poll compares the file's time of change. A file that is missing for a moment,
-// while it is replaced, is looked at again at the next round.
+// poll reports a change if the file's modification time differs from the last one. A file
+// that is missing, as it briefly is while being replaced, is checked again at the next poll.
 func (r *Reloader) poll() {
 	modTime, err := r.modTime()
 	if err != nil || modTime.Equal(r.lastModTime) {
@@ -75,7 +77,8 @@
 	return info.ModTime(), nil
 }
 
-// notify hands the cause on; one that waits already is enough.
+// notify sends the cause to Changed. It is dropped if another one is pending, since one
+// reload covers both.
 func (r *Reloader) notify(cause string) {
 	select {
 	case r.changed <- cause:
--- a/balancer/internal/runner/runner.go
+++ b/balancer/internal/runner/runner.go
@@ -1,5 +1,5 @@
-// Package runner is the daemon: it feeds events to the reducer, one after
-// another, and carries its effects out.
+// Package runner is the daemon of a host that relays requests to CoAP targets. It passes
+// events to the reducer one at a time and executes the effects that the reducer returns.
 package runner
 
 import (
@@ -30,7 +30,7 @@
 	"go.uber.org/zap"
 )
 
-// eventQueueSize bounds the events that wait for the reducer.
+// eventQueueSize limits the events queued for the reducer.
 const eventQueueSize = 8192
 
 // Runner is one host's daemon.
@@ -76,8 +76,8 @@
 		SeedHosts:   slices.Sorted(maps.Keys(config.Seeds)),
 		Start:       r.now(),
 	})
-	// Until the tree is known, only its key lets peers answer. Without it a key
-	// that nobody knows keeps everybody out.
+	// Until the host has the settings tree, it exchanges messages only with peers that
+	// have the seed key. Without a seed key, a random one makes it reject all messages.
 	key := config.SeedKey
 	if key == "" {
 		key = resolver.Secret(rand.Text())
@@ -120,14 +120,14 @@
 	}
 }
 
-// now is the host's monotonic clock. It starts above zero, since zero stands
+// now reads the host's monotonic clock. The clock starts above zero, since zero stands
 // for no deadline.
 func (r *Runner) now() timekeeper.Instant {
 	return timekeeper.Instant(time.Since(r.startTime) + time.Second)
 }
 
-// Run serves until leave ends and the host has left, or until ctx ends, which
-// ends it at once. Each part runs until the host has left.
+// Run serves until shutdown is closed and the graceful shutdown is complete, or until ctx
+// is canceled, which stops the host at once. All components run until then.
 func (r *Runner) Run(ctx context.Context, shutdown <-chan struct{}) error {
 	componentCtx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -146,7 +146,7 @@
 	return err
 }
 
-// loop is the only place that touches the reducer.
+// loop handles all events. It is the only goroutine that accesses the reducer.
 func (r *Runner) loop(ctx context.Context, shutdown <-chan struct{}, componentErrors <-chan error) error {
 	ticker := time.NewTicker(reducer.TickInterval)
 	defer ticker.Stop()
@@ -175,8 +175,8 @@
 	}
 }
 
-// announce tells the fabric, at once when it changes and then regularly,
-// whether this host takes packets.
+// announce reports to the fabric whether this host accepts packets: immediately when that
+// changes, and then once per interval.
 func (r *Runner) announce() {
 	const announceInterval = 200 * time.Millisecond
 	accepting := r.reducer.Accepting()
@@ -189,7 +189,7 @@
 	r.carrier.Announce(r.config.Name, accepting)
 }
 
-// executeEffects executes effects and reports whether the host has left.
+// executeEffects executes effects and reports whether the graceful shutdown is complete.
 func (r *Runner) executeEffects(ctx context.Context, effects []reducer.Effect) bool {
 	for _, effect := range effects {
 		switch e := effect.(type) {
--- a/balancer/main.go
+++ b/balancer/main.go
@@ -17,7 +17,7 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// The exit codes.
+// Exit codes.
 const (
 	exitOK          = 0
 	exitFailed      = 1
@@ -34,15 +34,15 @@
 		Name:  "cranberryspan",
 		Usage: "run one entry host of the load balancer",
 		Flags: []cli.Flag{
-			flag("config", "YAML file with the values below"),
+			flag("config", "YAML file that sets the values of the flags below"),
 			flag("name", "this host's name in the settings tree"),
 			flag("address", "address for peers, UDP and TCP, such as 10.0.0.1:7000"),
 			flag("fabricAddress", "address for packets from the fabric"),
 			flag("fabric", "address of the fabric"),
 			flag("platform", "URL of the platform's service"),
 			flag("admin", "address for status and metrics over HTTP"),
-			flag("seeds", "other hosts to ask for settings while the platform is down: NAME=ADDRESS,..."),
-			flag("seedKey", "a peer key of the tree, for these; better set in the environment"),
+			flag("seeds", "other hosts to request settings from while the platform is down: NAME=ADDRESS,..."),
+			flag("seedKey", "a peer key of the settings tree, for messages to the seeds; prefer the environment to this flag"),
 			flag("logLevel", "debug, info, warn or error"),
 		},
 		Action: func(ctx context.Context, command *cli.Command) error {
@@ -58,13 +58,13 @@
 	return code
 }
 
-// flag makes a flag that the environment can set too; flags go first, then the
-// environment, then the file.
+// flag returns a flag that can also be set in the environment. Flags take precedence over
+// the environment, which takes precedence over the file.
 func flag(name, usage string) cli.Flag {
 	return &cli.StringFlag{Name: name, Usage: usage, Sources: cli.EnvVars("CRANBERRYSPAN_" + envVarName(name))}
 }
 
-// envVarName writes a camel-case name as an environment variable: fabricAddress
+// envVarName converts a camel-case name to that of an environment variable: fabricAddress
 // becomes FABRIC_ADDRESS.
 func envVarName(name string) string {
 	var result []rune
@@ -113,9 +113,9 @@
 	return runUntilSignal(ctx, host.Run)
 }
 
-// runUntilSignal lets the host leave at the first signal. A second SIGINT, as a person
-// sends it, ends it at once; a second SIGTERM does not: supervisors repeat it, and
-// the host would cut what it is about to finish.
+// runUntilSignal runs the host and shuts it down gracefully at the first SIGTERM or SIGINT.
+// A later SIGINT, which a person sends, stops the host at once. A later SIGTERM does not,
+// since supervisors send it repeatedly, and requests about to finish would be interrupted.
 func runUntilSignal(ctx context.Context, run func(ctx context.Context, shutdown <-chan struct{}) error) int {
 	ctx, abort := context.WithCancel(ctx)
 	defer abort()
@@ -143,8 +143,8 @@
 	return exitOK
 }
 
-// newLogger makes a logger that writes one line of key=value pairs an event,
-// and of a line that repeats only a few a second.
+// newLogger returns a logger that writes one line of key=value pairs per event. Lines with
+// the same message are limited to linesPerSecond.
 func newLogger(level string) (*zap.Logger, error) {
 	const (
 		linesPerSecond  = 5
