--- a/balancer/internal/flowrunner/metrics.go
+++ b/balancer/internal/flowrunner/metrics.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// flushInterval is the age that a figure may have when it is read. Operators
-	// read every 5 s.
+	// flushInterval is the maximum age of exported metrics. Operators read them every
+	// 5 s.
 	flushInterval = 2 * time.Second
-	// maxRouteHistograms bounds the histograms, of which a fleet may have thousands of
-	// routes; those beyond the bound share one.
+	// maxRouteHistograms limits the number of latency histograms, since a fleet may have
+	// thousands of routes. The routes beyond the limit share one histogram.
 	maxRouteHistograms = 64
 	// otherRoutesLabel names the histogram of the routes beyond maxRouteHistograms.
 	otherRoutesLabel = "other"
 )
 
-// metrics keeps a host's figures for operators.
+// metrics exports a host's metrics.
 type metrics struct {
 	exporter          *exporter.Exporter
 	latencyHistograms map[string]tally.Histogram
 }
 
-// recordLatency records how long a request took until its caller acknowledged the
-// answer's first bytes, as seen from this host.
+// recordLatency records the time from a request to its caller's acknowledgment of the first
+// bytes of the response, as seen by this host.
 func (m *metrics) recordLatency(e *steerer.ObserveLatency) {
 	name := e.Route.Name
 	histogram, ok := m.latencyHistograms[name]
@@ -46,7 +46,7 @@
 func (r *Runner) collect(ctx context.Context) {
 	var snapshot steerer.Snapshot
 	if r.inspector.Inspect(ctx, func(s *steerer.Steerer) { snapshot = s.Snapshot() }) != nil {
-		return // The host is about to end.
+		return // The host is shutting down.
 	}
 	e := r.metrics.exporter
 	snapshot.Counters.Each(func(name string, value uint64) { e.SetCounter("decisions", name, value) })
@@ -76,7 +76,7 @@
 	e.Scope.Gauge("ready").Update(exporter.BoolToFloat(snapshot.Ready))
 }
 
-// transportCounters lists what the parts count, by name.
+// transportCounters returns functions that read the counters of the components, by name.
 func (r *Runner) transportCounters() map[string]func() uint64 {
 	return map[string]func() uint64{
 		"packets":               r.forwarder.Counters.Received.Load,
--- a/balancer/internal/flowrunner/reload.go
+++ b/balancer/internal/flowrunner/reload.go
@@ -6,8 +6,8 @@
 	"go.uber.org/zap"
 )
 
-// reload reads the host's settings again. What can change while the host runs is
-// taken over; a file with a fault changes nothing.
+// reload reads the host's settings file again. It applies changes of seeds and platform, and
+// logs whether other changes need a restart. An invalid file changes nothing.
 func (r *Runner) reload(cause string) steerer.Event {
 	config, err := configurer.ReadFlowFile(r.path)
 	if err != nil {
--- a/balancer/internal/flowrunner/state.go
+++ b/balancer/internal/flowrunner/state.go
@@ -8,7 +8,8 @@
 	"go.uber.org/zap"
 )
 
-// serveState answers operators with a part of the host's state, as JSON.
+// serveState returns a handler that responds with the part of the host's state that read
+// returns, as JSON.
 func serveState[T any](r *Runner, read func(*steerer.Steerer) T) http.HandlerFunc {
 	return func(w http.ResponseWriter, request *http.Request) {
 		var state T
--- a/balancer/internal/gatherer/gatherer.go
+++ b/balancer/internal/gatherer/gatherer.go
@@ -1,20 +1,21 @@
-// Package gatherer waits for the ends of a program's parts.
+// Package gatherer waits for the concurrent components of a program to stop and collects
+// their errors.
 package gatherer
 
-// Component is a running part of a program, with the number of values that its
-// channel gets.
+// Component is a running component of a program. Results receives ResultCount values, one
+// from each of its goroutines when that stops: its error, or nil.
 type Component struct {
 	Results     <-chan error
 	ResultCount int
 }
 
-// Group gathers the ends of parts.
+// Group collects the results of components.
 type Group struct {
 	firstError chan error
 	allDone    chan struct{}
 }
 
-// New gathers the ends of parts until all have ended.
+// New returns a Group that collects results until all components have stopped.
 func New(components ...Component) Group {
 	group := Group{firstError: make(chan error, 1), allDone: make(chan struct{})}
 	finished := make(chan struct{})
@@ -46,8 +47,9 @@
 	}
 }
 
-// FirstError delivers the first failure of a part, if there is one.
+// FirstError returns a channel that receives the first error of any component. It receives
+// nothing if all components stop without an error.
 func (g Group) FirstError() <-chan error { return g.firstError }
 
-// Wait returns when every part has ended.
+// Wait returns when every component has stopped.
 func (g Group) Wait() { <-g.allDone }
--- a/balancer/internal/inspector/inspector.go
+++ b/balancer/internal/inspector/inspector.go
@@ -1,31 +1,33 @@
-// Package inspector lets other goroutines look at the state of decisions, which
-// belongs to one loop, between two of its events.
+// Package inspector lets other goroutines read state that belongs to an event loop. The loop
+// runs their functions between two events, so the state needs no lock.
 package inspector
 
 import "context"
 
-// Request is one look that waits for its turn. The loop calls Run with its state.
+// Request is a function that waits to be run by the loop, which calls Run with its state.
 type Request[T any] struct {
 	fn   func(T)
 	done chan struct{}
 }
 
-// Run looks, and lets the asker go on.
+// Run calls the function with state and unblocks the goroutine that requested it.
 func (r Request[T]) Run(state T) {
 	r.fn(state)
 	close(r.done)
 }
 
-// Inspector hands looks to the loop.
+// Inspector passes functions from other goroutines to the loop.
 type Inspector[T any] struct{ requests chan Request[T] }
 
-// New makes an Inspector.
+// New returns an Inspector of an event loop with state of type T.
 func New[T any]() Inspector[T] { return Inspector[T]{requests: make(chan Request[T])} }
 
-// Requests delivers the looks to the loop.
+// Requests returns the channel from which the loop receives requests.
 func (i Inspector[T]) Requests() <-chan Request[T] { return i.requests }
 
-// Inspect runs a function between two events, and returns when it has run.
+// Inspect has the loop call fn between two events, and returns when fn has returned. It
+// returns the context's error, without calling fn, if ctx is canceled before the loop
+// accepts the request.
 func (i Inspector[T]) Inspect(ctx context.Context, fn func(T)) error {
 	request := Request[T]{fn: fn, done: make(chan struct{})}
 	select {
--- a/balancer/internal/meterer/meterer.go
+++ b/balancer/internal/meterer/meterer.go
@@ -1,6 +1,6 @@
-// Package meterer counts the bytes of connections that are not callers' flows: reads of
-// the platform, and answers between hosts. The steerer must know of them, since they
-// hold up the packets of flows on a small link.
+// Package meterer counts the bytes of connections other than callers' flows: platform reads,
+// and sync requests between hosts. The steerer has to account for them, since they delay the
+// packets of flows on a slow link.
 package meterer
 
 import (
@@ -17,7 +17,7 @@
 	dialer   net.Dialer
 }
 
-// New makes a Meterer.
+// New returns a Meter with all counts at 0.
 func New() *Meter { return &Meter{} }
 
 // Totals returns the bytes received and sent so far.
@@ -34,7 +34,7 @@
 	return &meteredConn{Conn: conn, meter: m}, nil
 }
 
-// WrapListener returns a listener whose connections are counted.
+// WrapListener returns a listener that counts the bytes of the connections it accepts.
 func (m *Meter) WrapListener(listener net.Listener) net.Listener {
 	return &meteredListener{Listener: listener, meter: m}
 }
--- a/balancer/internal/readier/readier.go
+++ b/balancer/internal/readier/readier.go
@@ -1,4 +1,4 @@
-// Package readier tells the fabric over HTTP whether this host takes packets.
+// Package readier serves the fabric's readiness checks over HTTP.
 package readier
 
 import (
@@ -12,13 +12,13 @@
 	"time"
 )
 
-// Kind tells callers which sort of failure an Error is.
+// Kind classifies errors.
 type Kind uint8
 
-// KindListen means that the address can't be served.
+// KindListen means that the host can't listen on the address for readiness checks.
 const KindListen Kind = 1
 
-// Error is the one error type of this package.
+// Error is the error type of this package.
 type Error struct {
 	Op   string
 	Kind Kind
@@ -30,17 +30,17 @@
 // Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.Err }
 
-// headerTimeout ends connections on which no question comes.
+// headerTimeout closes connections on which no request arrives.
 const headerTimeout = 5 * time.Second
 
-// Server answers whether the host is ready.
+// Server serves readiness checks: status 200 while the host accepts packets, otherwise 503.
 type Server struct {
 	listener net.Listener
 	path     string
 	ready    atomic.Bool
 }
 
-// New listens on an address.
+// New listens on an address. path is the path of the readiness checks.
 func New(address netip.AddrPort, path string) (*Server, error) {
 	listener, err := net.Listen("tcp4", address.String())
 	if err != nil {
@@ -49,10 +49,11 @@
 	return &Server{listener: listener, path: path}, nil
 }
 
-// SetReady changes the answer.
+// SetReady sets whether the host is ready; at first it is not.
 func (s *Server) SetReady(ready bool) { s.ready.Store(ready) }
 
-// Run answers until the context ends, and reports its end.
+// Run serves until the context is canceled. The returned channel receives the error that
+// stopped it, or nil.
 func (s *Server) Run(ctx context.Context) <-chan error {
 	done := make(chan error, 1)
 	mux := http.NewServeMux()
--- a/balancer/internal/reporter/reporter.go
+++ b/balancer/internal/reporter/reporter.go
@@ -1,5 +1,5 @@
-// Package reporter shows operators what a host does: metrics, health, status
-// and flows over HTTP.
+// Package reporter serves a host's metrics, health, readiness, status and flows to
+// operators over HTTP.
 package reporter
 
 import (
@@ -22,17 +22,18 @@
 	maxFlowLimit     = 10_000
 )
 
-// InspectFunc runs a function on the host's reducer, between two events.
+// InspectFunc runs a function on the host's reducer, between two of its events.
 type InspectFunc func(ctx context.Context, fn func(*reducer.Reducer)) error
 
-// Reporter shows a host to operators.
+// Reporter exports the state of one host.
 type Reporter struct {
 	inspect  InspectFunc
 	exporter *exporter.Exporter
 	counters map[string]func() uint64
 }
 
-// New listens on the admin address. gauges are counters of other parts by name.
+// New listens on the admin address. counters read the counters of other components, by
+// name.
 func New(admin netip.AddrPort, host string, inspect InspectFunc, counters map[string]func() uint64) (*Reporter, error) {
 	e, err := exporter.New(admin, host, flushInterval)
 	if err != nil {
@@ -41,13 +42,13 @@
 	return &Reporter{inspect: inspect, exporter: e, counters: counters}, nil
 }
 
-// RecordLatency records the latency of a request for its tenant and service.
+// RecordLatency adds the latency of a request to the histogram of its tenant and service.
 func (r *Reporter) RecordLatency(service *resolver.Service, latency time.Duration) {
 	r.exporter.Histogram("request_latency", map[string]string{"tenant": service.Tenant, "service": service.Name}).RecordDuration(latency)
 }
 
-// Run serves until the context ends, and reports the ends of its server and its
-// collector on the returned channel, which gets two values.
+// Run serves until the context is canceled. The returned channel receives two values: the
+// errors, or nil, that stopped the server and the collector.
 func (r *Reporter) Run(ctx context.Context) <-chan error {
 	r.exporter.Mux.HandleFunc("GET /readyz", r.serveReady)
 	r.exporter.Mux.HandleFunc("GET /status", r.serveStatus)
@@ -55,7 +56,7 @@
 	return r.exporter.Run(ctx, r.collect)
 }
 
-// collect copies counters and gauges into the metrics.
+// collect copies the host's counters and state into the metrics.
 func (r *Reporter) collect(ctx context.Context) {
 	var snapshot reducer.Snapshot
 	if r.inspect(ctx, func(host *reducer.Reducer) { snapshot = host.Snapshot() }) != nil {
