--- a/operator/internal/asker/asker.go
+++ b/operator/internal/asker/asker.go
@@ -1,4 +1,4 @@
-// Package asker reads the state of hosts over their admin addresses.
+// Package asker reads the state of hosts from their admin addresses over HTTP.
 package asker
 
 import (
@@ -14,18 +14,18 @@
 	"cranberryspan.dev/core/steerer"
 )
 
-// Kind tells callers which sort of failure an Error is.
+// Kind classifies errors.
 type Kind uint8
 
 // The kinds of Error.
 const (
-	// KindUnreachable means that a host did not answer.
+	// KindUnreachable means that a host did not respond.
 	KindUnreachable Kind = iota + 1
-	// KindInvalidResponse means that a host's answer makes no sense.
+	// KindInvalidResponse means that a host responded with an error or with invalid JSON.
 	KindInvalidResponse
 )
 
-// Error is the one error type of this package.
+// Error is the error type of this package.
 type Error struct {
 	Op   string
 	Kind Kind
@@ -42,12 +42,12 @@
 	maxResponseBytes = 16 << 20
 )
 
-// Client asks hosts.
+// Client reads the state of hosts.
 type Client struct {
 	client *http.Client
 }
 
-// New makes an Asker.
+// New returns a Client whose requests time out after 3 s.
 func New() *Client { return &Client{client: &http.Client{Timeout: timeout}} }
 
 // Status reads a host's snapshot. admin is an address such as 10.0.0.1:9000.
@@ -55,23 +55,23 @@
 	return get[reducer.Snapshot](ctx, c.client, admin, "/status", nil)
 }
 
-// Flows reads at most limit flows that a host remembers.
+// Flows reads at most limit entries of a host's flow table.
 func (c *Client) Flows(ctx context.Context, admin string, limit int) ([]reducer.FlowStatus, error) {
 	return get[[]reducer.FlowStatus](ctx, c.client, admin, "/flows", url.Values{"limit": {fmt.Sprint(limit)}})
 }
 
-// Targets reads what a host of the flow edge believes of its targets.
+// Targets reads the state of all targets as estimated by a flow host.
 func (c *Client) Targets(ctx context.Context, admin string) ([]steerer.TargetStatus, error) {
 	return get[[]steerer.TargetStatus](ctx, c.client, admin, "/targets", nil)
 }
 
-// Knowledge reads what a host of the flow edge knows, and from whom.
+// Knowledge reads which settings and targets a flow host has, and who confirmed them.
 func (c *Client) Knowledge(ctx context.Context, admin string) (steerer.SyncStatus, error) {
 	return get[steerer.SyncStatus](ctx, c.client, admin, "/knowledge", nil)
 }
 
 func get[T any](ctx context.Context, client *http.Client, admin, path string, query url.Values) (T, error) {
-	op := "ask host at " + admin
+	op := "query host at " + admin
 	var value T
 	address := url.URL{Scheme: "http", Host: admin, Path: path, RawQuery: query.Encode()}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, address.String(), nil)
--- a/operator/internal/printer/printer.go
+++ b/operator/internal/printer/printer.go
@@ -1,4 +1,4 @@
-// Package printer writes what spanctl found, as text for people or as JSON for
+// Package printer writes the output of spanctl, as text for people or as JSON for
 // programs.
 package printer
 
@@ -14,16 +14,16 @@
 	"cranberryspan.dev/core/resolver"
 )
 
-// Format is how output is written.
+// Format is an output format.
 type Format string
 
-// The formats.
+// Output formats.
 const (
 	FormatText Format = "text"
 	FormatJSON Format = "json"
 )
 
-// ParseFormat reads a format.
+// ParseFormat parses the name of a format.
 func ParseFormat(text string) (Format, error) {
 	switch f := Format(text); f {
 	case FormatText, FormatJSON:
@@ -32,7 +32,7 @@
 	return "", &Error{Op: "parse output format", Err: fmt.Errorf("%q: expected text or json", text)}
 }
 
-// Error is the one error type of this package.
+// Error is the error type of this package.
 type Error struct {
 	Op  string
 	Err error
@@ -43,16 +43,16 @@
 // Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Printer writes to one place in one format.
+// Printer writes to one writer in one format.
 type Printer struct {
 	out    io.Writer
 	format Format
 }
 
-// New makes a Printer.
+// New returns a Printer that writes to out.
 func New(out io.Writer, format Format) Printer { return Printer{out: out, format: format} }
 
-// Print writes a value: text gets it as rows, JSON as it is.
+// print writes a value: as JSON, or as the rows of a table that text writes.
 func (p Printer) print(value any, text func(w io.Writer)) error {
 	if p.format == FormatJSON {
 		encoder := json.NewEncoder(p.out)
@@ -80,7 +80,7 @@
 	_, _ = fmt.Fprintln(w)
 }
 
-// Findings writes what is wrong with a settings document.
+// Findings writes the errors found in a settings tree.
 func (p Printer) Findings(findings []resolver.Finding) error {
 	return p.print(findings, func(w io.Writer) {
 		for _, f := range findings {
@@ -89,7 +89,8 @@
 	})
 }
 
-// ValidTree writes that a document is valid.
+// ValidTree writes that a settings tree is valid, and how many hosts, services and targets
+// it has.
 func (p Printer) ValidTree(file string, settings *resolver.Settings) error {
 	targets := 0
 	for _, s := range settings.Services {
@@ -121,7 +122,7 @@
 	})
 }
 
-// Changes writes the differences between two documents.
+// Changes writes the differences between two settings trees.
 func (p Printer) Changes(changes []resolver.Change) error {
 	return p.print(changes, func(w io.Writer) {
 		if len(changes) == 0 {
@@ -133,7 +134,7 @@
 	})
 }
 
-// HostStatus is what one host said, or why it said nothing.
+// HostStatus is the status of one host, or the error of reading it.
 type HostStatus struct {
 	Admin    string            `json:"admin"`
 	Snapshot *reducer.Snapshot `json:"snapshot,omitempty"`
@@ -187,7 +188,8 @@
 	writeRow(w, s.Host, strings.Join(parts, " "))
 }
 
-// writeTargets sums what hosts have in flight at each target.
+// writeTargets writes a table of targets with their in-flight and queued requests, summed
+// over hosts, and the number of hosts that eject them.
 func writeTargets(w io.Writer, hosts []HostStatus) {
 	type sum struct {
 		state                     string
@@ -222,7 +224,7 @@
 	}
 }
 
-// Flows writes the flows of a host.
+// Flows writes entries of a host's flow table.
 func (p Printer) Flows(flows []reducer.FlowStatus) error {
 	return p.print(flows, func(w io.Writer) {
 		writeRow(w, "CALLER", "SERVICE", "TARGET", "LONG", "EXCEPTION", "OWNER")
--- a/operator/internal/printer/published.go
+++ b/operator/internal/printer/published.go
@@ -20,7 +20,8 @@
 	})
 }
 
-// ValidPublished writes that a published version has no faults.
+// ValidPublished writes that a published version is valid, and how many routes and services
+// it has.
 func (p Printer) ValidPublished(file string, settings *steerer.Settings) error {
 	summary := struct {
 		File     string `json:"file"`
@@ -34,7 +35,7 @@
 	})
 }
 
-// PublishedFindings writes what is wrong with a published version.
+// PublishedFindings writes the errors found in a published version, and their effects.
 func (p Printer) PublishedFindings(findings []steerer.Finding) error {
 	return p.print(findings, func(w io.Writer) {
 		writeRow(w, "PATH", "PROBLEM", "EFFECT")
@@ -44,7 +45,7 @@
 	})
 }
 
-// Differences writes what a change of published settings does.
+// Differences writes the differences between two published versions, and their effects.
 func (p Printer) Differences(differences []steerer.Difference) error {
 	return p.print(differences, func(w io.Writer) {
 		if len(differences) == 0 {
@@ -58,15 +59,15 @@
 	})
 }
 
-// HostTargets is what one host believes of its targets, or why it said nothing.
+// HostTargets is the state of targets as estimated by one host, or the error of reading it.
 type HostTargets struct {
 	Admin   string                 `json:"admin"`
 	Targets []steerer.TargetStatus `json:"targets,omitempty"`
 	Error   string                 `json:"error,omitempty"`
 }
 
-// Targets writes what hosts believe of their targets. Text leaves out targets
-// without flows against which nothing speaks.
+// Targets writes the state of targets as estimated by hosts. Text output omits targets that
+// have no flows and are not avoided by new ones.
 func (p Printer) Targets(hosts []HostTargets) error {
 	return p.print(hosts, func(w io.Writer) {
 		writeRow(w, "HOST", "TARGET", "SERVICE", "ZONE", "SLOTS", "FLOWS", "BUSY", "PEERS BUSY", "SLOWNESS", "AVOIDED")
@@ -83,14 +84,15 @@
 	})
 }
 
-// HostKnowledge is what one host knows, or why it said nothing.
+// HostKnowledge is the sync status of one host, or the error of reading it.
 type HostKnowledge struct {
 	Admin     string              `json:"admin"`
 	Knowledge *steerer.SyncStatus `json:"knowledge,omitempty"`
 	Error     string              `json:"error,omitempty"`
 }
 
-// Knowledge writes what hosts know of settings and targets, and from whom.
+// Knowledge writes which versions of settings and targets hosts have, how old these are, and
+// who confirmed them.
 func (p Printer) Knowledge(hosts []HostKnowledge) error {
 	return p.print(hosts, func(w io.Writer) {
 		writeRow(w, "HOST", "NAME", "VERSION", "FROM", "AGE", "CONFIRMED BY", "EVACUATED", "ERA", "REVISION", "AGE", "CONFIRMED BY", "RANK", "LIVE", "PLATFORM")
@@ -109,8 +111,8 @@
 	})
 }
 
-// formatEra writes the era of the platform's history that a host's targets are of, and the newest
-// that it has heard of if that is another.
+// formatEra formats the era of the platform's store that a host's targets belong to, with
+// the newest era that the host knows of if that is a later one.
 func formatEra(k *steerer.SyncStatus) string {
 	switch {
 	case k.Era == 0:
@@ -121,7 +123,7 @@
 	return fmt.Sprint(k.Era)
 }
 
-// formatEvacuated names the zones that a host knows to be evacuated.
+// formatEvacuated lists the zones that are evacuated according to a host.
 func formatEvacuated(k *steerer.SyncStatus) string {
 	switch {
 	case k.OrdersRevision == 0:
@@ -132,5 +134,5 @@
 	return strings.Join(k.Evacuated, ",")
 }
 
-// formatAge writes an age for people.
+// formatAge formats an age, rounded to 10 ms.
 func formatAge(age time.Duration) string { return age.Round(10 * time.Millisecond).String() }
--- a/operator/main.go
+++ b/operator/main.go
@@ -1,5 +1,5 @@
-// Command spanctl is the operators' command line: it checks and explains
-// settings trees before they are published, and shows what hosts do.
+// Command spanctl is the operators' command line: it checks and explains settings, before
+// they are published or after, and shows the state of hosts.
 package main
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-// The exit codes.
+// Exit codes.
 const (
 	exitOK          = 0
 	exitInvalid     = 1
@@ -53,7 +53,7 @@
 func newCommand(out io.Writer) *cli.Command {
 	return &cli.Command{
 		Name:                  "spanctl",
-		Usage:                 "check and explain settings, and look at hosts",
+		Usage:                 "check and explain settings, and show the state of hosts",
 		EnableShellCompletion: true,
 		Writer:                out,
 		ExitErrHandler:        func(context.Context, *cli.Command, error) {},
@@ -61,16 +61,16 @@
 			&cli.StringFlag{Name: "output", Value: "text", Usage: "text or json"},
 		},
 		Commands: []*cli.Command{
-			{Name: "check", Usage: "report everything that is wrong with a settings tree, or with published settings", ArgsUsage: "FILE", Action: check(out)},
+			{Name: "check", Usage: "report all errors in a settings tree, or in published settings", ArgsUsage: "FILE", Action: check(out)},
 			{Name: "explain", Usage: "list the values in force at a path, or for a published route or service, and where they come from", ArgsUsage: "FILE PATH", Action: explain(out)},
-			{Name: "diff", Usage: "list what a change alters and what it does to flows", ArgsUsage: "OLD NEW", Action: diff(out)},
-			{Name: "routes", Usage: "show published routes, or what a change of them does to flows", ArgsUsage: "FILE [NEW]", Action: routes(out)},
-			{Name: "quotas", Usage: "list the quotas of a flow host's file, or those that touch a caller", ArgsUsage: "FILE [CALLER]", Action: quotas(out)},
+			{Name: "diff", Usage: "list the changes between two files and their effects on flows", ArgsUsage: "OLD NEW", Action: diff(out)},
+			{Name: "routes", Usage: "show published routes, or the effects on flows of changing them", ArgsUsage: "FILE [NEW]", Action: routes(out)},
+			{Name: "quotas", Usage: "list the quotas in a flow host's settings file, or those that apply to a caller", ArgsUsage: "FILE [CALLER]", Action: quotas(out)},
 			{Name: "status", Usage: "show the state of hosts", ArgsUsage: "ADMIN...", Action: status(out)},
-			{Name: "knowledge", Usage: "show which version and revision hosts of the flow edge know, how old that is, and from whom", ArgsUsage: "ADMIN...", Action: knowledge(out)},
-			{Name: "targets", Usage: "show what hosts of the flow edge believe of their targets, and why new flows avoid some", ArgsUsage: "ADMIN...", Action: targets(out)},
-			{Name: "flows", Usage: "list flows that a host remembers", ArgsUsage: "ADMIN", Action: flows(out), Flags: []cli.Flag{
-				&cli.IntFlag{Name: "limit", Value: 20, Usage: "how many at most"},
+			{Name: "knowledge", Usage: "show which versions of settings and targets flow hosts have, how old these are, and who confirmed them", ArgsUsage: "ADMIN...", Action: knowledge(out)},
+			{Name: "targets", Usage: "show the state of targets as estimated by flow hosts, and why new flows avoid some", ArgsUsage: "ADMIN...", Action: targets(out)},
+			{Name: "flows", Usage: "list flows in a host's flow table", ArgsUsage: "ADMIN", Action: flows(out), Flags: []cli.Flag{
+				&cli.IntFlag{Name: "limit", Value: 20, Usage: "maximum number of flows"},
 			}},
 		},
 	}
@@ -84,7 +84,7 @@
 	return printer.New(out, format), nil
 }
 
-// parseArgs checks the number of arguments and makes the printer.
+// parseArgs returns the command's arguments, of which there must be n, and a printer.
 func parseArgs(out io.Writer, command *cli.Command, n int) ([]string, printer.Printer, error) {
 	if command.Args().Len() != n {
 		return nil, printer.Printer{}, errors.Newf("usage: spanctl %s %s", command.Name, command.ArgsUsage)
@@ -158,7 +158,8 @@
 	}
 }
 
-// valuesAt lists what is in force at a path of either sort of settings.
+// valuesAt lists the values in force at a path of a settings tree, or for a published route
+// or service.
 func valuesAt(file settingsFile, path string) ([]resolver.Value, error) {
 	if file.isPublished() {
 		return explainPublished(file, path)
@@ -275,7 +276,8 @@
 	}
 }
 
-// parseHostArgs checks that hosts are named and makes the printer.
+// parseHostArgs checks that the command has at least one host as argument, and returns a
+// printer.
 func parseHostArgs(out io.Writer, command *cli.Command) (printer.Printer, error) {
 	if command.Args().Len() == 0 {
 		return printer.Printer{}, errors.Newf("usage: spanctl %s %s", command.Name, command.ArgsUsage)
@@ -283,8 +285,8 @@
 	return newPrinter(out, command)
 }
 
-// forEachHost asks every host that the command names, also after one failed, and returns
-// the last failure.
+// forEachHost calls visit for each host in the command's arguments, even if it fails for
+// some, and returns the last error.
 func forEachHost(command *cli.Command, visit func(admin string) error) error {
 	var lastErr error
 	for _, admin := range command.Args().Slice() {
--- a/operator/quotas.go
+++ b/operator/quotas.go
@@ -13,12 +13,13 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// quotaFile is the part of a host's file that bounds callers.
+// quotaFile is the part of a flow host's settings file that contains quotas.
 type quotaFile struct {
 	Quotas []throttler.QuotaSpec `yaml:"quotas"`
 }
 
-// quotas lists the quotas of a host's file, or those that touch a caller.
+// quotas returns the action that lists the quotas in a flow host's settings file, or those
+// that apply to a caller.
 func quotas(out io.Writer) cli.ActionFunc {
 	return func(_ context.Context, command *cli.Command) error {
 		args := command.Args().Slice()
@@ -44,7 +45,8 @@
 	}
 }
 
-// readQuotas reads and checks the quotas of a host's file. The rest of the file isn't checked.
+// readQuotas reads and validates the quotas in a settings file. The rest of the file is not
+// validated.
 func readQuotas(path string) ([]throttler.Quota, error) {
 	file, err := readSettingsFile(path)
 	if err != nil {
@@ -57,7 +59,7 @@
 	return throttler.ParseQuotas(text.Quotas)
 }
 
-// quotasForCaller returns the quotas that count a caller's requests, on whatever route.
+// quotasForCaller returns the quotas that apply to a caller's requests on any route.
 func quotasForCaller(all []throttler.Quota, caller netip.Addr) []throttler.Quota {
 	var matching []throttler.Quota
 	for _, q := range all {
@@ -68,7 +70,7 @@
 	return matching
 }
 
-// quotaValues writes quotas in the form in which the printer lists settings.
+// quotaValues converts quotas to the values that the printer lists.
 func quotaValues(all []throttler.Quota) []resolver.Value {
 	values := make([]resolver.Value, 0, len(all))
 	for _, q := range all {
--- a/operator/routes.go
+++ b/operator/routes.go
@@ -10,8 +10,8 @@
 	"github.com/urfave/cli/v3"
 )
 
-// routes shows the routes of settings as they are published on the operators'
-// platform, or what a change of them does.
+// routes returns the action that shows the routes of published settings, or the effects of
+// changing them.
 func routes(out io.Writer) cli.ActionFunc {
 	return func(_ context.Context, command *cli.Command) error {
 		paths := command.Args().Slice()
@@ -45,8 +45,8 @@
 	}
 }
 
-// routeErrors is an error that names the routes that could not be read; nil if all
-// could.
+// routeErrors returns an error that names the routes that could not be decoded, nil if there
+// are none.
 func routeErrors(settings *steerer.Settings) error {
 	var combined error
 	for _, fault := range settings.RouteProblems {
--- a/operator/settings_file.go
+++ b/operator/settings_file.go
@@ -11,7 +11,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// settingsFile is a file of settings: a tree, or what operators published on their
+// settingsFile is a file with settings: a settings tree, or settings as published on the
 // platform.
 type settingsFile struct {
 	path     string
@@ -23,8 +23,8 @@
 	return settingsFile{path: path, document: document}, errors.Wrap(err, "read settings")
 }
 
-// isPublished tells published settings, which are a JSON object, from a tree, which
-// nobody writes that way.
+// isPublished reports whether the file contains published settings, which are a JSON object.
+// Settings trees are by convention YAML mappings in block style.
 func (s settingsFile) isPublished() bool {
 	return bytes.HasPrefix(bytes.TrimSpace(s.document), []byte("{"))
 }
@@ -38,8 +38,8 @@
 	return settings, errors.Wrapf(err, "%s", s.path)
 }
 
-// toValues turns what is in force for a published route or service into the form of
-// a tree's values.
+// toValues converts the values in force for a published route or service to those of a
+// settings tree.
 func toValues(inForce []steerer.EffectiveValue) []resolver.Value {
 	values := make([]resolver.Value, 0, len(inForce))
 	for _, v := range inForce {
@@ -48,7 +48,7 @@
 	return values
 }
 
-// explainPublished lists what is in force for a route or a service.
+// explainPublished lists the values in force for a published route or service.
 func explainPublished(s settingsFile, path string) ([]resolver.Value, error) {
 	settings, err := s.decodePublished()
 	if err != nil {
@@ -61,7 +61,7 @@
 	return toValues(inForce), nil
 }
 
-// readSettingsPair reads two files of the same sort.
+// readSettingsPair reads two files of the same kind.
 func readSettingsPair(before, after string) (older, newer settingsFile, err error) {
 	if older, err = readSettingsFile(before); err != nil {
 		return settingsFile{}, settingsFile{}, err
@@ -70,12 +70,13 @@
 		return settingsFile{}, settingsFile{}, err
 	}
 	if older.isPublished() != newer.isPublished() {
-		return settingsFile{}, settingsFile{}, errors.Newf("%s and %s are of two sorts: one is a tree, the other published settings", before, after)
+		return settingsFile{}, settingsFile{}, errors.Newf("%s and %s can't be compared: one is a settings tree, the other published settings", before, after)
 	}
 	return older, newer, nil
 }
 
-// diffPublished lists what a change does to flows.
+// diffPublished lists the differences between two published versions and their effects on
+// flows.
 func diffPublished(older, newer settingsFile) ([]steerer.Difference, error) {
 	before, err := older.decodePublished()
 	if err != nil {
