--- a/balancer/internal/carrier/carrier_test.go
+++ b/balancer/internal/carrier/carrier_test.go
@@ -26,7 +26,7 @@
 	control := make([]byte, controlBufferBytes)
 	_, n, _, _, err := conn.ReadMsgUDPAddrPort(make([]byte, 16), control)
 	require.NoError(t, err)
-	// Seen from an hour later, the datagram has waited for an hour.
+	// With the current time an hour later, the datagram has waited for an hour.
 	delay := socketDelay(control[:n], time.Now().Add(time.Hour))
 	require.InDelta(t, time.Hour.Seconds(), delay.Seconds(), 60)
 	require.Zero(t, socketDelay(control[:n], time.Now().Add(-time.Hour)), "a clock that went back")
@@ -34,9 +34,9 @@
 	require.Zero(t, socketDelay([]byte{1, 2, 3}, time.Now()))
 }
 
-// Symptom: a host that was paused sends what it decided before.
-// Sequence: the reducer decides to send; the process sleeps; it wakes after the
-// host's right has ended. Cause: a decision without an end.
+// Guards against a host sending packets without permission after a pause: when the process
+// is paused between the reducer's decision to send and the send itself, and resumes after
+// the host's permission has expired, the packet must be dropped.
 func TestSendAfterDeadlineIsFenced(t *testing.T) {
 	fabric, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(t, err)
--- a/balancer/internal/exchanger/exchanger_test.go
+++ b/balancer/internal/exchanger/exchanger_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// unusedAddress is an address of this host that nobody listens on.
+// unusedAddress returns a loopback address that nothing listens on.
 func unusedAddress(t *testing.T) netip.AddrPort {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -35,7 +35,8 @@
 	return list
 }
 
-// runExchange runs two hosts, one of which asks the other.
+// runExchange runs two hosts, one of which sends a sync request to the other, and returns
+// the resulting event.
 func runExchange(t *testing.T, handler RequestHandler) *steerer.SyncResponseReceived {
 	t.Helper()
 	decode := func(document []byte) (*steerer.Settings, error) {
@@ -56,8 +57,8 @@
 	return event
 }
 
-// All that a host knows arrives, as many targets as the two-year size has, and
-// takes little on the way.
+// Settings and targets arrive unchanged, with as many targets as are expected in two years,
+// and the targets are compressed well.
 func TestExchangeTransfersState(t *testing.T) {
 	all := makeTargets(3800)
 	event := runExchange(t, func(context.Context, *messenger.SyncRequest) (*messenger.SyncResponse, error) {
@@ -69,8 +70,8 @@
 	require.Less(t, len(event.Response.CompressedTargets), 60_000, "of some 350,000")
 }
 
-// Symptom: a host waits for ever for what it lacks. Sequence: the other takes the
-// connection and says nothing. Cause: questions without a time-out.
+// Guards against a host waiting forever for a sync response: when the other host accepts the
+// connection and does not respond, the request must time out.
 func TestRequestToUnresponsiveHostTimesOut(t *testing.T) {
 	start := time.Now()
 	event := runExchange(t, func(ctx context.Context, _ *messenger.SyncRequest) (*messenger.SyncResponse, error) {
@@ -83,15 +84,15 @@
 	require.Less(t, time.Since(start), 10*exchangeTimeout)
 }
 
-// Small links answer one question at a time, large ones some.
+// On a slow link a host serves one sync request at a time, on a fast one several.
 func TestConcurrentRequestLimitDependsOnLinkRate(t *testing.T) {
 	require.Equal(t, 1, concurrentRequestLimit(250_000))
 	require.Equal(t, 4, concurrentRequestLimit(25_000_000))
 	require.Equal(t, 4, concurrentRequestLimit(0))
 }
 
-// Failure: hosts that start together ask the few that know, and these compress the same list
-// of thousands of targets for each of them.
+// Guards against compressing the same list of thousands of targets for each sync request:
+// when many hosts start together, the few that have the list receive many requests.
 func TestFullTargetListIsCompressedOnce(t *testing.T) {
 	var x Exchanger
 	first := &messenger.SyncResponse{TargetsRevision: 9, Scope: messenger.ScopeFull, Targets: makeTargets(100)}
@@ -109,8 +110,8 @@
 	require.Len(t, changes.Targets, 1)
 }
 
-// Failure: a host that starts spares targets that have long been warm, because it was told a
-// list that was compressed while they were cold.
+// Guards against a starting host treating warm targets as cold: a full list compressed while
+// targets are cold must not be cached, since it contains the rest of their slow start.
 func TestTargetListWithColdTargetsIsNotCached(t *testing.T) {
 	var x Exchanger
 	cold := makeTargets(2)
--- a/balancer/internal/exporter/exporter_test.go
+++ b/balancer/internal/exporter/exporter_test.go
@@ -12,9 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: an alarm on a counter never fires, or fires for a host that is well.
-// Sequence: nothing was counted yet. Cause: counters that appear with their first
-// event only.
+// Guards against alerts that never fire, or that fire for a healthy host: a counter that is
+// exported only after its first event is missing while nothing has been counted.
 func TestZeroCountersAreExported(t *testing.T) {
 	e, err := New(netip.MustParseAddrPort("127.0.0.1:0"), "a1", 20*time.Millisecond)
 	require.NoError(t, err)
--- a/balancer/internal/logger/logger_test.go
+++ b/balancer/internal/logger/logger_test.go
@@ -11,7 +11,7 @@
 	"go.uber.org/zap"
 )
 
-// stalledWriter stands for a log whose reader has stalled.
+// stalledWriter is a log output whose reader stalls until release is closed.
 type stalledWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
@@ -25,8 +25,8 @@
 	return w.buffer.Write(p)
 }
 
-// Symptom: packets are late. Sequence: whoever reads the log stalls; lines go on.
-// Cause: writes that wait for the reader.
+// Guards against packets delayed by logging: when the log reader stalls and lines continue
+// to be written, writes must not wait for the reader.
 func TestWriteDoesNotBlockOnStalledOutput(t *testing.T) {
 	out := &stalledWriter{release: make(chan struct{})}
 	l := New(out)
@@ -51,7 +51,7 @@
 	require.Contains(t, out.buffer.String(), "msg=flowPlaced flow=100.64.0.1:1")
 }
 
-// The volume is bounded, and what was left out is counted.
+// The rate of lines is limited, and dropped lines are counted.
 func TestAllowLimitsLineRate(t *testing.T) {
 	l := New(&bytes.Buffer{})
 	allowed := 0
--- a/balancer/internal/meterer/meterer_test.go
+++ b/balancer/internal/meterer/meterer_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Each end counts what it sends and what it receives.
+// Each end of a connection counts the bytes that it sends and receives.
 func TestMeterCountsBothDirections(t *testing.T) {
 	inner, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/balancer/internal/reloader/reloader_test.go
+++ b/balancer/internal/reloader/reloader_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: the process ends at SIGHUP, or goes on with old settings.
-// Sequence: the file changes, with and without a signal. Cause: nobody looks.
+// Guards against SIGHUP terminating the process, and against a change of the settings file
+// going unnoticed, with a signal or without.
 func TestReloadOnSignalAndFileChange(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "host.yaml")
 	require.NoError(t, os.WriteFile(path, []byte("a"), 0o600))
--- a/operator/main_test.go
+++ b/operator/main_test.go
@@ -49,7 +49,7 @@
 	return code, stdout.String(), stderr.String()
 }
 
-// commandTest is a command line, its exit code, and what its output contains.
+// commandTest is a command line with its expected exit code and parts of its output.
 type commandTest struct {
 	name     string
 	args     []string
@@ -136,8 +136,7 @@
 	require.Equal(t, exitUsage, code)
 }
 
-// Operators who know check, explain and diff from trees use them on what is
-// published, too.
+// check, explain and diff accept published settings as well as settings trees.
 func TestCommandsOnPublishedSettings(t *testing.T) {
 	before, after := writeFile(t, "before.json", publishedBefore), writeFile(t, "after.json", publishedAfter)
 	invalid := writeFile(t, "odd.json", `{"version":7,"services":[{"name":"ledger","health_check_path":"/well"}],"routes":[
