--- a/balancer/internal/configurer/flows.go
+++ b/balancer/internal/configurer/flows.go
@@ -61,7 +61,7 @@
 	PacketAddress netip.AddrPort
 	// ReadyAddress serves the fabric's readiness checks over HTTP.
 	ReadyAddress netip.AddrPort
-	// AdminAddress serves metrics over HTTP.
+	// AdminAddress serves metrics and the host's state to operators over HTTP.
 	AdminAddress netip.AddrPort
 	// Platform is the address of the platform's store.
 	Platform netip.AddrPort
--- a/balancer/internal/exchanger/exchanger.go
+++ b/balancer/internal/exchanger/exchanger.go
@@ -139,7 +139,7 @@
 		case x.requestSemaphore <- struct{}{}:
 		default:
 			x.Rejected.Add(1)
-			http.Error(w, "too many concurrent sync requests", http.StatusServiceUnavailable)
+			http.Error(w, "busy with other questions", http.StatusServiceUnavailable)
 			return
 		}
 		defer func() { <-x.requestSemaphore }()
--- a/operator/internal/asker/asker.go
+++ b/operator/internal/asker/asker.go
@@ -47,7 +47,7 @@
 	client *http.Client
 }
 
-// New returns a Client whose requests time out after 3 s.
+// New returns a Client that gives each request the same timeout.
 func New() *Client { return &Client{client: &http.Client{Timeout: timeout}} }
 
 // Status reads a host's snapshot. admin is an address such as 10.0.0.1:9000.
