--- a/balancer/internal/carrier/carrier.go
+++ b/balancer/internal/carrier/carrier.go
@@ -45,12 +45,12 @@
 // Counters count dropped datagrams and failed sends by reason. They are safe for concurrent
 // use.
 type Counters struct {
-	Malformed   atomic.Uint64
-	Unauthentic atomic.Uint64
-	Unknown     atomic.Uint64
-	Overflow    atomic.Uint64
-	SendFailed  atomic.Uint64
-	Fenced      atomic.Uint64
+	Malformed       atomic.Uint64
+	Unauthenticated atomic.Uint64
+	Unknown         atomic.Uint64
+	Overflow        atomic.Uint64
+	SendFailed      atomic.Uint64
+	Fenced          atomic.Uint64
 }
 
 // Carrier manages the two datagram sockets of a host: one to the fabric, one to its peers.
@@ -58,7 +58,7 @@
 	fabric     netip.AddrPort
 	fabricConn *net.UDPConn
 	peerConn   *net.UDPConn
-	sealer     *atomic.Pointer[encoder.MessageCodec]
+	codec      *atomic.Pointer[encoder.MessageCodec]
 	clock      func() timekeeper.Instant
 	events     chan<- reducer.Event
 	Counters   Counters
@@ -66,7 +66,7 @@
 
 // New opens the sockets. Received packets are sent to events; clock gives their arrival
 // times and is compared with send deadlines.
-func New(fabricAddress, peerAddress, fabric netip.AddrPort, sealer *atomic.Pointer[encoder.MessageCodec], clock func() timekeeper.Instant, events chan<- reducer.Event) (*Carrier, error) {
+func New(fabricAddress, peerAddress, fabric netip.AddrPort, codec *atomic.Pointer[encoder.MessageCodec], clock func() timekeeper.Instant, events chan<- reducer.Event) (*Carrier, error) {
 	fabricConn, err := listen(fabricAddress)
 	if err != nil {
 		return nil, err
@@ -76,7 +76,7 @@
 		_ = fabricConn.Close()
 		return nil, err
 	}
-	return &Carrier{fabric: fabric, fabricConn: fabricConn, peerConn: peerConn, sealer: sealer, clock: clock, events: events}, nil
+	return &Carrier{fabric: fabric, fabricConn: fabricConn, peerConn: peerConn, codec: codec, clock: clock, events: events}, nil
 }
 
 func listen(address netip.AddrPort) (*net.UDPConn, error) {
@@ -135,27 +135,27 @@
 func (c *Carrier) newPacketDecoder() func([]byte, timekeeper.Instant) reducer.Event {
 	decoder := translator.New()
 	return func(data []byte, receivedAt timekeeper.Instant) reducer.Event {
-		delivery, err := encoder.DecodeEncapsulatedPacket(data)
+		encapsulated, err := encoder.DecodeEncapsulatedPacket(data)
 		if err != nil {
 			c.Counters.Malformed.Add(1)
 			return nil
 		}
-		packet, err := decoder.Decode(delivery.Payload, receivedAt)
+		packet, err := decoder.Decode(encapsulated.Payload, receivedAt)
 		if err != nil {
 			c.Counters.Malformed.Add(1)
 			return nil
 		}
-		if delivery.To.Addr().Is4() {
-			return &reducer.CallerPacket{Arrived: receivedAt, Caller: delivery.From, Service: delivery.To, Packet: packet}
+		if encapsulated.To.Addr().Is4() {
+			return &reducer.CallerPacket{Arrived: receivedAt, Caller: encapsulated.From, Service: encapsulated.To, Packet: packet}
 		}
-		return &reducer.TargetPacket{Target: delivery.From, Return: delivery.To.Addr(), Packet: packet}
+		return &reducer.TargetPacket{Target: encapsulated.From, Return: encapsulated.To.Addr(), Packet: packet}
 	}
 }
 
 func (c *Carrier) decodePeerMessage(data []byte, receivedAt timekeeper.Instant) reducer.Event {
-	from, body, err := c.sealer.Load().Decode(data)
+	from, body, err := c.codec.Load().Decode(data)
 	if err != nil {
-		c.countOpenError(err)
+		c.countDecodeError(err)
 		return nil
 	}
 	forward, ok := body.(*messenger.Forward)
@@ -166,13 +166,13 @@
 	return &reducer.PeerMessage{Arrived: receivedAt, From: from, Body: forward}
 }
 
-func (c *Carrier) countOpenError(err error) {
+func (c *Carrier) countDecodeError(err error) {
 	var failure *encoder.Error
 	switch {
 	case !errors.As(err, &failure):
 		c.Counters.Malformed.Add(1)
 	case failure.Kind == encoder.KindUnauthenticated:
-		c.Counters.Unauthentic.Add(1)
+		c.Counters.Unauthenticated.Add(1)
 	case failure.Kind == encoder.KindUnknown:
 		c.Counters.Unknown.Add(1)
 	default:
@@ -220,7 +220,7 @@
 
 // SendToPeer sends a forwarded packet to a host.
 func (c *Carrier) SendToPeer(name string, address netip.AddrPort, body *messenger.Forward) {
-	data, err := c.sealer.Load().Encode(name, body)
+	data, err := c.codec.Load().Encode(name, body)
 	if err == nil {
 		_, err = c.peerConn.WriteToUDPAddrPort(data, address)
 	}
--- a/balancer/internal/carrier/carrier_test.go
+++ b/balancer/internal/carrier/carrier_test.go
@@ -42,10 +42,10 @@
 	require.NoError(t, err)
 	defer func() { _ = fabric.Close() }()
 	now := timekeeper.Instant(time.Second)
-	var sealer atomic.Pointer[encoder.MessageCodec]
-	sealer.Store(encoder.New("a", nil))
+	var codec atomic.Pointer[encoder.MessageCodec]
+	codec.Store(encoder.New("a", nil))
 	anyPort := netip.MustParseAddrPort("127.0.0.1:0")
-	c, err := New(anyPort, anyPort, fabric.LocalAddr().(*net.UDPAddr).AddrPort(), &sealer, func() timekeeper.Instant { return now }, make(chan reducer.Event, 1))
+	c, err := New(anyPort, anyPort, fabric.LocalAddr().(*net.UDPAddr).AddrPort(), &codec, func() timekeeper.Instant { return now }, make(chan reducer.Event, 1))
 	require.NoError(t, err)
 	ctx, stop := context.WithCancel(context.Background())
 	done := c.Run(ctx)
--- a/balancer/internal/exchanger/exchanger.go
+++ b/balancer/internal/exchanger/exchanger.go
@@ -97,7 +97,7 @@
 // Exchanger sends and serves sync requests.
 type Exchanger struct {
 	listener net.Listener
-	sealer   *encoder.MessageCodec
+	codec    *encoder.MessageCodec
 	decode   SettingsDecoder
 	handler  RequestHandler
 	events   chan<- steerer.Event
@@ -117,13 +117,13 @@
 
 // New listens on a host's address. linkBytesPerSecond is the rate of the host's link, 0 if
 // unknown. The meter counts the bytes of requests and responses.
-func New(address netip.AddrPort, linkBytesPerSecond int, sealer *encoder.MessageCodec, decode SettingsDecoder, handler RequestHandler, meter *meterer.Meter, events chan<- steerer.Event) (*Exchanger, error) {
+func New(address netip.AddrPort, linkBytesPerSecond int, codec *encoder.MessageCodec, decode SettingsDecoder, handler RequestHandler, meter *meterer.Meter, events chan<- steerer.Event) (*Exchanger, error) {
 	listener, err := net.Listen("tcp4", address.String())
 	if err != nil {
 		return nil, &Error{Op: "listen for sync requests", Kind: KindListen, Err: err}
 	}
 	return &Exchanger{
-		listener: meter.WrapListener(listener), sealer: sealer, decode: decode, handler: handler, events: events,
+		listener: meter.WrapListener(listener), codec: codec, decode: decode, handler: handler, events: events,
 		client:           &http.Client{Transport: &http.Transport{DialContext: meter.Dial, DisableKeepAlives: true}},
 		requestSemaphore: make(chan struct{}, concurrentRequestLimit(linkBytesPerSecond)),
 	}, nil
@@ -172,7 +172,7 @@
 	if err != nil {
 		return err
 	}
-	from, body, err := x.sealer.Decode(data)
+	from, body, err := x.codec.Decode(data)
 	if err != nil {
 		return err
 	}
@@ -180,14 +180,14 @@
 	if !ok {
 		return fmt.Errorf("unexpected message %T, expected a sync request", body)
 	}
-	knowledge, err := x.handler(ctx, syncRequest)
+	syncResponse, err := x.handler(ctx, syncRequest)
 	if err != nil {
 		return err
 	}
-	if err := x.compressSyncResponse(knowledge); err != nil {
+	if err := x.compressSyncResponse(syncResponse); err != nil {
 		return err
 	}
-	sealed, err := x.sealer.Encode(from, knowledge)
+	sealed, err := x.codec.Encode(from, syncResponse)
 	if err != nil {
 		return err
 	}
@@ -233,7 +233,7 @@
 	}
 	defer func() { _ = conn.CloseNow() }()
 	conn.SetReadLimit(encoder.MaxControlBytes)
-	sealed, err := x.sealer.Encode(request.Host, request.Request)
+	sealed, err := x.codec.Encode(request.Host, request.Request)
 	if err != nil {
 		return nil, &Error{Op: op, Kind: KindMalformed, Err: err}
 	}
@@ -249,18 +249,18 @@
 	if err != nil {
 		return nil, &Error{Op: op, Kind: KindUnreachable, Err: err}
 	}
-	_, body, err := x.sealer.Decode(data)
+	_, body, err := x.codec.Decode(data)
 	if err != nil {
 		return nil, &Error{Op: op, Kind: KindMalformed, Err: err}
 	}
-	knowledge, ok := body.(*messenger.SyncResponse)
+	syncResponse, ok := body.(*messenger.SyncResponse)
 	if !ok {
 		return nil, &Error{Op: op, Kind: KindMalformed, Err: fmt.Errorf("unexpected message %T, expected a sync response", body)}
 	}
-	if err := decompressTargets(knowledge); err != nil {
+	if err := decompressTargets(syncResponse); err != nil {
 		return nil, &Error{Op: op, Kind: KindMalformed, Err: err}
 	}
-	return knowledge, nil
+	return syncResponse, nil
 }
 
 // compressionCache keeps the last value sent to another host in compressed form, with its
@@ -278,11 +278,11 @@
 
 // get returns the compressed value of a key. encode returns the uncompressed value, and is
 // called only if the cache holds another key.
-func (p *compressionCache[K]) get(key K, encode func() ([]byte, error)) ([]byte, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.key == key && len(p.compressed) > 0 {
-		return p.compressed, nil
+func (c *compressionCache[K]) get(key K, encode func() ([]byte, error)) ([]byte, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.key == key && len(c.compressed) > 0 {
+		return c.compressed, nil
 	}
 	plain, err := encode()
 	if err != nil {
@@ -292,32 +292,32 @@
 	if err != nil {
 		return nil, err
 	}
-	p.key, p.compressed = key, compressed
+	c.key, c.compressed = key, compressed
 	return compressed, nil
 }
 
 // compressSyncResponse fills in the compressed settings and targets of a response.
-func (x *Exchanger) compressSyncResponse(k *messenger.SyncResponse) error {
+func (x *Exchanger) compressSyncResponse(response *messenger.SyncResponse) error {
 	var err error
-	if document := k.CompressedSettings; len(document) > 0 {
-		k.CompressedSettings, err = x.documentCache.get(k.SettingsRevision, func() ([]byte, error) { return document, nil })
+	if document := response.CompressedSettings; len(document) > 0 {
+		response.CompressedSettings, err = x.documentCache.get(response.SettingsRevision, func() ([]byte, error) { return document, nil })
 		if err != nil {
 			return err
 		}
 	}
-	if len(k.Targets) == 0 {
+	if len(response.Targets) == 0 {
 		return nil
 	}
-	encode := func() ([]byte, error) { return encoder.EncodeTargets(k.Targets) }
-	if k.Scope == messenger.ScopeFull && !slices.ContainsFunc(k.Targets, isCold) {
-		k.CompressedTargets, err = x.targetsCache.get(sequencer.At(k.TargetsEra, k.TargetsRevision), encode)
+	encode := func() ([]byte, error) { return encoder.EncodeTargets(response.Targets) }
+	if response.Scope == messenger.ScopeFull && !slices.ContainsFunc(response.Targets, isCold) {
+		response.CompressedTargets, err = x.targetsCache.get(sequencer.At(response.TargetsEra, response.TargetsRevision), encode)
 		return err
 	}
 	plain, err := encode()
 	if err != nil {
 		return err
 	}
-	k.CompressedTargets, err = compress(plain)
+	response.CompressedTargets, err = compress(plain)
 	return err
 }
 
@@ -325,15 +325,15 @@
 // soon out of date and must not be cached.
 func isCold(t messenger.TargetState) bool { return t.WarmUp > 0 }
 
-func decompressTargets(k *messenger.SyncResponse) error {
-	if len(k.CompressedTargets) == 0 {
+func decompressTargets(response *messenger.SyncResponse) error {
+	if len(response.CompressedTargets) == 0 {
 		return nil
 	}
-	data, err := decompress(k.CompressedTargets)
+	data, err := decompress(response.CompressedTargets)
 	if err != nil {
 		return err
 	}
-	k.Targets, err = encoder.DecodeTargets(data)
+	response.Targets, err = encoder.DecodeTargets(data)
 	return err
 }
 
--- a/balancer/internal/flowrunner/flowrunner.go
+++ b/balancer/internal/flowrunner/flowrunner.go
@@ -113,11 +113,11 @@
 	if r.forwarder, err = forwarder.New(config.PacketAddress, platform.Codec, platform.MaxDatagramBytes, r.events); err != nil {
 		return nil, errors.Wrap(err, "start")
 	}
-	sealer := encoder.New(config.Name, config.PeerKeys)
-	if r.gossiper, err = gossiper.New(config.Address, sealer, r.events); err != nil {
+	codec := encoder.New(config.Name, config.PeerKeys)
+	if r.gossiper, err = gossiper.New(config.Address, codec, r.events); err != nil {
 		return nil, errors.Wrap(err, "start")
 	}
-	if r.exchanger, err = exchanger.New(config.Address, config.LinkBytesPerSecond, sealer, platform.DecodeSettings, r.handleSyncRequest, r.meter, r.events); err != nil {
+	if r.exchanger, err = exchanger.New(config.Address, config.LinkBytesPerSecond, codec, platform.DecodeSettings, r.handleSyncRequest, r.meter, r.events); err != nil {
 		return nil, errors.Wrap(err, "start")
 	}
 	if r.readier, err = readier.New(config.ReadyAddress, platform.ReadyPath); err != nil {
@@ -148,9 +148,9 @@
 
 // handleSyncRequest builds the response to another host's sync request.
 func (r *Runner) handleSyncRequest(ctx context.Context, request *messenger.SyncRequest) (*messenger.SyncResponse, error) {
-	var knowledge *messenger.SyncResponse
-	err := r.inspector.Inspect(ctx, func(s *steerer.Steerer) { knowledge = s.SyncResponse(request) })
-	return knowledge, err
+	var response *messenger.SyncResponse
+	err := r.inspector.Inspect(ctx, func(s *steerer.Steerer) { response = s.SyncResponse(request) })
+	return response, err
 }
 
 // Run serves until shutdown is closed and the graceful shutdown is complete, or until ctx
--- a/balancer/internal/gossiper/gossiper.go
+++ b/balancer/internal/gossiper/gossiper.go
@@ -44,18 +44,18 @@
 // Gossiper manages the socket for reports.
 type Gossiper struct {
 	conn     *net.UDPConn
-	sealer   *encoder.MessageCodec
+	codec    *encoder.MessageCodec
 	events   chan<- steerer.Event
 	Counters Counters
 }
 
 // New opens the socket. Received reports are sent to events.
-func New(address netip.AddrPort, sealer *encoder.MessageCodec, events chan<- steerer.Event) (*Gossiper, error) {
+func New(address netip.AddrPort, codec *encoder.MessageCodec, events chan<- steerer.Event) (*Gossiper, error) {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
 	if err != nil {
 		return nil, &Error{Op: "listen for reports", Kind: KindSocket, Err: err}
 	}
-	return &Gossiper{conn: conn, sealer: sealer, events: events}, nil
+	return &Gossiper{conn: conn, codec: codec, events: events}, nil
 }
 
 // Run reads reports until the context is canceled. The returned channel receives the error
@@ -77,7 +77,7 @@
 		if err != nil {
 			return &Error{Op: "read report", Kind: KindSocket, Err: err}
 		}
-		from, body, err := g.sealer.Decode(buffer[:n])
+		from, body, err := g.codec.Decode(buffer[:n])
 		report, ok := body.(*messenger.Report)
 		if err != nil || !ok {
 			g.Counters.Unreadable.Add(1)
@@ -93,7 +93,7 @@
 
 // Send sends a report, without retransmission.
 func (g *Gossiper) Send(e *steerer.SendReport) {
-	data, err := g.sealer.Encode(e.Host, e.Report)
+	data, err := g.codec.Encode(e.Host, e.Report)
 	if err == nil {
 		_, err = g.conn.WriteToUDPAddrPort(data, e.Address)
 	}
--- a/balancer/internal/linker/linker.go
+++ b/balancer/internal/linker/linker.go
@@ -58,18 +58,18 @@
 
 // Counters count the messages on all links by outcome. They are safe for concurrent use.
 type Counters struct {
-	Sent        atomic.Uint64
-	SentBytes   atomic.Uint64
-	Received    atomic.Uint64
-	Dropped     atomic.Uint64
-	Malformed   atomic.Uint64
-	Unauthentic atomic.Uint64
-	Unknown     atomic.Uint64
+	Sent            atomic.Uint64
+	SentBytes       atomic.Uint64
+	Received        atomic.Uint64
+	Dropped         atomic.Uint64
+	Malformed       atomic.Uint64
+	Unauthenticated atomic.Uint64
+	Unknown         atomic.Uint64
 }
 
 // Linker manages the control links of a host.
 type Linker struct {
-	sealer   *atomic.Pointer[encoder.MessageCodec]
+	codec    *atomic.Pointer[encoder.MessageCodec]
 	events   chan<- reducer.Event
 	listener net.Listener
 	Counters Counters
@@ -85,12 +85,12 @@
 }
 
 // New listens on a host's address. Messages from peers are sent to events.
-func New(address netip.AddrPort, sealer *atomic.Pointer[encoder.MessageCodec], events chan<- reducer.Event) (*Linker, error) {
+func New(address netip.AddrPort, codec *atomic.Pointer[encoder.MessageCodec], events chan<- reducer.Event) (*Linker, error) {
 	listener, err := net.Listen("tcp", address.String())
 	if err != nil {
 		return nil, &Error{Op: "listen for links", Kind: KindListen, Err: err}
 	}
-	return &Linker{sealer: sealer, events: events, listener: listener, links: map[string]*outgoingLink{}}, nil
+	return &Linker{codec: codec, events: events, listener: listener, links: map[string]*outgoingLink{}}, nil
 }
 
 // Run serves incoming links until the context is canceled. The returned channel receives
@@ -138,7 +138,7 @@
 // message on it is malformed or can't be authenticated: its sender has another key, or is
 // not a host of this system. Messages of unknown kinds or versions are skipped.
 func (l *Linker) receive(ctx context.Context, data []byte) bool {
-	from, body, err := l.sealer.Load().Decode(data)
+	from, body, err := l.codec.Load().Decode(data)
 	var failure *encoder.Error
 	if errors.As(err, &failure) {
 		switch failure.Kind {
@@ -146,7 +146,7 @@
 			l.Counters.Unknown.Add(1)
 			return true
 		case encoder.KindUnauthenticated:
-			l.Counters.Unauthentic.Add(1)
+			l.Counters.Unauthenticated.Add(1)
 		case encoder.KindMalformed, encoder.KindTooLarge:
 			l.Counters.Malformed.Add(1)
 		}
@@ -164,7 +164,7 @@
 // Send queues a message for a peer, opening a link if there is none. It never blocks: if
 // the queue is full, its oldest message is dropped.
 func (l *Linker) Send(ctx context.Context, name string, address netip.AddrPort, body messenger.Body) {
-	data, err := l.sealer.Load().Encode(name, body)
+	data, err := l.codec.Load().Encode(name, body)
 	if err != nil {
 		l.Counters.Dropped.Add(1)
 		return
--- a/balancer/internal/prober/prober.go
+++ b/balancer/internal/prober/prober.go
@@ -160,14 +160,14 @@
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			for _, target := range p.takeExpired(now) {
+			for _, target := range p.removeExpired(now) {
 				p.emit(ctx, &reducer.ProbeAnswered{Target: target})
 			}
 		}
 	}
 }
 
-func (p *Prober) takeExpired(now time.Time) []netip.AddrPort {
+func (p *Prober) removeExpired(now time.Time) []netip.AddrPort {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var targets []netip.AddrPort
--- a/balancer/internal/readier/readier.go
+++ b/balancer/internal/readier/readier.go
@@ -30,8 +30,8 @@
 // Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.Err }
 
-// headerTimeout closes connections on which no request arrives.
-const headerTimeout = 5 * time.Second
+// readHeaderTimeout closes connections on which no request arrives.
+const readHeaderTimeout = 5 * time.Second
 
 // Server serves readiness checks: status 200 while the host accepts packets, otherwise 503.
 type Server struct {
@@ -62,7 +62,7 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
-	server := &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
 	context.AfterFunc(ctx, func() { _ = server.Close() })
 	go func() {
 		err := server.Serve(s.listener)
--- a/balancer/internal/runner/runner.go
+++ b/balancer/internal/runner/runner.go
@@ -41,7 +41,7 @@
 	reducer   *reducer.Reducer
 	events    chan reducer.Event
 	inspector inspector.Inspector[*reducer.Reducer]
-	sealer    atomic.Pointer[encoder.MessageCodec]
+	codec     atomic.Pointer[encoder.MessageCodec]
 	settings  *resolver.Settings
 
 	accepting        bool
@@ -82,12 +82,12 @@
 	if key == "" {
 		key = resolver.Secret(rand.Text())
 	}
-	r.sealer.Store(encoder.New(config.Name, []resolver.Secret{key}))
+	r.codec.Store(encoder.New(config.Name, []resolver.Secret{key}))
 	var err error
-	if r.carrier, err = carrier.New(config.FabricAddress, config.Address, config.Fabric, &r.sealer, r.now, r.events); err != nil {
+	if r.carrier, err = carrier.New(config.FabricAddress, config.Address, config.Fabric, &r.codec, r.now, r.events); err != nil {
 		return nil, errors.Wrap(err, "start")
 	}
-	if r.linker, err = linker.New(config.Address, &r.sealer, r.events); err != nil {
+	if r.linker, err = linker.New(config.Address, &r.codec, r.events); err != nil {
 		return nil, errors.Wrap(err, "start")
 	}
 	if r.prober, err = prober.New(config.Address.Addr(), r.events); err != nil {
@@ -103,7 +103,7 @@
 func (r *Runner) transportCounters() map[string]func() uint64 {
 	return map[string]func() uint64{
 		"datagramMalformed":   r.carrier.Counters.Malformed.Load,
-		"datagramUnauthentic": r.carrier.Counters.Unauthentic.Load,
+		"datagramUnauthentic": r.carrier.Counters.Unauthenticated.Load,
 		"datagramUnknown":     r.carrier.Counters.Unknown.Load,
 		"datagramOverflow":    r.carrier.Counters.Overflow.Load,
 		"datagramSendFailed":  r.carrier.Counters.SendFailed.Load,
@@ -113,7 +113,7 @@
 		"linkReceived":        r.linker.Counters.Received.Load,
 		"linkDropped":         r.linker.Counters.Dropped.Load,
 		"linkMalformed":       r.linker.Counters.Malformed.Load,
-		"linkUnauthentic":     r.linker.Counters.Unauthentic.Load,
+		"linkUnauthentic":     r.linker.Counters.Unauthenticated.Load,
 		"linkUnknown":         r.linker.Counters.Unknown.Load,
 		"platformCalls":       r.watcher.Requests.Load,
 		"platformFailures":    r.watcher.Failures.Load,
@@ -249,7 +249,7 @@
 
 func (r *Runner) applySettings(settings *resolver.Settings) {
 	r.settings = settings
-	r.sealer.Store(encoder.New(r.config.Name, settings.PeerKeys))
+	r.codec.Store(encoder.New(r.config.Name, settings.PeerKeys))
 	r.watcher.SetRevision(settings.Revision)
 	r.log.Info("settingsAdopted", zap.Uint64("revision", settings.Revision))
 	host, ok := settings.HostByName(r.config.Name)
--- a/core/encoder/encoder.go
+++ b/core/encoder/encoder.go
@@ -207,13 +207,13 @@
 }
 
 // Encode encodes a message to a peer.
-func (s *MessageCodec) Encode(to string, body messenger.Body) ([]byte, error) {
+func (c *MessageCodec) Encode(to string, body messenger.Body) ([]byte, error) {
 	const op = "encode message"
 	raw, err := cbor.Marshal(body)
 	if err != nil {
 		return nil, &Error{Op: op, Kind: KindMalformed, Err: err}
 	}
-	data, err := cbor.Marshal(envelope{Version: Version, From: s.self, To: to, Kind: bodyKindOf(body), Body: raw})
+	data, err := cbor.Marshal(envelope{Version: Version, From: c.self, To: to, Kind: bodyKindOf(body), Body: raw})
 	if err != nil {
 		return nil, &Error{Op: op, Kind: KindMalformed, Err: err}
 	}
@@ -224,17 +224,17 @@
 	if len(data)+macBytes > limit {
 		return nil, &Error{Op: op, Kind: KindTooLarge, Err: fmt.Errorf("message has %d bytes, limit is %d", len(data)+macBytes, limit)}
 	}
-	return append(data, computeMAC(s.keys[0], data)...), nil
+	return append(data, computeMAC(c.keys[0], data)...), nil
 }
 
 // Decode decodes a message and returns its sender.
-func (s *MessageCodec) Decode(message []byte) (from string, body messenger.Body, err error) {
+func (c *MessageCodec) Decode(message []byte) (from string, body messenger.Body, err error) {
 	const op = "decode message"
 	if len(message) <= macBytes || len(message) > MaxControlBytes {
 		return "", nil, &Error{Op: op, Kind: KindMalformed, Err: fmt.Errorf("invalid message size: %d bytes", len(message))}
 	}
 	data, receivedMAC := message[:len(message)-macBytes], message[len(message)-macBytes:]
-	if !s.verifyMAC(data, receivedMAC) {
+	if !c.verifyMAC(data, receivedMAC) {
 		return "", nil, &Error{Op: op, Kind: KindUnauthenticated, Err: fmt.Errorf("MAC matches no peer key")}
 	}
 	var e envelope
@@ -243,7 +243,7 @@
 	}
 	// A report may be sent to a seed address, whose host's name is unknown.
 	reportToUnknownHost := e.To == "" && e.Kind == bodyReport
-	if e.To != s.self && !reportToUnknownHost {
+	if e.To != c.self && !reportToUnknownHost {
 		return "", nil, &Error{Op: op, Kind: KindMalformed, Err: fmt.Errorf("message is addressed to %q", e.To)}
 	}
 	body = newBody(e.Kind)
@@ -256,8 +256,8 @@
 	return e.From, body, nil
 }
 
-func (s *MessageCodec) verifyMAC(data, receivedMAC []byte) bool {
-	for _, key := range s.keys {
+func (c *MessageCodec) verifyMAC(data, receivedMAC []byte) bool {
+	for _, key := range c.keys {
 		if hmac.Equal(computeMAC(key, data), receivedMAC) {
 			return true
 		}
@@ -282,8 +282,8 @@
 }
 
 // EncodeEncapsulatedPacket encodes an EncapsulatedPacket.
-func EncodeEncapsulatedPacket(d EncapsulatedPacket) ([]byte, error) {
-	data, err := cbor.Marshal(d)
+func EncodeEncapsulatedPacket(packet EncapsulatedPacket) ([]byte, error) {
+	data, err := cbor.Marshal(packet)
 	if err != nil {
 		return nil, &Error{Op: "encode encapsulated packet", Kind: KindMalformed, Err: err}
 	}
@@ -292,14 +292,14 @@
 
 // DecodeEncapsulatedPacket decodes an EncapsulatedPacket.
 func DecodeEncapsulatedPacket(data []byte) (EncapsulatedPacket, error) {
-	var d EncapsulatedPacket
-	if err := decodeMode.Unmarshal(data, &d); err != nil {
+	var packet EncapsulatedPacket
+	if err := decodeMode.Unmarshal(data, &packet); err != nil {
 		return EncapsulatedPacket{}, &Error{Op: "decode encapsulated packet", Kind: KindMalformed, Err: err}
 	}
-	if !d.From.IsValid() || !d.To.IsValid() {
+	if !packet.From.IsValid() || !packet.To.IsValid() {
 		return EncapsulatedPacket{}, &Error{Op: "decode encapsulated packet", Kind: KindMalformed, Err: fmt.Errorf("source or destination address is missing")}
 	}
-	return d, nil
+	return packet, nil
 }
 
 // Announcement reports to the fabric whether a host accepts packets. It stands in for the
--- a/core/encoder/encoder_test.go
+++ b/core/encoder/encoder_test.go
@@ -18,12 +18,12 @@
 func bodies() []messenger.Body {
 	target := netip.MustParseAddrPort("10.2.0.1:5683")
 	exchange := messenger.Exchange{MessageID: 7, Token: 9, TokenLength: 8}
-	news := messenger.Heartbeat{Incarnation: 3, Phase: messenger.PhaseReady, SettingsRevision: 4, Votes: []string{"a"}, InFlight: map[uint32]uint16{1: 2}, CellMembers: []messenger.MemberState{{Host: "a", Incarnation: 1}}}
+	heartbeat := messenger.Heartbeat{Incarnation: 3, Phase: messenger.PhaseReady, SettingsRevision: 4, Votes: []string{"a"}, InFlight: map[uint32]uint16{1: 2}, CellMembers: []messenger.MemberState{{Host: "a", Incarnation: 1}}}
 	return []messenger.Body{
-		&messenger.Ping{Sequence: 1, Heartbeat: news},
-		&messenger.Ack{Sequence: 1, Heartbeat: news},
-		&messenger.PingRequest{Subject: "b", Heartbeat: news},
-		&messenger.IndirectAck{Subject: messenger.MemberState{Host: "b"}, Heartbeat: news},
+		&messenger.Ping{Sequence: 1, Heartbeat: heartbeat},
+		&messenger.Ack{Sequence: 1, Heartbeat: heartbeat},
+		&messenger.PingRequest{Subject: "b", Heartbeat: heartbeat},
+		&messenger.IndirectAck{Subject: messenger.MemberState{Host: "b"}, Heartbeat: heartbeat},
 		&messenger.Forward{Key: 5, Direction: messenger.DirectionToCaller, Target: target, Exchange: exchange, Remaining: time.Second, Payload: []byte("p")},
 		&messenger.WitnessRequest{Sequence: 2, Identities: []uint64{1, 1 << 63}},
 		&messenger.WitnessAck{Sequence: 2},
--- a/core/reducer/target.go
+++ b/core/reducer/target.go
@@ -290,7 +290,7 @@
 			listedCount++
 		}
 	}
-	maxEjected := int(float64(listedCount) * s.settings.Policy.MaxEjectedShare)
+	maxEjected := int(float64(listedCount) * s.settings.Policy.MaxEjectedFraction)
 	for i, t := range s.registry {
 		switch {
 		case !t.listed || !t.isFailing(now):
--- a/core/resolver/policy.go
+++ b/core/resolver/policy.go
@@ -67,9 +67,9 @@
 	MaxQueueLength int
 	// RetryBudget bounds retries as a fraction of requests, 0 to 1.
 	RetryBudget float64
-	// MaxEjectedShare bounds the fraction of a service's targets that health may eject, 0
+	// MaxEjectedFraction bounds the fraction of a service's targets that health may eject, 0
 	// to 1.
-	MaxEjectedShare float64
+	MaxEjectedFraction float64
 	// Priority determines what is shed first.
 	Priority Priority
 	// Weight is a target's share of new flows, relative to its siblings.
@@ -85,19 +85,19 @@
 // DefaultPolicy applies where the tree sets nothing.
 func DefaultPolicy() Policy {
 	return Policy{
-		RequestDeadline:   5 * time.Second,
-		ExchangeLifetime:  60 * time.Second,
-		FlowIdleTimeout:   10 * time.Minute,
-		WarmUp:            10 * time.Second,
-		MaxTenantInFlight: 10_000,
-		MaxQueueLength:    64,
-		RetryBudget:       0.1,
-		MaxEjectedShare:   0.5,
-		Priority:          PriorityNormal,
-		Weight:            100,
-		Slots:             3,
-		MaxConnections:    2000,
-		State:             TargetActive,
+		RequestDeadline:    5 * time.Second,
+		ExchangeLifetime:   60 * time.Second,
+		FlowIdleTimeout:    10 * time.Minute,
+		WarmUp:             10 * time.Second,
+		MaxTenantInFlight:  10_000,
+		MaxQueueLength:     64,
+		RetryBudget:        0.1,
+		MaxEjectedFraction: 0.5,
+		Priority:           PriorityNormal,
+		Weight:             100,
+		Slots:              3,
+		MaxConnections:     2000,
+		State:              TargetActive,
 	}
 }
 
@@ -120,8 +120,8 @@
 	durationField("warmUp", 0, time.Hour, func(p *Policy) *time.Duration { return &p.WarmUp }),
 	intField("tenantInFlight", 1, 1_000_000, "", func(p *Policy) *int { return &p.MaxTenantInFlight }),
 	intField("queueLength", 0, 100_000, "", func(p *Policy) *int { return &p.MaxQueueLength }),
-	shareField("retryShare", func(p *Policy) *float64 { return &p.RetryBudget }),
-	shareField("maxEjectedShare", func(p *Policy) *float64 { return &p.MaxEjectedShare }),
+	fractionField("retryShare", func(p *Policy) *float64 { return &p.RetryBudget }),
+	fractionField("maxEjectedShare", func(p *Policy) *float64 { return &p.MaxEjectedFraction }),
 	{
 		key:      "priority",
 		expected: "one of low, normal, high",
@@ -195,16 +195,16 @@
 	}
 }
 
-func shareField(key string, ptr func(*Policy) *float64) policyField {
+func fractionField(key string, ptr func(*Policy) *float64) policyField {
 	return policyField{
 		key:      key,
 		expected: "a fraction from 0 to 1, such as 0.1",
 		parse: func(p *Policy, text string) bool {
-			share, err := strconv.ParseFloat(text, 64)
-			if err != nil || !(share >= 0 && share <= 1) {
+			fraction, err := strconv.ParseFloat(text, 64)
+			if err != nil || !(fraction >= 0 && fraction <= 1) {
 				return false
 			}
-			*ptr(p) = share
+			*ptr(p) = fraction
 			return true
 		},
 		format: func(p Policy) string { return strconv.FormatFloat(*ptr(&p), 'g', -1, 64) },
--- a/operator/internal/asker/asker.go
+++ b/operator/internal/asker/asker.go
@@ -65,8 +65,8 @@
 	return get[[]steerer.TargetStatus](ctx, c.client, admin, "/targets", nil)
 }
 
-// Knowledge reads which settings and targets a flow host has, and who confirmed them.
-func (c *Client) Knowledge(ctx context.Context, admin string) (steerer.SyncStatus, error) {
+// SyncStatus reads which settings and targets a flow host has, and who confirmed them.
+func (c *Client) SyncStatus(ctx context.Context, admin string) (steerer.SyncStatus, error) {
 	return get[steerer.SyncStatus](ctx, c.client, admin, "/knowledge", nil)
 }
 
--- a/operator/internal/printer/printer.go
+++ b/operator/internal/printer/printer.go
@@ -159,7 +159,7 @@
 		}
 		for _, h := range hosts {
 			if h.Snapshot != nil {
-				writeCounts(w, h.Snapshot)
+				writeCounters(w, h.Snapshot)
 			}
 		}
 		writeTargets(w, hosts)
@@ -176,8 +176,8 @@
 	return fmt.Sprintf("%d/%d", n, len(peers))
 }
 
-// writeCounts writes a host's counters that are not zero, by name.
-func writeCounts(w io.Writer, s *reducer.Snapshot) {
+// writeCounters writes a host's counters that are not zero, by name.
+func writeCounters(w io.Writer, s *reducer.Snapshot) {
 	var parts []string
 	for name, n := range s.Counts {
 		if n > 0 {
--- a/operator/internal/printer/published.go
+++ b/operator/internal/printer/published.go
@@ -84,16 +84,16 @@
 	})
 }
 
-// HostKnowledge is the sync status of one host, or the error of reading it.
-type HostKnowledge struct {
-	Admin     string              `json:"admin"`
-	Knowledge *steerer.SyncStatus `json:"knowledge,omitempty"`
-	Error     string              `json:"error,omitempty"`
+// HostSyncStatus is the sync status of one host, or the error of reading it.
+type HostSyncStatus struct {
+	Admin      string              `json:"admin"`
+	SyncStatus *steerer.SyncStatus `json:"knowledge,omitempty"`
+	Error      string              `json:"error,omitempty"`
 }
 
-// Knowledge writes which versions of settings and targets hosts have, how old these are, and
+// SyncStatuses writes which versions of settings and targets hosts have, how old these are, and
 // who confirmed them.
-func (p Printer) Knowledge(hosts []HostKnowledge) error {
+func (p Printer) SyncStatuses(hosts []HostSyncStatus) error {
 	return p.print(hosts, func(w io.Writer) {
 		writeRow(w, "HOST", "NAME", "VERSION", "FROM", "AGE", "CONFIRMED BY", "EVACUATED", "ERA", "REVISION", "AGE", "CONFIRMED BY", "RANK", "LIVE", "PLATFORM")
 		for _, h := range hosts {
@@ -101,37 +101,37 @@
 				writeRow(w, h.Admin, h.Error)
 				continue
 			}
-			k, platform := h.Knowledge, "answers"
-			if k.PlatformDown {
+			s, platform := h.SyncStatus, "answers"
+			if s.PlatformDown {
 				platform = "lost"
 			}
-			writeRow(w, h.Admin, k.Host, k.Version, k.SettingsFrom, formatAge(k.SettingsAge), k.SettingsConfirmedBy,
-				formatEvacuated(k), formatEra(k), k.Revision, formatAge(k.TargetsAge), k.TargetsConfirmedBy, k.Rank, k.AlivePeers, platform)
+			writeRow(w, h.Admin, s.Host, s.Version, s.SettingsFrom, formatAge(s.SettingsAge), s.SettingsConfirmedBy,
+				formatEvacuated(s), formatEra(s), s.Revision, formatAge(s.TargetsAge), s.TargetsConfirmedBy, s.Rank, s.AlivePeers, platform)
 		}
 	})
 }
 
 // formatEra formats the era of the platform's store that a host's targets belong to, with
 // the newest era that the host knows of if that is a later one.
-func formatEra(k *steerer.SyncStatus) string {
+func formatEra(s *steerer.SyncStatus) string {
 	switch {
-	case k.Era == 0:
+	case s.Era == 0:
 		return "none"
-	case k.TargetsEra < k.Era:
-		return fmt.Sprintf("%d of %d", k.TargetsEra, k.Era)
+	case s.TargetsEra < s.Era:
+		return fmt.Sprintf("%d of %d", s.TargetsEra, s.Era)
 	}
-	return fmt.Sprint(k.Era)
+	return fmt.Sprint(s.Era)
 }
 
 // formatEvacuated lists the zones that are evacuated according to a host.
-func formatEvacuated(k *steerer.SyncStatus) string {
+func formatEvacuated(s *steerer.SyncStatus) string {
 	switch {
-	case k.OrdersRevision == 0:
+	case s.OrdersRevision == 0:
 		return "unknown"
-	case len(k.Evacuated) == 0:
+	case len(s.Evacuated) == 0:
 		return "none"
 	}
-	return strings.Join(k.Evacuated, ",")
+	return strings.Join(s.Evacuated, ",")
 }
 
 // formatAge formats an age, rounded to 10 ms.
--- a/operator/main.go
+++ b/operator/main.go
@@ -67,7 +67,7 @@
 			{Name: "routes", Usage: "show published routes, or the effects on flows of changing them", ArgsUsage: "FILE [NEW]", Action: routes(out)},
 			{Name: "quotas", Usage: "list the quotas in a flow host's settings file, or those that apply to a caller", ArgsUsage: "FILE [CALLER]", Action: quotas(out)},
 			{Name: "status", Usage: "show the state of hosts", ArgsUsage: "ADMIN...", Action: status(out)},
-			{Name: "knowledge", Usage: "show which versions of settings and targets flow hosts have, how old these are, and who confirmed them", ArgsUsage: "ADMIN...", Action: knowledge(out)},
+			{Name: "knowledge", Usage: "show which versions of settings and targets flow hosts have, how old these are, and who confirmed them", ArgsUsage: "ADMIN...", Action: showSyncStatus(out)},
 			{Name: "targets", Usage: "show the state of targets as estimated by flow hosts, and why new flows avoid some", ArgsUsage: "ADMIN...", Action: targets(out)},
 			{Name: "flows", Usage: "list flows in a host's flow table", ArgsUsage: "ADMIN", Action: flows(out), Flags: []cli.Flag{
 				&cli.IntFlag{Name: "limit", Value: 20, Usage: "maximum number of flows"},
@@ -250,26 +250,26 @@
 	}
 }
 
-func knowledge(out io.Writer) cli.ActionFunc {
+func showSyncStatus(out io.Writer) cli.ActionFunc {
 	return func(ctx context.Context, command *cli.Command) error {
 		p, err := parseHostArgs(out, command)
 		if err != nil {
 			return err
 		}
-		var hosts []printer.HostKnowledge
+		var hosts []printer.HostSyncStatus
 		client := asker.New()
 		lastErr := forEachHost(command, func(admin string) error {
-			host := printer.HostKnowledge{Admin: admin}
-			syncStatus, err := client.Knowledge(ctx, admin)
+			host := printer.HostSyncStatus{Admin: admin}
+			syncStatus, err := client.SyncStatus(ctx, admin)
 			if err != nil {
 				host.Error = err.Error()
 			} else {
-				host.Knowledge = &syncStatus
+				host.SyncStatus = &syncStatus
 			}
 			hosts = append(hosts, host)
 			return err
 		})
-		if err := p.Knowledge(hosts); err != nil {
+		if err := p.SyncStatuses(hosts); err != nil {
 			return err
 		}
 		return lastErr
--- a/operator/quotas.go
+++ b/operator/quotas.go
@@ -52,11 +52,11 @@
 	if err != nil {
 		return nil, err
 	}
-	var text quotaFile
-	if err := yaml.Unmarshal(file.document, &text); err != nil {
+	var raw quotaFile
+	if err := yaml.Unmarshal(file.document, &raw); err != nil {
 		return nil, errors.Wrapf(err, "%s", path)
 	}
-	return throttler.ParseQuotas(text.Quotas)
+	return throttler.ParseQuotas(raw.Quotas)
 }
 
 // quotasForCaller returns the quotas that apply to a caller's requests on any route.
--- a/operator/routes.go
+++ b/operator/routes.go
@@ -49,8 +49,8 @@
 // are none.
 func routeErrors(settings *steerer.Settings) error {
 	var combined error
-	for _, fault := range settings.RouteProblems {
-		combined = errors.CombineErrors(combined, errors.Newf("%v", fault))
+	for _, problem := range settings.RouteProblems {
+		combined = errors.CombineErrors(combined, errors.Newf("%v", problem))
 	}
 	if combined == nil {
 		return nil
--- a/operator/settings_file.go
+++ b/operator/settings_file.go
@@ -40,9 +40,9 @@
 
 // toValues converts the values in force for a published route or service to those of a
 // settings tree.
-func toValues(inForce []steerer.EffectiveValue) []resolver.Value {
-	values := make([]resolver.Value, 0, len(inForce))
-	for _, v := range inForce {
+func toValues(effective []steerer.EffectiveValue) []resolver.Value {
+	values := make([]resolver.Value, 0, len(effective))
+	for _, v := range effective {
 		values = append(values, resolver.Value{Key: v.Key, Value: v.Value, Level: v.From})
 	}
 	return values
@@ -54,11 +54,11 @@
 	if err != nil {
 		return nil, err
 	}
-	inForce, ok := settings.Explain(path)
+	effective, ok := settings.Explain(path)
 	if !ok {
 		return nil, &resolver.Error{Op: "explain settings", Kind: resolver.KindNotFound, Err: fmt.Errorf("no route, address or service %q in version %d", path, settings.Version)}
 	}
-	return toValues(inForce), nil
+	return toValues(effective), nil
 }
 
 // readSettingsPair reads two files of the same kind.
--- a/standin/internal/soaker/faults.go
+++ b/standin/internal/soaker/faults.go
@@ -366,9 +366,9 @@
 		defer s.returnTarget(t)
 	}
 	value := foreignValues[s.randomInt(len(foreignValues))]
-	s.fleet.store.WriteForeign(id, json.RawMessage(value))
+	s.fleet.store.WriteMalformed(id, json.RawMessage(value))
 	sleep(ctx, s.randomDuration(3*time.Second))
-	s.fleet.store.WriteForeign(id, nil)
+	s.fleet.store.WriteMalformed(id, nil)
 	return fmt.Sprintf("%s of %s", value, id)
 }
 
