--- a/core/comparer/balance.go
+++ b/core/comparer/balance.go
@@ -10,16 +10,16 @@
 	"cranberryspan.dev/core/messenger"
 )
 
-// Balance is how evenly work lies on targets.
+// Balance is how evenly flows and load are distributed over targets.
 type Balance struct {
-	// FlowVariation and LoadVariation are coefficients of variation: of flows
-	// by target, and of the work in flight by target, over the whole run.
+	// FlowVariation and LoadVariation are the coefficients of variation of the flows and of
+	// the load per target at the end of the run.
 	FlowVariation float64
 	LoadVariation float64
 }
 
-// CoefficientOfVariation returns the coefficient of variation of counts, and the largest
-// over the mean.
+// CoefficientOfVariation returns the coefficient of variation of counts and the ratio of the
+// largest count to the mean.
 func CoefficientOfVariation(counts []float64) (variation, maxOverMean float64) {
 	sum, largest := 0.0, 0.0
 	for _, n := range counts {
@@ -41,12 +41,12 @@
 	balanceTargetCount = 14
 	balanceTargetSlots = 3
 	balanceFlowCount   = 1200
-	// heavyFlowInterval makes one flow in so many a heavy one.
+	// heavyFlowInterval is the interval of heavy flows in a skewed load: every tenth.
 	heavyFlowInterval = 10
 )
 
-// MeasureBalance opens flows one after another, each of which keeps work at its
-// target for the rest of the run: one unit, or, if skewed, ten for every tenth.
+// MeasureBalance opens flows one after another. Each adds load to its target for the rest of
+// the run: one unit, or ten units for one flow in ten if the load is skewed.
 func MeasureBalance(p PlacementPolicy, skewed bool, seed uint64) Balance {
 	loadOf := func(n int) float64 {
 		if skewed && n%heavyFlowInterval == 0 {
@@ -65,7 +65,7 @@
 	load := make([]float64, balanceTargetCount)
 	random := rand.New(rand.NewPCG(seed, 3))
 	for range balanceFlowCount {
-		// Callers come from anywhere, so their numbers are not in order.
+		// Random numbers give random caller addresses.
 		n := random.IntN(1 << 16)
 		target := placeFlow(n) - 1
 		flows[target]++
@@ -76,8 +76,8 @@
 	return Balance{FlowVariation: flowVariation, LoadVariation: loadVariation}
 }
 
-// balanceRun places flows through the system, whose targets report what is in
-// flight at them.
+// balanceRun places flows with the simulated load balancer, whose targets report the load
+// that the flows have added.
 type balanceRun struct {
 	simulation *driver.Simulation
 	loadOf     func(n int) float64
@@ -111,8 +111,8 @@
 	return int(ip[2])<<8 | int(ip[3])
 }
 
-// ForwardedShare returns the share of packets that take a hop between hosts: all
-// that the fabric does not hand to their owner.
+// ForwardedShare returns the fraction of packets that are forwarded between hosts, which is
+// needed whenever the fabric delivers a packet to a host that does not own the flow.
 func ForwardedShare(r ScenarioResult) float64 {
 	if r.Packets == 0 {
 		return 0
--- a/core/comparer/comparer_test.go
+++ b/core/comparer/comparer_test.go
@@ -7,8 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Regression bounds as counts, with fixed seeds: the system breaks no flow in a
-// planned change, and never more than a rival.
+// Guards against broken flows, with a fixed seed: the load balancer breaks no flow in a planned
+// change and never more flows than a baseline policy, and each host sends at most 4096 control
+// bytes per second.
 func TestSystemBreaksNoMoreFlowsThanBaselines(t *testing.T) {
 	for _, s := range comparer.Scenarios() {
 		t.Run(s.Name, func(t *testing.T) {
@@ -34,8 +35,8 @@
 	}
 }
 
-// The system spreads flows at least as evenly as the best rival, and work more
-// evenly where it is skewed.
+// The load balancer distributes flows at least as evenly as the best baseline policy, and
+// skewed load more evenly than each of them.
 func TestSystemSpreadsLoadAtLeastAsEvenlyAsBaselines(t *testing.T) {
 	for _, skewed := range []bool{false, true} {
 		var all []comparer.Balance
--- a/core/comparer/policy.go
+++ b/core/comparer/policy.go
@@ -12,7 +12,7 @@
 	"cranberryspan.dev/core/resolver"
 )
 
-// PlacementPolicy is a way to place flows. The set is closed.
+// PlacementPolicy is a policy that places flows on targets. The set of policies is closed.
 type PlacementPolicy interface{ policy() }
 
 func (HashModulo) policy()       {}
@@ -20,20 +20,21 @@
 func (PerHostFlowTable) policy() {}
 func (Cranberryspan) policy()    {}
 
-// HashModulo takes the flow's hash modulo the number of targets.
+// HashModulo indexes the healthy targets by the flow's hash modulo their number.
 type HashModulo struct{}
 
-// ConsistentHash takes the best target by rendezvous hashing, for each packet.
+// ConsistentHash selects a target by rendezvous hashing for every packet.
 type ConsistentHash struct{}
 
-// PerHostFlowTable takes the same for a flow's first packet at a host, and remembers
-// it at that host, as published load balancers with per-host tables do.
+// PerHostFlowTable selects a target by rendezvous hashing for the first packet of a flow at a
+// host and stores it in a table of that host, as published load balancers with per-host flow
+// tables do.
 type PerHostFlowTable struct{}
 
-// Cranberryspan is this project: reducers that act together.
+// Cranberryspan is this project's load balancer: reducers that share state.
 type Cranberryspan struct{}
 
-// PolicyName names a policy.
+// PolicyName returns the display name of a policy.
 func PolicyName(p PlacementPolicy) string {
 	switch p.(type) {
 	case HashModulo:
@@ -48,25 +49,26 @@
 	return "unknown"
 }
 
-// Policies lists the rivals and the system, the system last.
+// Policies returns the baseline policies, followed by Cranberryspan.
 func Policies() []PlacementPolicy {
 	return []PlacementPolicy{HashModulo{}, ConsistentHash{}, PerHostFlowTable{}, Cranberryspan{}}
 }
 
-// ScenarioResult is what became of the flows of a scenario.
+// ScenarioResult is the outcome of a policy in a scenario.
 type ScenarioResult struct {
 	Flows       int
 	BrokenFlows int
-	// FlowsPerTarget counts the flows by target.
+	// FlowsPerTarget is the number of flows placed on each target.
 	FlowsPerTarget map[netip.AddrPort]int
-	// ForwardedPackets and Packets tell how many packets took a hop between hosts.
+	// ForwardedPackets is the number of packets forwarded between hosts, Packets the number
+	// of all packets from callers.
 	ForwardedPackets int
 	Packets          int
-	// ControlBytesPerSecond is the control traffic of the busiest host, a second.
+	// ControlBytesPerSecond is the control traffic sent by the busiest host.
 	ControlBytesPerSecond float64
 }
 
-// BrokenFlowsPer10000 returns the broken flows in 10,000.
+// BrokenFlowsPer10000 returns the number of broken flows per 10,000 flows.
 func (r ScenarioResult) BrokenFlowsPer10000() float64 {
 	if r.Flows == 0 {
 		return 0
@@ -74,7 +76,7 @@
 	return 10_000 * float64(r.BrokenFlows) / float64(r.Flows)
 }
 
-// RunScenario takes a policy through a scenario.
+// RunScenario runs a scenario with a policy.
 func RunScenario(p PlacementPolicy, s Scenario, seed uint64) ScenarioResult {
 	if _, ok := p.(Cranberryspan); ok {
 		return newSystemRun(seed).run(s)
@@ -86,7 +88,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{192, 168, byte(n >> 8), byte(n)}), 40000)
 }
 
-// baselineRun is a run of a policy whose hosts do not talk to each other.
+// baselineRun is a run of a baseline policy, whose hosts do not communicate.
 type baselineRun struct {
 	policy           PlacementPolicy
 	random           *rand.Rand
@@ -169,8 +171,8 @@
 			}
 		}
 	case PauseHost, ResumeHost, PartitionHosts, HealPartition:
-		// Hosts that do not talk to each other are no worse for a cut, and a
-		// pause only delays their packets.
+		// A partition does not affect hosts that do not communicate, and a pause only
+		// delays their packets.
 	}
 }
 
@@ -216,7 +218,7 @@
 	return best
 }
 
-// systemRun is a run of the system itself.
+// systemRun is a run of the simulated load balancer.
 type systemRun struct {
 	simulation     *driver.Simulation
 	tree           driver.SettingsTree
@@ -326,7 +328,8 @@
 	r.simulation.SendPacket("", id, messenger.Packet{Kind: messenger.KindRequest, Flags: flags})
 }
 
-// recordBrokenFlows looks at what reached targets since the last step.
+// recordBrokenFlows checks the packets that have reached targets since its last call. A flow
+// is broken if a packet reaches another target than the flow's first packet.
 func (r *systemRun) recordBrokenFlows() {
 	for _, p := range r.simulation.TargetPackets {
 		first, ok := r.firstTargets[p.ID.Caller]
--- a/core/comparer/scenario.go
+++ b/core/comparer/scenario.go
@@ -1,6 +1,6 @@
-// Package comparer holds the system against simpler ways to place flows: the
-// same flows, hosts, targets and failures, with fixed seeds, and counts how many
-// flows break and how evenly the targets are used.
+// Package comparer compares the load balancer with simpler placement policies. All policies
+// run with the same flows, hosts, targets, failures and seeds; it counts the flows that break
+// and measures how evenly flows and load are distributed over the targets.
 package comparer
 
 import (
@@ -9,7 +9,7 @@
 	"cranberryspan.dev/core/driver"
 )
 
-// Step is one step of a scenario. The set is closed.
+// Step is one step of a scenario. The set of steps is closed.
 type Step interface{ step() }
 
 func (PublishSettings) step() {}
@@ -26,58 +26,61 @@
 func (WaitFor) step()         {}
 func (OpenFlows) step()       {}
 
-// PublishSettings publishes targets. Hosts in Behind learn of it with the next Wait.
+// PublishSettings publishes a new list of targets. DelayedHosts cannot read it from the
+// platform; with a baseline policy they adopt it in the next WaitFor.
 type PublishSettings struct {
 	Targets      []int
 	Draining     []int
 	DelayedHosts []string
 }
 
-// KillHost ends a host without warning.
+// KillHost crashes a host.
 type KillHost struct{ Host string }
 
-// StopHost stops a host by plan and waits until it has left.
+// StopHost shuts a host down gracefully and waits until it has left.
 type StopHost struct{ Host string }
 
 // StartHost starts a host and waits until it is ready.
 type StartHost struct{ Host string }
 
-// PauseHost freezes a host, Wake lets it go on.
+// PauseHost pauses a host until ResumeHost.
 type PauseHost struct{ Host string }
 
-// ResumeHost lets a paused host go on.
+// ResumeHost resumes a paused host.
 type ResumeHost struct{ Host string }
 
-// PartitionHosts separates hosts from the others; callers reach both sides.
+// PartitionHosts cuts the links between a group of hosts and the others. Callers still reach
+// both sides.
 type PartitionHosts struct{ Hosts []string }
 
-// HealPartition ends a Cut.
+// HealPartition ends a partition made by PartitionHosts.
 type HealPartition struct{ Hosts []string }
 
-// FailTargets makes targets silent.
+// FailTargets makes targets unresponsive.
 type FailTargets struct{ Targets []int }
 
-// RecoverTargets makes them answer again.
+// RecoverTargets makes failed targets respond again.
 type RecoverTargets struct{ Targets []int }
 
-// OpenFlows opens that many new flows.
+// OpenFlows opens the given number of new flows.
 type OpenFlows struct{ Flows int }
 
-// SendTraffic sends so many packets of every open flow, each through a random host.
+// SendTraffic sends one packet of every open flow in each round, through random hosts.
 type SendTraffic struct{ Rounds int }
 
-// WaitFor lets news spread.
+// WaitFor lets time pass, so that updates reach all hosts.
 type WaitFor struct{ Duration time.Duration }
 
-// Scenario is a story that every policy goes through.
+// Scenario is a sequence of steps in which all policies are compared.
 type Scenario struct {
 	Name string
-	// Planned says that nothing may break.
+	// Planned marks scenarios of planned changes only, in which no flow may break.
 	Planned bool
 	Steps   []Step
 }
 
-// settleTime is long enough for news, exceptions and take-overs.
+// settleTime is long enough to spread updates and exceptions, and for other hosts to take
+// over the flows of a crashed one.
 const settleTime = 8 * time.Second
 
 func intRange(from, to int) []int {
@@ -88,7 +91,7 @@
 	return list
 }
 
-// baseSettings is the hosts and the first targets of every scenario.
+// baseSettings returns the hosts and the initial targets of every scenario.
 func baseSettings() driver.SettingsTree {
 	return driver.SettingsTree{
 		HostsPerZone: []int{3, 3, 2},
@@ -97,7 +100,7 @@
 	}
 }
 
-// Scenarios lists all stories.
+// Scenarios returns all scenarios.
 func Scenarios() []Scenario {
 	all := intRange(1, 14)
 	withTraffic := func(steps ...Step) []Step {
--- a/core/driver/event_queue.go
+++ b/core/driver/event_queue.go
@@ -9,8 +9,8 @@
 	"cranberryspan.dev/core/timekeeper"
 )
 
-// scheduledEvent is something that happens at a time. Events of the same time happen
-// in the order in which they were scheduled.
+// scheduledEvent is an event for a host, or an action, due at a given time. Events that are
+// due at the same time run in the order in which they were scheduled.
 type scheduledEvent struct {
 	at       timekeeper.Instant
 	sequence uint64
@@ -29,7 +29,7 @@
 	heap.Push(&s.queue, &scheduledEvent{at: s.Now.Add(delay), sequence: s.lastSequence, action: action})
 }
 
-// eventQueue is a heap of scheduled events.
+// eventQueue is a min-heap of scheduled events, ordered by time and sequence number.
 type eventQueue []*scheduledEvent
 
 func (q eventQueue) Len() int { return len(q) }
@@ -43,10 +43,10 @@
 
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-// Push is for package heap.
+// Push implements heap.Interface.
 func (q *eventQueue) Push(x any) { *q = append(*q, x.(*scheduledEvent)) }
 
-// Pop is for package heap.
+// Pop implements heap.Interface.
 func (q *eventQueue) Pop() any {
 	last := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
--- a/core/driver/settings_tree.go
+++ b/core/driver/settings_tree.go
@@ -8,43 +8,44 @@
 	"cranberryspan.dev/core/resolver"
 )
 
-// SettingsTree builds a settings tree of one region for experiments.
+// SettingsTree describes a settings tree of one region, for tests and simulations.
 type SettingsTree struct {
-	// HostsPerZone lists how many hosts each availability zone has; hosts are named
+	// HostsPerZone is the number of hosts in each availability zone; hosts are named
 	// "a1", "a2", "b1" and so on.
 	HostsPerZone []int
-	// CellsPerZone is how many cells each zone has.
+	// CellsPerZone is the number of cells in each zone.
 	CellsPerZone int
-	// Services are named s1, s2 and so on, with IDs from 1.
+	// Services are named "s1", "s2" and so on, with IDs from 1.
 	Services []SettingsService
-	// ExchangeLifetime and the like go into the defaults, as "key: value" lines.
+	// Defaults are additional "key: value" lines of the defaults section, such as
+	// "exchangeLifetime: 2s".
 	Defaults []string
 }
 
-// SettingsService is one service of a Tree.
+// SettingsService is one service of a SettingsTree.
 type SettingsService struct {
-	// TargetNumbers are the numbers of the service's targets; see TargetAddress.
+	// TargetNumbers are the numbers of the service's targets, as for TargetAddress.
 	TargetNumbers []int
-	// DrainingTargetNumbers are the numbers of targets in the state draining.
+	// DrainingTargetNumbers are the numbers of the targets in state "draining".
 	DrainingTargetNumbers []int
-	// AddressNumber is the number of the service's address; see ServiceAddress.
+	// AddressNumber is the number of the service's address, as for ServiceAddress.
 	AddressNumber int
 }
 
-// ServiceAddress returns the address of the service with a number.
+// ServiceAddress returns the address with the given number in the service range.
 func ServiceAddress(n int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(n >> 8), byte(n)}), 5683)
 }
 
-// TargetAddress returns the address of the target with a number.
+// TargetAddress returns the address of the target with the given number.
 func TargetAddress(n int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 2, byte(n >> 8), byte(n)}), 5683)
 }
 
-// HostName returns the name of a host of a Tree.
+// HostName returns the name of a host, by the indices of its zone and of the host in the zone.
 func HostName(zone, n int) string { return fmt.Sprintf("%c%d", 'a'+zone, n+1) }
 
-// HostNames returns all names of hosts of the tree.
+// HostNames returns the names of all hosts of the tree.
 func (t SettingsTree) HostNames() []string {
 	var names []string
 	for zone, hosts := range t.HostsPerZone {
@@ -55,7 +56,7 @@
 	return names
 }
 
-// Document writes the tree as YAML.
+// Document returns the tree as a YAML document.
 func (t SettingsTree) Document() []byte {
 	var b []byte
 	line := func(format string, args ...any) { b = fmt.Appendf(b, format+"\n", args...) }
@@ -87,7 +88,7 @@
 	return b
 }
 
-// MustResolve resolves a document that is known to be valid.
+// MustResolve resolves a document that is known to be valid and panics if it is not.
 func MustResolve(document []byte) *resolver.Settings {
 	settings, err := resolver.Resolve("tree", document)
 	if err != nil {
--- a/core/driver/simulation.go
+++ b/core/driver/simulation.go
@@ -1,9 +1,9 @@
-// Package driver runs many reducers in one process, with links, targets and
-// callers that are plain data. Failure tests, the capacity measurements and the
-// comparison with other placements are built on it.
+// Package driver simulates a fleet: it runs many reducers in one process and models links,
+// targets and callers. The failure tests, the capacity measurements and the comparison with
+// other placement policies are built on it.
 //
-// Time only moves when Step is called, every random choice comes from one seed,
-// and events happen in one order, so a run repeats exactly.
+// Runs are deterministic: time advances only in Step, all random choices come from one seed,
+// and events are processed in a fixed order.
 package driver
 
 import (
@@ -23,10 +23,10 @@
 	"cranberryspan.dev/core/timekeeper"
 )
 
-// MessageLatency is the time that every message and packet takes.
+// MessageLatency is the one-way delay of every message and packet.
 const MessageLatency = time.Millisecond
 
-// Simulation is hosts, targets and callers.
+// Simulation is a simulated fleet of hosts with its platform, targets and callers.
 type Simulation struct {
 	Now          timekeeper.Instant
 	random       *rand.Rand
@@ -36,11 +36,11 @@
 	lastSequence uint64
 	startCount   uint64
 
-	// documents are the published revisions; the platform serves Serving.
+	// documents are the published revisions, in order; see ServedRevision.
 	documents [][]byte
-	// PlatformDown stops all reads of the platform.
+	// PlatformDown makes every read of the platform fail.
 	PlatformDown bool
-	// ServedRevision is the revision that the platform serves; zero is the latest.
+	// ServedRevision is the revision that the platform serves; zero means the latest.
 	ServedRevision uint64
 	cutLinks       map[[2]string]bool
 
@@ -49,23 +49,26 @@
 	lastPacketID          uint64
 	nonIdempotentRequests map[RequestID]bool
 
-	// Seeds are told to hosts that start.
+	// Seeds are the seed hosts in the configuration of every host that starts.
 	Seeds []string
-	// Replies and Answers record what callers got, by exchange.
+	// Replies and Answers record the hosts' replies and the targets' responses that
+	// reached callers.
 	Replies []CallerReply
 	Answers []CallerAnswer
 	// TargetPackets records every packet that reached a target.
 	TargetPackets []TargetPacket
-	// ControlBytes counts control bytes by sending host; Forwards counts packets.
+	// ControlBytes is the number of control bytes sent by each host, ForwardedPackets the
+	// number of packets forwarded between hosts.
 	ControlBytes     map[string]int
 	ForwardedPackets int
-	// ControlMessages counts control messages, Probes probes of targets.
+	// ControlMessages is the number of control messages sent, Probes the number of probes
+	// of targets.
 	ControlMessages int
 	Probes          int
-	// MeasureControlBytes makes the fleet encode control messages to count their bytes.
+	// MeasureControlBytes enables encoding of control messages to count their bytes.
 	MeasureControlBytes bool
 	sealers             map[string]*encoder.MessageCodec
-	// PlatformReads counts reads that brought a document.
+	// PlatformReads is the number of reads that returned a newer document.
 	PlatformReads int
 }
 
@@ -80,14 +83,14 @@
 	backlog           []reducer.Event
 }
 
-// RequestID names a request of a caller.
+// RequestID identifies a request of a caller.
 type RequestID struct {
 	Caller   netip.AddrPort
 	Service  netip.AddrPort
 	Exchange messenger.Exchange
 }
 
-// CallerReply is a Reply of the system's own that reached a caller.
+// CallerReply is a reply that the load balancer itself sent to a caller.
 type CallerReply struct {
 	At      timekeeper.Instant
 	ID      RequestID
@@ -95,7 +98,7 @@
 	Reason  reducer.Reason
 }
 
-// CallerAnswer is a target's answer that reached a caller.
+// CallerAnswer is a target's response that reached a caller.
 type CallerAnswer struct {
 	At     timekeeper.Instant
 	Caller netip.AddrPort
@@ -112,13 +115,13 @@
 	Packet messenger.Packet
 }
 
-// packetInfo is what a payload stands for.
+// packetInfo is the request and packet that a payload identifies.
 type packetInfo struct {
 	id     RequestID
 	packet messenger.Packet
 }
 
-// New makes a fleet without hosts. document becomes revision 1.
+// New returns a simulation without hosts. The document is published as revision 1.
 func New(seed uint64, document []byte) *Simulation {
 	return &Simulation{
 		Now:                   timekeeper.Instant(time.Second),
@@ -134,7 +137,7 @@
 	}
 }
 
-// Start starts hosts, or starts them anew under a higher incarnation.
+// Start starts hosts, or restarts them under a higher incarnation.
 func (s *Simulation) Start(names ...string) {
 	for _, name := range names {
 		s.startCount++
@@ -159,13 +162,13 @@
 	}
 }
 
-// Kill ends a host without warning.
+// Kill crashes a host.
 func (s *Simulation) Kill(name string) { s.hosts[name].running = false }
 
-// Pause freezes a host; what reaches it waits until Wake.
+// Pause pauses a host. Events other than ticks are queued until Resume.
 func (s *Simulation) Pause(name string) { s.hosts[name].paused = true }
 
-// Resume lets a paused host go on. It finds everything that came meanwhile.
+// Resume resumes a paused host, which first processes the events queued during the pause.
 func (s *Simulation) Resume(name string) {
 	h := s.hosts[name]
 	h.paused = false
@@ -176,24 +179,24 @@
 	}
 }
 
-// Shutdown asks a host to leave.
+// Shutdown starts the graceful shutdown of a host.
 func (s *Simulation) Shutdown(name string) { s.deliver(name, &reducer.Shutdown{}) }
 
-// HasLeft reports whether a host has left by itself.
+// HasLeft reports whether a host has completed its graceful shutdown.
 func (s *Simulation) HasLeft(name string) bool { return s.hosts[name].left }
 
-// Running reports whether a host runs and is not paused.
+// Running reports whether a host is running and not paused.
 func (s *Simulation) Running(name string) bool {
 	h, ok := s.hosts[name]
 	return ok && h.running && !h.paused
 }
 
-// CutLink breaks the link between two hosts in both directions; Heal mends it.
+// CutLink cuts the link between two hosts in both directions; HealLink restores it.
 func (s *Simulation) CutLink(a, b string) {
 	s.cutLinks[[2]string{a, b}], s.cutLinks[[2]string{b, a}] = true, true
 }
 
-// HealLink mends the link between two hosts.
+// HealLink restores the link between two hosts.
 func (s *Simulation) HealLink(a, b string) {
 	delete(s.cutLinks, [2]string{a, b})
 	delete(s.cutLinks, [2]string{b, a})
@@ -202,7 +205,7 @@
 // Partition cuts every link between a group of hosts and the others.
 func (s *Simulation) Partition(group ...string) { s.forEachLinkAcross(group, s.CutLink) }
 
-// HealPartition mends every link between a group of hosts and the others.
+// HealPartition restores every link between a group of hosts and the others.
 func (s *Simulation) HealPartition(group ...string) { s.forEachLinkAcross(group, s.HealLink) }
 
 func (s *Simulation) forEachLinkAcross(group []string, action func(a, b string)) {
@@ -215,7 +218,7 @@
 	}
 }
 
-// SetPlatformCut sets whether a host reaches the platform.
+// SetPlatformCut sets whether a host is disconnected from the platform.
 func (s *Simulation) SetPlatformCut(name string, cut bool) { s.hosts[name].platformReachable = !cut }
 
 // Publish publishes a document as the next revision and returns its number.
@@ -224,20 +227,19 @@
 	return uint64(len(s.documents))
 }
 
-// Reducer returns a host's reducer, to look at.
+// Reducer returns a host's reducer, for inspection.
 func (s *Simulation) Reducer(name string) *reducer.Reducer { return s.hosts[name].reducer }
 
-// HostNames returns the hosts that were ever started, sorted.
+// HostNames returns the sorted names of all hosts that were ever started.
 func (s *Simulation) HostNames() []string { return s.hostNames }
 
-// SendPacket sends a packet from a caller to a service, through the named host or,
-// with an empty name, through a random running one. It reports whether there
-// was a host to send through.
+// SendPacket sends a packet from a caller to a service through the named host or, if the name
+// is empty, through a random host that accepts packets. It reports whether a host was found.
 func (s *Simulation) SendPacket(host string, id RequestID, packet messenger.Packet) bool {
 	return s.SendPacketAfter(0, host, id, packet)
 }
 
-// SendPacketAfter is Call, a while later.
+// SendPacketAfter is SendPacket with a delay. The host is chosen when it is called.
 func (s *Simulation) SendPacketAfter(delay time.Duration, host string, id RequestID, packet messenger.Packet) bool {
 	if host == "" {
 		host = s.randomHost()
@@ -254,7 +256,7 @@
 	return true
 }
 
-// info gives a packet a payload that names it.
+// registerPacket stores a packet under a new ID and returns the payload that encodes the ID.
 func (s *Simulation) registerPacket(id RequestID, packet messenger.Packet) []byte {
 	s.lastPacketID++
 	s.packetsByID[s.lastPacketID] = packetInfo{id: id, packet: packet}
@@ -274,7 +276,7 @@
 	return accepting[s.random.IntN(len(accepting))]
 }
 
-// Step lets time pass.
+// Step advances the simulated time by d, rounded up to whole ticks.
 func (s *Simulation) Step(d time.Duration) {
 	end := s.Now.Add(d)
 	for s.Now < end {
@@ -288,8 +290,8 @@
 	}
 }
 
-// StepUntil lets time pass until a condition holds, at most for a while, and
-// reports whether it holds.
+// StepUntil advances the simulated time until a condition holds or the timeout has passed,
+// and reports whether the condition holds.
 func (s *Simulation) StepUntil(timeout time.Duration, condition func() bool) bool {
 	for end := s.Now.Add(timeout); s.Now < end; {
 		if condition() {
@@ -300,7 +302,7 @@
 	return condition()
 }
 
-// runEventsUntil carries out everything that happens before a time.
+// runEventsUntil processes all events that are due at or before the given time.
 func (s *Simulation) runEventsUntil(until timekeeper.Instant) {
 	for len(s.queue) > 0 && s.queue[0].at <= until {
 		e := heap.Pop(&s.queue).(*scheduledEvent)
@@ -410,12 +412,13 @@
 	}
 	data, err := sealer.Encode(e.Host, e.Body)
 	if err != nil {
-		panic(fmt.Sprintf("a host made a message that can't be sealed: %v", err))
+		panic(fmt.Sprintf("encode control message: %v", err))
 	}
 	s.ControlBytes[from] += len(data)
 }
 
-// copyBody copies a message that the reducer uses again with its next call.
+// copyBody copies a Forward, since the reducer reuses it in its next call. Other messages
+// are returned as they are.
 func copyBody(body messenger.Body) messenger.Body {
 	if forward, ok := body.(*messenger.Forward); ok {
 		copied := *forward
@@ -424,7 +427,7 @@
 	return body
 }
 
-// Executions sums the executions of a request over all targets.
+// Executions returns the number of executions of a request over all targets.
 func (s *Simulation) Executions(id RequestID) int {
 	executions := 0
 	for _, t := range s.targets {
@@ -433,7 +436,8 @@
 	return executions
 }
 
-// ReturnAddress returns the address from which targets get a caller's packets.
+// ReturnAddress returns the source address of the packets that targets receive for a request.
+// It is the zero address if no host has settings with the request's service.
 func (s *Simulation) ReturnAddress(id RequestID) netip.Addr {
 	for _, name := range s.hostNames {
 		settings := s.hosts[name].reducer.Settings()
@@ -448,5 +452,5 @@
 	return netip.Addr{}
 }
 
-// IsNonIdempotent reports whether a request was one that must not run twice.
+// IsNonIdempotent reports whether a request was sent as non-idempotent.
 func (s *Simulation) IsNonIdempotent(id RequestID) bool { return s.nonIdempotentRequests[id] }
--- a/core/driver/target.go
+++ b/core/driver/target.go
@@ -9,24 +9,24 @@
 	"cranberryspan.dev/core/reducer"
 )
 
-// Target is a target that answers every request after Work.
+// Target is a simulated target that responds to every request after ProcessingTime.
 type Target struct {
 	Address        netip.AddrPort
 	ProcessingTime time.Duration
-	// Down makes the target silent.
+	// Down makes the target unresponsive.
 	Down bool
-	// FailsHealthChecks makes the target's health endpoint fail while requests are answered.
+	// FailsHealthChecks makes health checks fail while requests still succeed.
 	FailsHealthChecks bool
-	// RefusesRequests makes the target refuse every request without running it.
+	// RefusesRequests makes the target refuse every request without executing it.
 	RefusesRequests bool
 	// Executions counts the executions of each request.
 	Executions map[RequestID]int
 	InFlight   int
-	// ExtraLoad is work that the target reports beside what is in flight.
+	// ExtraLoad is reported by the target in addition to its requests in flight.
 	ExtraLoad int
 }
 
-// Target returns the target at an address, made on first use.
+// Target returns the target at an address and creates it on first use.
 func (s *Simulation) Target(address netip.AddrPort) *Target {
 	t, ok := s.targets[address]
 	if !ok {
@@ -51,7 +51,7 @@
 	})
 }
 
-// execute executes a request at a target and sends its answer.
+// execute executes a request at a target and sends the response.
 func (s *Simulation) execute(target *Target, returnAddress netip.Addr, info packetInfo) {
 	flags := messenger.FlagPiggybacked | info.packet.Flags&messenger.FlagStream
 	processingTime := target.ProcessingTime
@@ -70,8 +70,8 @@
 	})
 }
 
-// SendResponse sends an answer from a target to a return address, through a
-// random host.
+// SendResponse sends a response from a target to a return address, through a random host that
+// accepts packets.
 func (s *Simulation) SendResponse(target netip.AddrPort, returnAddress netip.Addr, id RequestID, flags messenger.Flags) {
 	packet := messenger.Packet{Kind: messenger.KindResponse, Flags: flags, Exchange: id.Exchange}
 	packet.Payload = s.registerPacket(id, packet)
