--- a/standin/internal/answerer/answerer.go
+++ b/standin/internal/answerer/answerer.go
@@ -1,9 +1,10 @@
-// Package answerer stands in for targets that answer callers directly.
+// Package answerer emulates targets that respond to callers directly, without passing the load
+// balancer.
 //
-// A request is a line "ID KIND LENGTH" and LENGTH bytes; an ID begins with the
-// name of the service that it is for. The answer is a line "ID ok LENGTH" and
-// LENGTH bytes; "last" in place of "ok" asks the caller to open another flow next,
-// as a target that drains does.
+// A request is a line "ID KIND LENGTH" followed by LENGTH bytes; an ID begins with the name of
+// the service and a slash. The response is a line "ID ok LENGTH" followed by LENGTH bytes. A
+// draining target sends "last" instead of "ok", which asks the caller to open a new flow for its
+// next request. "ID shed 0" refuses a request that was not executed.
 package answerer
 
 import (
@@ -23,7 +24,7 @@
 	"cranberryspan.dev/standin/internal/transporter"
 )
 
-// Error is the one error type of this package.
+// Error is the error type of this package.
 type Error struct {
 	Op  string
 	Err error
@@ -37,40 +38,41 @@
 const (
 	maxDatagramBytes = 2048
 	tickInterval     = 20 * time.Millisecond
-	// answerBytes is the size of an answer.
+	// answerBytes is the size of a response without its first line.
 	answerBytes = 1500
 	initialSeq  = 7000
 )
 
-// Record is what all targets of a test saw.
+// Record holds what all targets of a test have observed.
 type Record struct {
 	mu         sync.Mutex
 	executions map[string]int
 	problems   []string
-	// targetByCaller names the target at which a flow opened, by the caller's address.
+	// targetByCaller holds the ID of the target at which a flow was opened, by the caller's
+	// address.
 	targetByCaller map[netip.AddrPort]string
 }
 
-// NewRecord makes an empty record.
+// NewRecord returns an empty record.
 func NewRecord() *Record {
 	return &Record{executions: map[string]int{}, targetByCaller: map[netip.AddrPort]string{}}
 }
 
-// Executions tells how often a request ran.
+// Executions returns how often a request was executed.
 func (r *Record) Executions(id string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.executions[id]
 }
 
-// Problems lists what must not happen at a target.
+// Problems returns the violations of guarantees that targets have observed.
 func (r *Record) Problems() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]string(nil), r.problems...)
 }
 
-// TargetOf names the target of an open flow.
+// TargetOf returns the ID of the target of a flow, by the caller's address.
 func (r *Record) TargetOf(caller netip.AddrPort) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -83,35 +85,36 @@
 	r.problems = append(r.problems, fmt.Sprintf(format, args...))
 }
 
-// Config says how a target behaves.
+// Config is the configuration of a target.
 type Config struct {
 	Entry platformtest.Target
-	// ProcessingTime is how long a request takes.
+	// ProcessingTime is the time to execute a request.
 	ProcessingTime time.Duration
-	// PacketPort is the port at which callers take packets.
+	// PacketPort is the port at which callers receive packets.
 	PacketPort uint16
-	// DrainLimit is how long after it began to drain, or its zone was ordered to be
-	// evacuated, a target may get new flows.
+	// DrainLimit is how long a target may still receive new flows after it has begun to drain
+	// or the evacuation of its zone was ordered.
 	DrainLimit time.Duration
-	// EvacuatedSince is since when the target's zone is to be evacuated; zero if it is not.
+	// EvacuatedSince returns when the evacuation of the target's zone was ordered; the zero
+	// time if no order is in force.
 	EvacuatedSince func() time.Time
 }
 
-// Target is one target.
+// Target is an emulated target.
 type Target struct {
 	config Config
 	number steerer.TargetNumber
 	record *Record
 	conn   *net.UDPConn
 	http   *http.Server
-	// serving waits for what holds the target's address.
+	// serving waits for the goroutines that read from the target's sockets.
 	serving sync.WaitGroup
 
 	mu    sync.Mutex
 	flows map[flowKey]*flow
-	// silent targets take nothing in and send nothing.
+	// silent makes the target unresponsive: it ignores all packets and sends none.
 	silent bool
-	// incarnation counts the target's starts.
+	// incarnation is the number of restarts of the target.
 	incarnation   int
 	drainingSince time.Time
 	undisturbed   func() bool
@@ -131,11 +134,12 @@
 type job struct {
 	flow      *flow
 	requestID string
-	// incarnation is the target's life in which the request came.
+	// incarnation is the target's incarnation when it received the request.
 	incarnation int
 }
 
-// New starts a target. calm tells whether nothing keeps news from hosts.
+// New starts a target. undisturbed reports whether no fault delays updates to hosts; limits on
+// new flows are only checked if so.
 func New(ctx context.Context, config Config, record *Record, undisturbed func() bool) (*Target, error) {
 	number, ok := steerer.ParseTargetNumber(config.Entry.ID)
 	if !ok {
@@ -152,7 +156,7 @@
 	}
 	t := &Target{config: config, number: number, record: record, conn: conn, flows: map[flowKey]*flow{}, undisturbed: undisturbed, jobs: make(chan job, 64)}
 	t.http = &http.Server{Handler: http.HandlerFunc(t.handleHealthCheck), ReadHeaderTimeout: time.Second}
-	t.serving.Go(func() { _ = t.http.Serve(listener) }) // It ends with Stop.
+	t.serving.Go(func() { _ = t.http.Serve(listener) }) // Returns when Silence closes the server.
 	t.serving.Go(t.readLoop)
 	go t.tickLoop(ctx)
 	for range config.Entry.Slots {
@@ -161,28 +165,28 @@
 	return t, nil
 }
 
-// Entry is how the target registers itself.
+// Entry returns the target's registration in the store.
 func (t *Target) Entry() platformtest.Target {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.config.Entry
 }
 
-// Stop ends the target at once, as a crash does.
+// Stop stops the target at once, like a crash.
 func (t *Target) Stop() {
 	t.Silence()
 	_ = t.conn.Close()
 }
 
-// Close ends the target and returns when its address is free. A socket stays open
-// until whoever reads it has returned.
+// Close stops the target and waits until its address is released, since a socket stays open
+// until all of its readers have returned.
 func (t *Target) Close() {
 	t.Stop()
 	t.serving.Wait()
 }
 
-// Silence makes the target silent. Its liveness checks are refused: a process can't
-// make its own kernel ignore a handshake.
+// Silence makes the target unresponsive. Connections of health checks are refused rather than
+// ignored, since a process cannot make its kernel ignore a TCP handshake.
 func (t *Target) Silence() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -190,15 +194,14 @@
 	_ = t.http.Close()
 }
 
-// Answering reports whether the target answers.
+// Answering reports whether the target is responsive.
 func (t *Target) Answering() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return !t.silent
 }
 
-// Restart lets the target start again under its ID: it holds none of its flows, and
-// what it was at work on is lost.
+// Restart restarts the target under the same ID. It loses its flows and its requests in flight.
 func (t *Target) Restart() platformtest.Target {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -209,14 +212,14 @@
 	return t.config.Entry
 }
 
-// SetProcessingTime changes how long a request takes.
+// SetProcessingTime changes the time to execute a request.
 func (t *Target) SetProcessingTime(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.config.ProcessingTime = d
 }
 
-// StartDraining notes that the target has said that it drains.
+// StartDraining marks the target as draining and returns the entry to register.
 func (t *Target) StartDraining() platformtest.Target {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -241,11 +244,11 @@
 			return
 		}
 		if err != nil {
-			continue // An earlier packet came back undeliverable.
+			continue // The error reports that an earlier packet was undeliverable.
 		}
 		number, p, ok := platformtest.DecodeForTarget(append([]byte(nil), buffer[:n]...))
 		if !ok || !p.ChecksumValid {
-			t.record.addProblem("%s got a packet that its sender did not write", t.config.Entry.ID)
+			t.record.addProblem("%s received a malformed packet or one with a wrong checksum", t.config.Entry.ID)
 			continue
 		}
 		if number == uint64(t.number) {
@@ -312,7 +315,8 @@
 	}
 }
 
-// nextRequest takes a whole request out of a flow's bytes.
+// nextRequest removes the next request from the bytes that a flow has received, if it is
+// complete.
 func (t *Target) nextRequest(f *flow) (id string, complete bool) {
 	newline := bytes.IndexByte(f.received, '\n')
 	if newline < 0 {
@@ -321,7 +325,7 @@
 	var kind string
 	var length int
 	if _, err := fmt.Sscanf(string(f.received[:newline]), "%s %s %d", &id, &kind, &length); err != nil {
-		t.record.addProblem("%s got a request that nobody wrote: %q", t.config.Entry.ID, f.received[:newline])
+		t.record.addProblem("%s received a malformed request line: %q", t.config.Entry.ID, f.received[:newline])
 		f.received = nil
 		return "", false
 	}
@@ -354,7 +358,7 @@
 	t.record.executions[j.requestID]++
 	t.record.mu.Unlock()
 	if service, _, _ := strings.Cut(j.requestID, "/"); service != t.config.Entry.Service {
-		t.record.addProblem("%s of %s ran %s", t.config.Entry.ID, t.config.Entry.Service, j.requestID)
+		t.record.addProblem("%s of service %s ran request %s", t.config.Entry.ID, t.config.Entry.Service, j.requestID)
 	}
 	select {
 	case <-ctx.Done():
@@ -394,12 +398,12 @@
 	}
 }
 
-// send sends a packet to a caller, in the name of the service.
+// send sends a packet to a caller, with the service's address as its source.
 func (t *Target) send(key flowKey, echo uint32, flags byte, seq, ack uint32, data []byte) {
 	if t.silent {
 		return
 	}
 	p := platformtest.Encode(platformtest.Packet{From: key.service, To: key.caller, Echo: echo, Flags: flags, Seq: seq, Ack: ack, Data: data})
 	to := netip.AddrPortFrom(key.caller.Addr(), t.config.PacketPort)
-	_, _ = t.conn.WriteToUDPAddrPort(p, to) // A packet that is not sent is repeated.
+	_, _ = t.conn.WriteToUDPAddrPort(p, to) // Lost packets are retransmitted.
 }
--- a/standin/internal/asker/asker.go
+++ b/standin/internal/asker/asker.go
@@ -1,4 +1,4 @@
-// Package asker stands in for callers: it opens flows and asks requests in them.
+// Package asker emulates callers, which open flows and send requests in them.
 package asker
 
 import (
@@ -18,32 +18,34 @@
 const (
 	maxDatagramBytes = 2048
 	tickInterval     = 10 * time.Millisecond
-	// firstRetransmit and secondRetransmit are when an opening packet is sent again, openTimeout
-	// when the attempt ends.
+	// firstRetransmit and secondRetransmit are the ages of a flow at which its opening packet
+	// is retransmitted; openTimeout is the age at which the flow is given up.
 	firstRetransmit  = 200 * time.Millisecond
 	secondRetransmit = 600 * time.Millisecond
 	openTimeout      = 1400 * time.Millisecond
 	initialSeq       = 1000
 )
 
-// Outcome is how an attempt ended.
+// Outcome is the outcome of a request.
 type Outcome uint8
 
 // The outcomes.
 const (
-	// OutcomeAnswered is a whole answer to the request that was asked.
+	// OutcomeAnswered means that the complete response to the request was received.
 	OutcomeAnswered Outcome = iota + 1
-	// OutcomeRefused is a target's word that it ran nothing.
+	// OutcomeRefused means that the target refused the request without executing it.
 	OutcomeRefused
-	// OutcomeNotOpened means that no target took the flow; nothing ran.
+	// OutcomeNotOpened means that no target accepted the flow; nothing was executed.
 	OutcomeNotOpened
-	// OutcomeResetByTarget means that an open flow was reset, by its target.
+	// OutcomeResetByTarget means that the open flow was reset by its target.
 	OutcomeResetByTarget
-	// OutcomeResetByBalancer means that an open flow was reset, by a balancer.
+	// OutcomeResetByBalancer means that the open flow was reset by a host.
 	OutcomeResetByBalancer
-	// OutcomeTimeout means that the deadline passed.
+	// OutcomeTimeout means that the deadline passed, or that packets of the flow remained
+	// unacknowledged.
 	OutcomeTimeout
-	// OutcomeWrongResponse is an answer to something else.
+	// OutcomeWrongResponse means that the response belongs to a different request or is
+	// corrupt.
 	OutcomeWrongResponse
 )
 
@@ -51,10 +53,10 @@
 	return [...]string{"", "answered", "shed", "notOpened", "reset", "cut", "timeout", "wrong"}[o]
 }
 
-// SendFunc hands a packet to the routers.
+// SendFunc passes a packet to the router.
 type SendFunc func(platformtest.Packet)
 
-// Caller is one address that opens flows, each from a port of its own.
+// Caller is a caller with one address. Each of its flows has its own port.
 type Caller struct {
 	address netip.Addr
 	conn    *net.UDPConn
@@ -66,7 +68,7 @@
 	lastPort uint16
 }
 
-// Flow is one flow.
+// Flow is one flow of a caller.
 type Flow struct {
 	caller          *Caller
 	local           netip.AddrPort
@@ -76,15 +78,15 @@
 	startedAt       time.Time
 	retransmissions uint32
 	opened          bool
-	// noMoreRequests says that the target wants no further request in this flow.
+	// noMoreRequests is set when the target has asked for no further requests in this flow.
 	noMoreRequests bool
-	// outcome is set when the flow is of no more use.
+	// outcome is set when the flow has failed.
 	outcome  Outcome
 	received []byte
 	updated  chan struct{}
 }
 
-// New starts a caller that takes packets at a port.
+// New starts a caller that receives packets at the given address and port.
 func New(ctx context.Context, address netip.Addr, packetPort uint16, send SendFunc) (*Caller, error) {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(address, packetPort)))
 	if err != nil {
@@ -96,7 +98,7 @@
 	return c, nil
 }
 
-// Close frees the caller's address, and returns when it is free.
+// Close closes the caller's socket and waits until its address is released.
 func (c *Caller) Close() {
 	_ = c.conn.Close()
 	c.reading.Wait()
@@ -113,7 +115,7 @@
 	return f
 }
 
-// LocalAddress is the flow's end at the caller.
+// LocalAddress returns the address and port of the caller's end of the flow.
 func (f *Flow) LocalAddress() netip.AddrPort { return f.local }
 
 func (f *Flow) send(flags byte, seq, ack uint32, data []byte) {
@@ -132,7 +134,7 @@
 			return
 		}
 		if err != nil {
-			continue // An earlier packet came back undeliverable.
+			continue // The error reports that an earlier packet was undeliverable.
 		}
 		if p, ok := platformtest.Decode(append([]byte(nil), buffer[:n]...)); ok {
 			c.handlePacket(p)
@@ -223,7 +225,7 @@
 	}
 }
 
-// Do sends a request and waits for its answer until the deadline.
+// Do sends a request and waits for the response until the deadline.
 func (f *Flow) Do(ctx context.Context, id, kind string, bytes int, deadline time.Time) Outcome {
 	sent := false
 	timer := time.NewTimer(time.Until(deadline))
@@ -249,7 +251,8 @@
 	}
 }
 
-// readResponse reads the answer if it is whole; the caller holds mu.
+// readResponse consumes the response to a request if it is complete, and otherwise returns the
+// outcome of the flow, which is zero while the flow is usable. The caller must hold mu.
 func (f *Flow) readResponse(id string) Outcome {
 	newline := bytes.IndexByte(f.received, '\n')
 	if newline < 0 {
@@ -271,14 +274,14 @@
 	return OutcomeAnswered
 }
 
-// NoMoreRequests reports whether the target wants no further request in this flow.
+// NoMoreRequests reports whether the target has asked for no further requests in this flow.
 func (f *Flow) NoMoreRequests() bool {
 	f.caller.mu.Lock()
 	defer f.caller.mu.Unlock()
 	return f.noMoreRequests
 }
 
-// Close ends the flow at the caller and tells the target.
+// Close closes the flow and, if it is open, sends a reset to the target.
 func (f *Flow) Close() {
 	f.caller.mu.Lock()
 	defer f.caller.mu.Unlock()
--- a/standin/internal/router/router.go
+++ b/standin/internal/router/router.go
@@ -1,5 +1,5 @@
-// Package router stands in for the operators' routers: it hands the packets of
-// callers to the hosts of their zone that are ready.
+// Package router emulates the operators' routers, which send the packets of callers to ready
+// hosts of the callers' zone.
 package router
 
 import (
@@ -17,11 +17,12 @@
 
 const (
 	checkInterval = 500 * time.Millisecond
-	// unhealthyThreshold is after how many missed checks a host is out of rotation.
+	// unhealthyThreshold is the number of consecutive failed checks after which a host is out
+	// of rotation.
 	unhealthyThreshold = 2
 )
 
-// Host is one host as routers know it.
+// Host is a host to which the router sends packets.
 type Host struct {
 	Name          string
 	Zone          string
@@ -29,13 +30,13 @@
 	ReadyAddress  netip.AddrPort
 }
 
-// Fault says what happens to the packets to a host.
+// Fault is a fault in the path from the router to a host.
 type Fault struct {
 	Drop  bool
 	Delay time.Duration
 }
 
-// Router hands packets on.
+// Router sends the packets of callers to hosts.
 type Router struct {
 	hosts  []Host
 	conn   *net.UDPConn
@@ -46,7 +47,7 @@
 	faults       map[string]Fault
 }
 
-// New makes a router whose hosts are all out of rotation.
+// New returns a router whose hosts are all out of rotation.
 func New(hosts []Host) (*Router, error) {
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -62,7 +63,7 @@
 	return r, nil
 }
 
-// Run checks hosts until the context ends, and reports its end.
+// Run checks the hosts until ctx is done. The returned channel then receives the result.
 func (r *Router) Run(ctx context.Context) <-chan error {
 	done := make(chan error, 1)
 	var checks sync.WaitGroup
@@ -109,7 +110,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// InRotation lists the hosts that get packets.
+// InRotation returns the names of the hosts that are in rotation.
 func (r *Router) InRotation() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -122,14 +123,14 @@
 	return names
 }
 
-// SetFault sets the fault of the packets to a host.
+// SetFault sets the fault in the path to a host.
 func (r *Router) SetFault(host string, fault Fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faults[host] = fault
 }
 
-// Forward hands a packet of a caller to a host of its zone.
+// Forward sends a packet of a caller in the given zone to the host that pickHost selects.
 func (r *Router) Forward(zone string, p platformtest.Packet) {
 	h, fault, ok := r.pickHost(zone, p)
 	if !ok || fault.Drop {
@@ -138,10 +139,10 @@
 	r.ForwardTo(h.PacketAddress, p, fault.Delay)
 }
 
-// ForwardTo hands a packet to a host of the test's choice.
+// ForwardTo sends a packet to the given host after a delay.
 func (r *Router) ForwardTo(host netip.AddrPort, p platformtest.Packet, delay time.Duration) {
 	data := platformtest.Encode(p)
-	send := func() { _, _ = r.conn.WriteToUDPAddrPort(data, host) } // Lost packets are repeated.
+	send := func() { _, _ = r.conn.WriteToUDPAddrPort(data, host) } // Lost packets are retransmitted.
 	if delay > 0 {
 		time.AfterFunc(delay, send)
 		return
@@ -149,8 +150,9 @@
 	send()
 }
 
-// pickHost chooses by rendezvous hashing over the zone's hosts in rotation; over all
-// of the zone if fewer than half are; over all zones' if none is.
+// pickHost selects a host by rendezvous hashing among the hosts of the zone that are in rotation.
+// If fewer than half are, it selects among all hosts of the zone; if none is, among the hosts of
+// other zones that are in rotation, if any.
 func (r *Router) pickHost(zone string, p platformtest.Packet) (Host, Fault, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/standin/internal/soaker/faults.go
+++ b/standin/internal/soaker/faults.go
@@ -13,15 +13,17 @@
 	"cranberryspan.dev/standin/internal/router"
 )
 
-// fault is one kind of trouble. It returns when the trouble is over.
+// fault is one kind of fault. Its function run injects the fault, returns when the fault is over
+// and describes it.
 type fault struct {
 	name string
-	// updatesUnaffected faults keep no news from hosts, so promises with a time still hold.
+	// updatesUnaffected marks faults that do not delay updates to hosts, so that time limits
+	// still hold.
 	updatesUnaffected bool
 	run               func(ctx context.Context, s *soakRun) string
 }
 
-// firstFaultSet lists every kind of trouble that a run may bring.
+// firstFaultSet lists the faults that every run may inject.
 var firstFaultSet = []fault{
 	{"terminate", false, terminate},
 	{"terminateTwice", false, terminateTwice},
@@ -39,7 +41,7 @@
 	{"reload", true, reloadSettings},
 }
 
-// secondFaultSet come with Config.Later only.
+// secondFaultSet lists the faults that Config.SecondFaultSet adds.
 var secondFaultSet = []fault{
 	{"storeLoses", false, loseStoreResponses},
 	{"flapTarget", true, flapTarget},
@@ -49,21 +51,21 @@
 	{"overload", true, overloadTargets},
 }
 
-// thirdFaultSet come with Config.Newest only.
+// thirdFaultSet lists the faults that Config.ThirdFaultSet adds.
 var thirdFaultSet = []fault{
 	{"forgetHistory", true, dropStoreHistory},
 }
 
-// restoreFault come with Config.Restores only.
+// restoreFault is added by Config.StoreRestores.
 var restoreFault = fault{"restoreStore", false, restoreStore}
 
-// evacuationFault comes with Config.Orders only.
+// evacuationFault is added by Config.ZoneEvacuations.
 var evacuationFault = fault{"evacuateZone", true, evacuateZone}
 
-// zoneEvacuations are the operators' orders to evacuate zones. It has a lock of its own, since
-// targets look at it with each new flow.
+// zoneEvacuations holds the evacuation order that is in force, if any. It has its own lock since
+// targets read it for each new flow.
 type zoneEvacuations struct {
-	// oneAtATime lets one zone at a time be evacuated, so that there is always another.
+	// oneAtATime is held while a zone is evacuated, so that other zones remain in use.
 	oneAtATime sync.Mutex
 
 	mu        sync.Mutex
@@ -77,7 +79,8 @@
 	o.zone, o.orderedAt = zone, orderedAt
 }
 
-// evacuatedSince returns since when a zone is to be evacuated; zero if it is not.
+// evacuatedSince returns when the evacuation of a zone was ordered; the zero time if no order
+// for the zone is in force.
 func (o *zoneEvacuations) evacuatedSince(zone string) time.Time {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -87,10 +90,10 @@
 	return o.orderedAt
 }
 
-// evacuateZone orders a zone to be evacuated, and takes the order back.
+// evacuateZone orders the evacuation of a zone and later withdraws the order.
 func evacuateZone(ctx context.Context, s *soakRun) string {
 	if !s.evacuations.oneAtATime.TryLock() {
-		return "nothing, since another zone is"
+		return "skipped since another zone is being evacuated"
 	}
 	defer s.evacuations.oneAtATime.Unlock()
 	zone, span := zoneName(s.randomInt(len(s.config.HostsPerZone))), drainLimit+s.randomDuration(4*time.Second)
@@ -119,7 +122,7 @@
 	h := s.randomHost()
 	h.signal(syscall.SIGTERM)
 	if !h.exitsWithin(6 * time.Second) {
-		s.fleet.addProblem("%s did not end within 6 s of SIGTERM", h.Name)
+		s.fleet.addProblem("%s did not exit within 6 s of SIGTERM", h.Name)
 		h.signal(syscall.SIGKILL)
 		h.exitsWithin(time.Second)
 	}
@@ -133,7 +136,7 @@
 	sleep(ctx, gap)
 	h.signal(syscall.SIGTERM)
 	if !h.exitsWithin(6 * time.Second) {
-		s.fleet.addProblem("%s did not end within 6 s of SIGTERM", h.Name)
+		s.fleet.addProblem("%s did not exit within 6 s of SIGTERM", h.Name)
 	}
 	s.start(h)
 	return fmt.Sprintf("%s after %s", h.Name, gap)
@@ -154,7 +157,7 @@
 	return fmt.Sprintf("%s for %s", h.Name, down)
 }
 
-// killAllButFirst kills all hosts but the first at once.
+// killAllButFirst kills all hosts but the first one at the same time.
 func killAllButFirst(ctx context.Context, s *soakRun) string {
 	down := s.randomDuration(800 * time.Millisecond)
 	for _, h := range s.fleet.hosts[1:] {
@@ -196,7 +199,8 @@
 	return fmt.Sprintf("mode %d for %s", mode, span)
 }
 
-// degradePeerTraffic harms what one host hears of some others, one way.
+// degradePeerTraffic disturbs the traffic to one host from some of the others, in this direction
+// only.
 func degradePeerTraffic(ctx context.Context, s *soakRun) string {
 	h, span := s.randomHost(), s.randomDuration(4*time.Second)
 	fault := []ProxyFault{{Drop: true}, {Delay: 400 * time.Millisecond}, {Reset: true}}[s.randomInt(3)]
@@ -212,7 +216,7 @@
 	return fmt.Sprintf("%s %+v for %s", h.Name, fault, span)
 }
 
-// degradePackets harms the way from the routers to a host.
+// degradePackets drops or delays the packets from the router to a host.
 func degradePackets(ctx context.Context, s *soakRun) string {
 	h, span := s.randomHost(), s.randomDuration(1500*time.Millisecond)
 	fault := []router.Fault{{Drop: true}, {Delay: 100 * time.Millisecond}}[s.randomInt(2)]
@@ -222,7 +226,7 @@
 	return fmt.Sprintf("%s %+v for %s", h.Name, fault, span)
 }
 
-// entryTTL is how long the entry of a silent target stays listed: three of its
+// entryTTL is the time for which the entry of an unresponsive target stays listed: three
 // heartbeats.
 const entryTTL = 3600 * time.Millisecond
 
@@ -236,7 +240,8 @@
 	return t.Entry().ID
 }
 
-// reuseAddress crashes a target and gives its address to another service.
+// reuseAddress crashes a target and gives its address to a target of the other service, while
+// the old entry is still listed.
 func reuseAddress(ctx context.Context, s *soakRun) string {
 	t := s.takeTarget()
 	entry := t.Entry()
@@ -263,8 +268,8 @@
 	return t.Entry().ID
 }
 
-// publishSettings brings the optional route, or takes it away, and looks at every host
-// once it must be in force.
+// publishSettings publishes settings that add or remove the optional route, and checks all hosts
+// when the settings must be in force.
 func publishSettings(ctx context.Context, s *soakRun) string {
 	s.publishLock.Lock()
 	defer s.publishLock.Unlock()
@@ -279,7 +284,8 @@
 	return fmt.Sprintf("version %d, optional route %v", s.version, s.optionalRoutePublished)
 }
 
-// reloadSettings changes a host's file by a line that changes nothing, and mostly says so.
+// reloadSettings appends a comment to a host's settings file and, in two of three cases, sends
+// SIGHUP.
 func reloadSettings(_ context.Context, s *soakRun) string {
 	h := s.randomHost()
 	text, err := os.ReadFile(h.settingsPath)
@@ -295,7 +301,8 @@
 	return h.Name
 }
 
-// loseStoreResponses has the store take the calls of some hosts and answer none.
+// loseStoreResponses makes the store accept the calls of some hosts and close the connections
+// without a response.
 func loseStoreResponses(ctx context.Context, s *soakRun) string {
 	span := s.randomDuration(4 * time.Second)
 	var names []string
@@ -312,8 +319,8 @@
 	return fmt.Sprintf("%v for %s", names, span)
 }
 
-// flapTarget takes a target's entry out of the list and back by turns, while it
-// works on.
+// flapTarget repeatedly removes a target's entry from the list and restores it, while the target
+// keeps working.
 func flapTarget(ctx context.Context, s *soakRun) string {
 	t := s.takeTarget()
 	turns := 1 + s.randomInt(3)
@@ -327,7 +334,7 @@
 	return fmt.Sprintf("%s %d times", t.Entry().ID, turns)
 }
 
-// killAll kills every host at once; none is left to ask.
+// killAll kills all hosts at the same time, so that a restarted host finds no sync peer.
 func killAll(ctx context.Context, s *soakRun) string {
 	down := s.randomDuration(1500 * time.Millisecond)
 	for _, h := range s.fleet.hosts {
@@ -341,8 +348,8 @@
 	return down.String()
 }
 
-// restartTarget lets a target crash and start again under its ID, at its address, up to
-// three times.
+// restartTarget restarts a target after a crash, under the same ID and address, up to three
+// times.
 func restartTarget(ctx context.Context, s *soakRun) string {
 	t := s.takeTarget()
 	turns := 1 + s.randomInt(3)
@@ -354,10 +361,11 @@
 	return fmt.Sprintf("%s %d times", t.Entry().ID, turns)
 }
 
-// foreignValues are values of entries that name no target.
+// foreignValues are malformed values of target entries.
 var foreignValues = []string{`"not base64!"`, `17`, `null`, `""`, `"e30="`, `"W10="`}
 
-// writeForeignEntry has another program write an entry, over that of a target by turns.
+// writeForeignEntry writes a malformed entry, as another program could, in half of the cases
+// over the entry of a target.
 func writeForeignEntry(ctx context.Context, s *soakRun) string {
 	id := "readme"
 	if s.randomInt(2) > 0 {
@@ -372,11 +380,11 @@
 	return fmt.Sprintf("%s of %s", value, id)
 }
 
-// changesOutage is how long the store tells no changes before it drops its history.
+// changesOutage is how long the store reports no changes before it drops its history.
 const changesOutage = time.Second
 
-// dropStoreHistory has the store drop its history while a target is replaced, so that
-// nobody is ever told of that as a change.
+// dropStoreHistory makes the store drop its history while a target is replaced, so that the
+// replacement is never reported as a change.
 func dropStoreHistory(ctx context.Context, s *soakRun) string {
 	dropped := make(chan struct{})
 	go func() {
@@ -388,11 +396,11 @@
 	return replaced
 }
 
-// restoreStore has the store go away for a moment and come back from a copy some seconds
-// old, now and then twice; what was lost is written again within two seconds.
+// restoreStore takes the store down for up to 1 s and restores it from a backup that is up to
+// 5 s old, in half of the cases twice. Lost entries are written again within two seconds.
 func restoreStore(ctx context.Context, s *soakRun) string {
 	if !s.restoreLock.TryLock() {
-		return "nothing, since it is under way"
+		return "skipped since another restore is in progress"
 	}
 	defer s.restoreLock.Unlock()
 	backup, age := s.fleet.store.Snapshot(), s.randomDuration(5*time.Second)
@@ -410,18 +418,18 @@
 	return fmt.Sprintf("%d times, from %s", times, age)
 }
 
-// rewriteLimit is the time within which everybody writes again what a restore has lost.
+// rewriteLimit is the time within which the entries that a restore has lost are written again.
 const rewriteLimit = 2 * time.Second
 
-// setStoreModeForAll sets how the store treats all hosts.
+// setStoreModeForAll sets the mode in which the store serves all hosts.
 func (s *soakRun) setStoreModeForAll(mode platformtest.Mode) {
 	for _, h := range s.fleet.hosts {
 		s.fleet.store.SetMode(h.Name, mode)
 	}
 }
 
-// overloadTargets lets every target take twenty times as long, so that more is asked of them
-// than they can do.
+// overloadTargets multiplies the processing time of every target by twenty, so that demand
+// exceeds capacity.
 func overloadTargets(ctx context.Context, s *soakRun) string {
 	span := s.randomDuration(4 * time.Second)
 	s.setProcessingTime(20 * processingTime)
--- a/standin/internal/soaker/fleet.go
+++ b/standin/internal/soaker/fleet.go
@@ -18,7 +18,7 @@
 	"cranberryspan.dev/standin/internal/router"
 )
 
-// The ports of every host, each on an address of its own.
+// The ports of every host, which has its own addresses, and of its store.
 const (
 	peerPort   = 18166
 	readyPort  = 18167
@@ -27,7 +27,7 @@
 	storePort  = 18169
 )
 
-// process is one host, as a real process.
+// process is one host, which runs as a process.
 type process struct {
 	router.Host
 	listenAddress     netip.AddrPort
@@ -41,7 +41,7 @@
 	exited chan struct{}
 }
 
-// fleet is the hosts of a run, with their store.
+// fleet holds the hosts of a run and their store.
 type fleet struct {
 	balancerPath string
 	dir          string
@@ -54,14 +54,15 @@
 	problems     []string
 }
 
-// address is an address of this run: 127.block.zone.n.
+// address returns an address of this run: 127.addressBlock.(zone+1).n.
 func (f *fleet) address(zone, n int, port uint16) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(f.addressBlock), byte(zone + 1), byte(n)}), port)
 }
 
 func zoneName(zone int) string { return string(rune('a' + zone)) }
 
-// newFleet makes the hosts' files, proxies and stores; nothing runs yet.
+// newFleet writes the hosts' settings files and starts their proxies and store servers. It does
+// not start the hosts.
 func newFleet(ctx context.Context, config Config, dir string) (*fleet, error) {
 	f := &fleet{balancerPath: config.BalancerPath, dir: dir, addressBlock: config.AddressBlock, store: platformtest.NewStore()}
 	for zone, count := range config.HostsPerZone {
@@ -104,7 +105,7 @@
 	}
 	server := &http.Server{Handler: f.store.Handler(name), ReadHeaderTimeout: time.Second}
 	f.storeServers = append(f.storeServers, server)
-	f.serving.Go(func() { _ = server.Serve(listener) }) // It ends with stop.
+	f.serving.Go(func() { _ = server.Serve(listener) }) // Returns when killAll closes the server.
 	f.hosts = append(f.hosts, h)
 	return nil
 }
@@ -128,7 +129,7 @@
 	return os.WriteFile(h.settingsPath, []byte(text), 0o600)
 }
 
-// start starts a host. Faults overlap, so another may have started it already.
+// start starts a host unless it is running, since an overlapping fault may have started it.
 func (f *fleet) start(h *process) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -151,7 +152,7 @@
 		err := cmd.Wait()
 		_ = log.Close()
 		if cmd.ProcessState.Exited() && err != nil {
-			f.addProblem("%s ended by itself: %v", h.Name, err)
+			f.addProblem("%s exited with an error: %v", h.Name, err)
 		}
 		close(exited)
 	}()
@@ -164,16 +165,16 @@
 	f.problems = append(f.problems, fmt.Sprintf(format, args...))
 }
 
-// signal sends a signal to a host's process, which this run has started.
+// signal sends a signal to the host's process, if it was ever started.
 func (h *process) signal(s syscall.Signal) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.cmd != nil {
-		_ = h.cmd.Process.Signal(s) // It may just have ended.
+		_ = h.cmd.Process.Signal(s) // The process may have exited.
 	}
 }
 
-// running reports whether the process runs; the caller holds mu.
+// running reports whether the process is running; the caller must hold mu.
 func (h *process) running() bool {
 	if h.exited == nil {
 		return false
@@ -186,7 +187,7 @@
 	}
 }
 
-// exitsWithin reports whether the process ends within a time.
+// exitsWithin waits until the process exits and reports whether it does so within the given time.
 func (h *process) exitsWithin(within time.Duration) bool {
 	h.mu.Lock()
 	exited := h.exited
@@ -202,7 +203,7 @@
 	}
 }
 
-// killAll kills every host and frees all addresses, for the next run.
+// killAll kills all hosts and releases all addresses for the next run.
 func (f *fleet) killAll() {
 	for _, h := range f.hosts {
 		h.signal(syscall.SIGKILL)
--- a/standin/internal/soaker/proxy.go
+++ b/standin/internal/soaker/proxy.go
@@ -10,17 +10,18 @@
 	"time"
 )
 
-// ProxyFault says what a proxy does to what comes from a host.
+// ProxyFault is a fault that a proxy applies to the traffic from a host.
 type ProxyFault struct {
-	// Drop swallows datagrams and lets connections hang; Delay holds both up.
+	// Drop discards datagrams and leaves connections open without forwarding any data; Delay
+	// delays both.
 	Drop  bool
 	Delay time.Duration
-	// Reset breaks connections.
+	// Reset closes connections at once.
 	Reset bool
 }
 
-// proxy stands on the advertised address of a host, before its real one. So what
-// hosts tell each other can be harmed, each direction by itself.
+// proxy listens on the advertised address of a host and forwards to its real one. It allows
+// faults in the traffic between hosts, separately for each direction.
 type proxy struct {
 	upstream netip.AddrPort
 	conn     *net.UDPConn
@@ -28,8 +29,8 @@
 	running  sync.WaitGroup
 
 	mu sync.Mutex
-	// datagramFaults holds the harm to datagrams by the sender's address; connectionFault that to
-	// connections, whose sender shows no address of its own.
+	// datagramFaults holds the faults of datagrams by the sender's address. connectionFault
+	// applies to all connections, since their source address does not identify the host.
 	datagramFaults  map[netip.AddrPort]ProxyFault
 	connectionFault ProxyFault
 }
@@ -71,7 +72,7 @@
 			return
 		}
 		if err != nil {
-			continue // An earlier datagram came back undeliverable.
+			continue // The error reports that an earlier datagram was undeliverable.
 		}
 		p.mu.Lock()
 		fault := p.datagramFaults[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
@@ -103,7 +104,7 @@
 	case fault.Reset:
 		return
 	case fault.Drop:
-		select { // A silent connection: open, and nothing comes.
+		select { // The connection stays open without any data.
 		case <-ctx.Done():
 		case <-time.After(5 * time.Second):
 		}
--- a/standin/internal/soaker/soaker.go
+++ b/standin/internal/soaker/soaker.go
@@ -1,7 +1,7 @@
-// Package soaker runs real hosts as processes, lets callers use them, and injects
-// faults from outside: signals, a store in trouble, proxies that harm what hosts
-// tell each other, routers that lose packets, targets that crash. It checks the
-// promises from what callers and targets see.
+// Package soaker is a soak test: it runs real hosts as processes under load from callers and
+// injects faults from outside: signals, failures of the store, proxies that disturb the traffic
+// between hosts, routers that lose packets, targets that crash. It checks the guarantees of the
+// load balancer from what callers and targets observe.
 package soaker
 
 import (
@@ -24,64 +24,68 @@
 const (
 	ledger = "ledger"
 	intake = "intake"
-	// drainLimit and inForceLimit are the promises of the pages, with a little for
-	// the scheduling of the computer that it runs on.
+	// drainLimit and inForceLimit are the documented limits, which are set to 3 s with
+	// drainingWithin and settingsWithin, and 200 ms for scheduling delays of the machine.
 	drainLimit   = 3200 * time.Millisecond
 	inForceLimit = 3200 * time.Millisecond
-	// recoveryTime is how long after a disturbance promises with a time hold again.
+	// recoveryTime is the time after a disturbance from which time limits hold again.
 	recoveryTime = 4 * time.Second
-	// settleTime is how long all is left alone at the end, before the last look.
+	// settleTime is the time without faults at the end of a run, before the final check.
 	settleTime = 6 * time.Second
-	// processingTime is how long a target takes for a request.
+	// processingTime is the time that a target needs for a request.
 	processingTime = 15 * time.Millisecond
 	slotsPerTarget = 3
-	// latencyObjective is the latency that callers hope for.
+	// latencyObjective is the target latency of the routes that have one.
 	latencyObjective = 100 * time.Millisecond
 )
 
-// Config says what a run is like.
+// Config is the configuration of a run.
 type Config struct {
 	Seed     uint64
 	Duration time.Duration
 	// BalancerPath is the balancer's binary.
 	BalancerPath string
-	// HostsPerZone is how many hosts each availability zone has.
+	// HostsPerZone is the number of hosts in each availability zone.
 	HostsPerZone []int
-	// CallersPerZone is how many callers each zone has.
+	// CallersPerZone is the number of callers in each zone.
 	CallersPerZone int
-	// LedgerTargets is how many targets of ledger there are; a third as many of intake.
+	// LedgerTargets is the initial number of targets of the service ledger. The service
+	// intake has a third as many, but at least one per zone.
 	LedgerTargets int
-	// AddressBlock is the second byte of all addresses, so that runs don't meet.
+	// AddressBlock is the second byte of all addresses. Runs at the same time need
+	// different ones.
 	AddressBlock int
-	// OnlyFaults names the faults that may come; all if empty.
+	// OnlyFaults names the faults to inject; all if empty.
 	OnlyFaults []string
-	// SecondFaultSet lets faults come that were added after the kept seeds: these would play
-	// other runs with them.
+	// SecondFaultSet adds the second fault set. It is optional because more kinds of faults
+	// change the runs of the seeds that were recorded for regression tests without them.
 	SecondFaultSet bool
-	// ThirdFaultSet lets all faults come, Later's too, for the same reason.
+	// ThirdFaultSet adds the second and the third fault set. It is optional for the same
+	// reason.
 	ThirdFaultSet bool
-	// ZoneEvacuations lets operators evacuate zones besides, for the same reason.
+	// ZoneEvacuations adds evacuations of zones. It is optional for the same reason.
 	ZoneEvacuations bool
-	// StoreRestores lets the store come back from copies besides, for the same reason.
+	// StoreRestores adds restores of the store from a backup. It is optional for the same
+	// reason.
 	StoreRestores bool
-	// MeanFaultInterval is the mean pause between two faults.
+	// MeanFaultInterval is the mean time between the starts of two faults.
 	MeanFaultInterval time.Duration
-	// RequireAllAnswered makes every attempt that is not answered a problem.
+	// RequireAllAnswered makes every request without a response a problem.
 	RequireAllAnswered bool
 }
 
-// Report is what a run has shown.
+// Report is the result of a run.
 type Report struct {
 	Seed       uint64
 	Outcomes   map[asker.Outcome]int
 	Faults     []string
 	Problems   []string
 	StoreReads int
-	// LogDir is the folder with the hosts' logs; it is kept if there are problems.
+	// LogDir is the directory of the hosts' logs. It is kept if there are problems.
 	LogDir string
 }
 
-// String is the report as a text for people.
+// String returns the report as text.
 func (r Report) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "seed %d: %d faults, %d reads of the store;", r.Seed, len(r.Faults), r.StoreReads)
@@ -109,7 +113,8 @@
 	random        *rand.Rand
 	lastDisturbed time.Time
 	activeFaults  int
-	// availableTargets are those that faults may choose, started all that ever ran.
+	// availableTargets are the targets that faults may select, allTargets all that were ever
+	// started.
 	availableTargets []*answerer.Target
 	allTargets       []*answerer.Target
 	callers          []*asker.Caller
@@ -127,7 +132,7 @@
 	optionalRoutePublished bool
 }
 
-// Run makes one run.
+// Run executes one run.
 func Run(ctx context.Context, config Config) (Report, error) {
 	dir, err := os.MkdirTemp("", "soak")
 	if err != nil {
@@ -151,12 +156,12 @@
 	return report, nil
 }
 
-// close frees every address, for the next run.
+// close releases all addresses for the next run.
 func (s *soakRun) close() {
 	s.fleet.killAll()
 	s.mu.Lock()
 	targets, callers := s.allTargets, s.callers
-	s.mu.Unlock() // Targets ask for calm while they end.
+	s.mu.Unlock() // Targets call undisturbed, which locks mu, until they are closed.
 	for _, t := range targets {
 		t.Close()
 	}
@@ -177,7 +182,7 @@
 	return s.random.Float64()
 }
 
-// setUp starts targets, hosts and routers, and waits until all hosts are in
+// setUp starts the targets, the hosts and the router, and waits until all hosts are in
 // rotation.
 func (s *soakRun) setUp(ctx context.Context) error {
 	for i := range s.config.LedgerTargets {
@@ -203,14 +208,14 @@
 	const startLimit = 15 * time.Second
 	for end := time.Now().Add(startLimit); len(s.router.InRotation()) < len(hosts); {
 		if time.Now().After(end) {
-			return fmt.Errorf("in rotation after %s: %v", startLimit, s.router.InRotation())
+			return fmt.Errorf("not all hosts are in rotation after %s, only %v", startLimit, s.router.InRotation())
 		}
 		sleep(ctx, 50*time.Millisecond)
 	}
 	return nil
 }
 
-// newTargetAddress is an address that no target had before.
+// newTargetAddress returns an address that has not been used by a target of this run.
 func (s *soakRun) newTargetAddress() netip.AddrPort {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -239,7 +244,7 @@
 	s.fleet.store.PutTarget(entry)
 }
 
-// takeTarget takes a target out of those that later faults may choose.
+// takeTarget removes a random target from those that faults may select, and returns it.
 func (s *soakRun) takeTarget() *answerer.Target {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -249,14 +254,14 @@
 	return t
 }
 
-// returnTarget lets later faults choose a target again.
+// returnTarget makes a target available to other faults again.
 func (s *soakRun) returnTarget(t *answerer.Target) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.availableTargets = append(s.availableTargets, t)
 }
 
-// The addresses that callers use.
+// The addresses of the routes.
 var (
 	readRoute     = netip.MustParseAddrPort("198.18.0.1:443")
 	checkRoute    = netip.MustParseAddrPort("198.18.0.1:444")
@@ -276,8 +281,8 @@
 	return routes
 }
 
-// runLoad lets callers work while faults come, and looks at the end whether all is
-// well again.
+// runLoad runs the callers while faults are injected, and checks at the end that the system has
+// recovered.
 func (s *soakRun) runLoad(ctx context.Context) {
 	loading, stop := context.WithCancel(ctx)
 	var callers sync.WaitGroup
@@ -303,7 +308,7 @@
 	callers.Wait()
 }
 
-// injectFaults starts faults, some while others still last, and waits for all.
+// injectFaults starts random faults, which may overlap, and waits until all have ended.
 func (s *soakRun) injectFaults(ctx context.Context) {
 	var running sync.WaitGroup
 	end := time.Now().Add(s.config.Duration)
@@ -351,11 +356,11 @@
 	s.lastDisturbed = time.Now()
 }
 
-// undisturbed reports whether nothing has kept news from hosts for a while.
+// undisturbed reports whether no fault has delayed updates to hosts during recoveryTime.
 func (s *soakRun) undisturbed() bool { return s.undisturbedSince(time.Now()) }
 
-// undisturbedSince reports whether nothing kept news from hosts from some time before a
-// moment until now.
+// undisturbedSince reports whether no fault has delayed updates to hosts from recoveryTime
+// before the given moment until now.
 func (s *soakRun) undisturbedSince(moment time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -369,7 +374,8 @@
 	return fmt.Sprintf("%s/%d", service, s.requestCount)
 }
 
-// readRequestLoop asks one request after another in a flow that stays open.
+// readRequestLoop sends one read after another in a flow that it keeps open while requests
+// succeed.
 func (s *soakRun) readRequestLoop(ctx context.Context, c *asker.Caller) {
 	var f *asker.Flow
 	for ctx.Err() == nil {
@@ -387,7 +393,7 @@
 	}
 }
 
-// singleRequestLoop opens a flow for each request: checks, and now and then an upload.
+// singleRequestLoop opens a new flow for each request: three checks, then an upload.
 func (s *soakRun) singleRequestLoop(ctx context.Context, c *asker.Caller) {
 	for n := 0; ctx.Err() == nil; n++ {
 		service, route, kind, bytes := ledger, checkRoute, "check", 900
@@ -403,7 +409,7 @@
 	}
 }
 
-// checkOutcome counts an attempt and holds it against the promises.
+// checkOutcome counts the outcome of a request and records a problem if it violates a guarantee.
 func (s *soakRun) checkOutcome(ctx context.Context, f *asker.Flow, id string, outcome asker.Outcome, idempotent bool) {
 	if ctx.Err() != nil {
 		return
@@ -419,13 +425,13 @@
 	problem := ""
 	switch {
 	case outcome == asker.OutcomeWrongResponse:
-		problem = "got an answer to something else"
+		problem = "received the response to a different request"
 	case executions > 1:
 		problem = fmt.Sprintf("ran %d times", executions)
 	case (outcome == asker.OutcomeNotOpened || outcome == asker.OutcomeRefused) && executions > 0:
-		problem = "ran though it was refused as not run"
+		problem = "ran although it was refused as not run"
 	case outcome == asker.OutcomeAnswered && executions == 0:
-		problem = "was answered and did not run"
+		problem = "was answered but did not run"
 	case s.config.RequireAllAnswered && outcome != asker.OutcomeAnswered:
 		problem = "ended with " + outcome.String()
 	case outcome == asker.OutcomeResetByBalancer:
@@ -436,9 +442,9 @@
 	}
 }
 
-// checkReset says what is wrong with a reset of an open flow by a host, if anything. Targets ask
-// for calm while they hold their own lock, so the run's may not be held while they are
-// asked.
+// checkReset returns the problem with a reset of an open flow by a host, or an empty string if
+// the reset was justified. Targets call undisturbed, which locks s.mu, while they hold their own
+// lock, so s.mu must not be held during calls of their methods.
 func (s *soakRun) checkReset(target string, idempotent bool) string {
 	if !idempotent {
 		return "was reset though it may have run"
@@ -448,13 +454,14 @@
 	s.mu.Unlock()
 	for _, t := range targets {
 		if t.Entry().ID == target && t.Answering() {
-			return "was reset while its target lives"
+			return "was reset while its target responds"
 		}
 	}
 	return ""
 }
 
-// checkVersionInForce looks at every host whether the last version is in force.
+// checkVersionInForce checks at every host that the latest settings version is in force, by
+// opening a flow to the optional route. It gives up when a fault delays updates.
 func (s *soakRun) checkVersionInForce(ctx context.Context, published time.Time) {
 	for i, h := range s.fleet.hosts {
 		if !s.undisturbedSince(published) {
@@ -490,7 +497,8 @@
 	return copied
 }
 
-// checkRecovered demands that nothing fails any more once all is left alone.
+// checkRecovered records a problem if requests failed, or none were answered, after the last
+// fault and settleTime.
 func (s *soakRun) checkRecovered(before, after map[asker.Outcome]int) {
 	answered := after[asker.OutcomeAnswered] - before[asker.OutcomeAnswered]
 	failed := 0
@@ -500,7 +508,7 @@
 		}
 	}
 	if failed > 0 || answered == 0 {
-		s.fleet.addProblem("%s after the last fault %d attempts failed and %d were answered", settleTime, failed, answered)
+		s.fleet.addProblem("%s after the last fault, %d requests failed and %d were answered", settleTime, failed, answered)
 	}
 }
 
--- a/standin/internal/transporter/transporter.go
+++ b/standin/internal/transporter/transporter.go
@@ -1,5 +1,5 @@
-// Package transporter is one end of a flow: it turns bytes into packets that are
-// acknowledged and repeated, and back.
+// Package transporter implements one end of a flow: it sends a byte stream in packets that are
+// acknowledged and retransmitted, and reassembles the stream of the other end.
 package transporter
 
 import (
@@ -9,20 +9,21 @@
 )
 
 const (
-	// sendWindow is how many packets an end has under way at most.
+	// sendWindow is the maximum number of packets in flight.
 	sendWindow = 16
-	// initialTimeout is when a packet is repeated; the pause doubles up to
-	// maxTimeout.
+	// initialTimeout is the time until the first retransmission of a packet. It doubles with
+	// each retransmission, up to maxTimeout.
 	initialTimeout = 200 * time.Millisecond
 	maxTimeout     = 1600 * time.Millisecond
-	// maxRetransmissions is after how many repeats of a packet an end gives up.
+	// maxRetransmissions is the number of retransmissions of a packet after which the flow is
+	// given up.
 	maxRetransmissions = 8
 )
 
 // SendFunc sends one packet of the flow.
 type SendFunc func(flags byte, seq, ack uint32, data []byte)
 
-// Endpoint is one end of a flow that is open. It is not safe for concurrent use.
+// Endpoint is one end of an open flow. It is not safe for concurrent use.
 type Endpoint struct {
 	send        SendFunc
 	nextSeq     uint32
@@ -39,13 +40,13 @@
 	timeout         time.Duration
 }
 
-// New makes an end that sends its first byte as seq and expects the other's as
-// expected.
+// New returns an endpoint whose first byte has sequence number seq. The first byte of the other
+// end has sequence number expected.
 func New(seq, expected uint32, send SendFunc) *Endpoint {
 	return &Endpoint{send: send, nextSeq: seq, expectedSeq: expected}
 }
 
-// Write queues bytes.
+// Write queues bytes and sends as many packets as the window allows.
 func (e *Endpoint) Write(data []byte, now time.Time) {
 	e.unsent = append(e.unsent, data...)
 	e.sendUnsent(now)
@@ -62,8 +63,8 @@
 	}
 }
 
-// Receive takes in a packet of the other end and returns the bytes that are new.
-// It acknowledges all data at once.
+// Receive processes a packet of the other end and returns the next bytes of the stream.
+// Data out of order is discarded. Every packet with data is acknowledged at once.
 func (e *Endpoint) Receive(p platformtest.Packet, now time.Time) []byte {
 	unacknowledged := e.inFlight[:0]
 	for _, s := range e.inFlight {
@@ -85,10 +86,10 @@
 	return data
 }
 
-// Acknowledge tells the other end what has come.
+// Acknowledge sends an acknowledgement of the data received so far.
 func (e *Endpoint) Acknowledge() { e.send(platformtest.FlagAck, e.nextSeq, e.expectedSeq, nil) }
 
-// Tick repeats what is overdue and reports whether the end gives up.
+// Tick retransmits packets whose timeout has passed and reports whether the flow is given up.
 func (e *Endpoint) Tick(now time.Time) (gaveUp bool) {
 	for i := range e.inFlight {
 		s := &e.inFlight[i]
