--- a/standin/internal/loader/client.go
+++ b/standin/internal/loader/client.go
@@ -17,21 +17,21 @@
 const (
 	maxDatagramBytes = 2048
 	maxOptions       = 16
-	// ackTimeout and maxRetransmit are what RFC 7252 calls ACK_TIMEOUT and
-	// MAX_RETRANSMIT, the former shortened: a request is repeated after 0.5,
-	// 1.5, 3.5 and 7.5 s, and given up after 15.5 s.
+	// ackTimeout and maxRetransmit are ACK_TIMEOUT and MAX_RETRANSMIT of RFC 7252. The timeout
+	// is shorter than there: a request is retransmitted after 0.5, 1.5, 3.5 and 7.5 s, and
+	// given up after 15.5 s.
 	ackTimeout    = 500 * time.Millisecond
 	maxRetransmit = 4
 )
 
-// client is one flow: a socket of its own towards one service.
+// client is one flow to a service. Each client has its own socket.
 type client struct {
 	conn      *net.UDPConn
 	messageID uint16
 	token     uint64
-	// onNotification gets every notification of the flow's stream.
+	// onNotification is called for every notification of the flow's stream.
 	onNotification func(payload string)
-	// retransmissions counts datagrams that were sent again.
+	// retransmissions counts retransmitted datagrams.
 	retransmissions int
 }
 
@@ -45,7 +45,7 @@
 
 func (c *client) close() { _ = c.conn.Close() }
 
-// request is what a client sends.
+// request is one CoAP request of a client.
 type request struct {
 	code        codes.Code
 	path        string
@@ -94,7 +94,7 @@
 	return buffer[:n], c.messageID, c.token, nil
 }
 
-// do sends a request, repeats it as RFC 7252 says, and returns the answer.
+// do sends a request, retransmits it as specified by RFC 7252, and returns the response.
 func (c *client) do(ctx context.Context, r request) (message.Message, error) {
 	datagram, _, token, err := c.encode(r)
 	if err != nil {
@@ -112,12 +112,12 @@
 		timeout *= 2
 		c.retransmissions++
 	}
-	return message.Message{}, &Error{Op: "await answer", Err: errNoAnswer}
+	return message.Message{}, &Error{Op: "await response", Err: errNoAnswer}
 }
 
-var errNoAnswer = errors.New("no answer to any of the datagrams")
+var errNoAnswer = errors.New("no response to any transmission")
 
-// awaitResponse reads until the answer to a token comes or the deadline passes.
+// awaitResponse reads until the response with the given token arrives or the deadline passes.
 func (c *client) awaitResponse(ctx context.Context, token uint64, deadline time.Time) (message.Message, error) {
 	if end, ok := ctx.Deadline(); ok && end.Before(deadline) {
 		deadline = end
@@ -133,7 +133,7 @@
 	}
 }
 
-// readMessage reads one message and passes notifications on.
+// readMessage reads one message and calls onNotification if it is a notification.
 func (c *client) readMessage(deadline time.Time) (message.Message, error) {
 	buffer := make([]byte, maxDatagramBytes)
 	for {
@@ -147,7 +147,7 @@
 		}
 		if err != nil {
 			time.Sleep(time.Millisecond)
-			continue // The fabric was not up when an earlier packet was sent.
+			continue // The fabric was not listening when an earlier packet was sent.
 		}
 		m := message.Message{Options: make(message.Options, 0, maxOptions)}
 		if _, err := coder.DefaultCoder.Decode(buffer[:n], &m); err != nil {
--- a/standin/internal/loader/loader.go
+++ b/standin/internal/loader/loader.go
@@ -1,5 +1,5 @@
-// Package loader is a small load tool: callers with the four workloads of the
-// users, and a report of what became of them. It is bounded in count and time.
+// Package loader is a small load generator: it runs callers with the four workloads of the users
+// and reports the results. Runs are bounded in the number of flows and in time.
 package loader
 
 import (
@@ -20,7 +20,7 @@
 	"github.com/plgd-dev/go-coap/v3/message/codes"
 )
 
-// Error is the one error type of this package.
+// Error is the error type of this package.
 type Error struct {
 	Op  string
 	Err error
@@ -33,38 +33,39 @@
 
 const (
 	uploadBlockBytes = 512
-	// lastResponseTimeout is how long a run waits for the last answers.
+	// lastResponseTimeout is how long a run waits for outstanding responses at its end.
 	lastResponseTimeout = 16 * time.Second
-	// maxMissedNotifications is how long a stream may be quiet before it counts as broken,
-	// in notifications.
+	// maxMissedNotifications is the number of notification intervals without a notification
+	// after which a stream counts as broken.
 	maxMissedNotifications = 15
 )
 
-// Workload is so many flows of one kind to one service.
+// Workload is a number of flows of one kind to one service.
 type Workload struct {
 	Kind    WorkloadKind
 	Service string
 	Flows   int
 }
 
-// Config says what a run does.
+// Config is the configuration of a run.
 type Config struct {
 	Workloads []Workload
-	// NewFlowsPerSecond is how many new flows a second bring one check each, beside the
-	// closed-loop flows. They go to the service of the first checks or presses.
+	// NewFlowsPerSecond is the rate of additional flows with one request each, in an open
+	// loop. They use the first workload of checks or presses.
 	NewFlowsPerSecond int
 	Duration          time.Duration
-	// ThinkTime is the pause of a flow between two requests.
+	// ThinkTime is the time between two requests of a flow.
 	ThinkTime time.Duration
-	// NotifyInterval is what the targets are set to.
+	// NotifyInterval is the interval at which the targets are configured to send notifications.
 	NotifyInterval time.Duration
-	// UploadBlocks is the length of an upload.
+	// UploadBlocks is the number of blocks of an upload.
 	UploadBlocks int
-	// Direct sends to the targets themselves, each flow to one, as a baseline.
+	// Direct sends each flow directly to one target, bypassing the load balancer, as a
+	// baseline.
 	Direct bool
 	// TargetControlAddresses are the control addresses of the targets' processes.
 	TargetControlAddresses []string
-	// OnProgress gets a line a second.
+	// OnProgress receives a progress line every second.
 	OnProgress func(line string)
 }
 
@@ -77,12 +78,12 @@
 	runID        int64
 }
 
-// New makes a Loader for the services of a settings tree.
+// New returns a Loader for the services of a settings tree.
 func New(config Config, settings *resolver.Settings) *Loader {
 	return &Loader{config: config, settings: settings, recorder: newRecorder(), runID: time.Now().UnixNano()}
 }
 
-// Run runs all callers to the end and returns the report.
+// Run runs all callers until the end of the run and returns the report.
 func (l *Loader) Run(ctx context.Context) (Report, error) {
 	end := time.Now().Add(l.config.Duration)
 	ctxWithDeadline, cancel := context.WithDeadline(ctx, end.Add(lastResponseTimeout))
@@ -120,7 +121,7 @@
 	return netip.AddrPort{}, &Error{Op: "find service", Err: fmt.Errorf("no service %q in the settings", name)}
 }
 
-// targetAddress returns a target of a service for the flow with a number.
+// targetAddress returns the address of the service's target for the flow with the given number.
 func (l *Loader) targetAddress(name string, n int) netip.AddrPort {
 	for _, service := range l.settings.Services {
 		if service.Name == name && len(service.Targets) > 0 {
@@ -183,12 +184,12 @@
 	}
 }
 
-// newRequestID names a request so that targets can tell whether it ran before.
+// newRequestID returns a unique request ID, from which targets detect repeated executions.
 func (l *Loader) newRequestID(service string) string {
 	return fmt.Sprintf("%s/%d-%d", service, l.runID, l.requestCount.Add(1))
 }
 
-// sendCheck asks once for something that must not run twice.
+// sendCheck sends one non-idempotent request.
 func (l *Loader) sendCheck(ctx context.Context, c *client, workload Workload) {
 	id := l.newRequestID(workload.Service)
 	l.recorder.updateTally(workload.Kind, func(t *Tally) { t.Started++ })
@@ -202,7 +203,7 @@
 	l.recorder.updateTally(workload.Kind, func(t *Tally) { t.countResponse(m, err, id) })
 }
 
-// countResponse counts an answer.
+// countResponse counts the result of a check or press.
 func (t *Tally) countResponse(m message.Message, err error, id string) {
 	switch {
 	case err != nil:
@@ -258,8 +259,8 @@
 	l.recorder.recordLatency(KindUpload, time.Since(began))
 }
 
-// runStream holds a stream open until the end. It is broken if it falls silent or
-// its notifications come from another target.
+// runStream keeps a stream open until the end of the run. The stream is broken if notifications
+// stop or come from another target.
 func (l *Loader) runStream(ctx context.Context, c *client, end time.Time) {
 	l.recorder.updateTally(KindStream, func(t *Tally) { t.Started++ })
 	began := time.Now()
@@ -305,8 +306,8 @@
 	return b
 }
 
-// runOpenLoop starts new flows at a fixed rate, whether or not earlier ones have
-// been answered.
+// runOpenLoop opens flows with one request each at a fixed rate, independent of responses to
+// earlier ones.
 func (l *Loader) runOpenLoop(ctx context.Context, end time.Time) {
 	var workload Workload
 	for _, w := range l.config.Workloads {
@@ -341,7 +342,7 @@
 	}
 }
 
-// buildReport adds what the targets counted to what the callers saw.
+// buildReport combines the results of the callers with the reports of the targets.
 func (l *Loader) buildReport(ctx context.Context) (Report, error) {
 	report := Report{Tallies: l.recorder.snapshot(), Imbalance: map[string]Imbalance{}, Problems: l.recorder.firstProblems}
 	runs := map[string]int{}
--- a/standin/internal/loader/report.go
+++ b/standin/internal/loader/report.go
@@ -11,38 +11,40 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// WorkloadKind is one of the workloads of the users.
+// WorkloadKind is the kind of a workload.
 type WorkloadKind string
 
 // The workloads.
 const (
-	// KindStream holds a dashboard stream or a live-tuning feed open.
+	// KindStream keeps a stream of notifications open, as for a dashboard or a live-tuning
+	// feed.
 	KindStream WorkloadKind = "streams"
-	// KindUpload sends an invoice file or a viewing diary in blocks.
+	// KindUpload sends a file in blocks, such as an invoice file or a viewing diary.
 	KindUpload WorkloadKind = "uploads"
-	// KindCheck asks for a commitment check, which must not run twice.
+	// KindCheck sends a commitment check, which is non-idempotent.
 	KindCheck WorkloadKind = "checks"
-	// KindPress logs a viewer's press, which must not run twice.
+	// KindPress records a viewer's presence press, which is non-idempotent.
 	KindPress WorkloadKind = "presses"
 )
 
-// Tally counts what became of the work of one kind.
+// Tally counts the results of the workloads of one kind: requests, uploads or streams.
 type Tally struct {
 	Started  int `json:"started"`
 	Answered int `json:"answered"`
-	// Refused work was said not to have run.
+	// Refused counts those refused as not run.
 	Refused int `json:"refused"`
-	// OutcomeUnknown work may have run, the caller was told.
+	// OutcomeUnknown counts those that may have run, according to the reply.
 	OutcomeUnknown int `json:"unknown"`
-	// Unanswered work got no answer at all.
+	// Unanswered counts those without any response.
 	Unanswered int `json:"lost"`
-	// Broken flows changed targets or fell silent; broken uploads were cut.
+	// Broken counts streams that changed targets or stopped, and uploads that did not
+	// complete.
 	Broken int `json:"broken"`
-	// WrongResponses answers belonged to another request.
+	// WrongResponses counts responses that belong to another request.
 	WrongResponses int `json:"wrong"`
-	// Retransmissions are datagrams that were sent again.
+	// Retransmissions counts retransmitted datagrams.
 	Retransmissions int `json:"repeats"`
-	// The latencies are in microseconds.
+	// MedianUs, P99Us and MaxUs are latencies in microseconds.
 	MedianUs int64 `json:"medianUs"`
 	P99Us    int64 `json:"p99Us"`
 	MaxUs    int64 `json:"maxUs"`
@@ -51,18 +53,19 @@
 // Report is the result of a run.
 type Report struct {
 	Tallies map[WorkloadKind]Tally `json:"tallies"`
-	// Problems tells of the first few flows that broke.
+	// Problems describes the first requests and uploads that failed.
 	Problems []string `json:"problems"`
-	// DuplicateExecutions and Misrouted come from the targets.
+	// DuplicateExecutions, Misrouted and RefusedByTargets are sums of the targets' reports.
 	DuplicateExecutions []string `json:"doubled"`
 	Misrouted           []string `json:"misrouted"`
 	RefusedByTargets    int      `json:"shed"`
-	// MaxOverMean and Variation describe the runs of each service's targets.
+	// Imbalance describes the distribution of executions over the targets, by service.
 	Imbalance map[string]Imbalance `json:"imbalance"`
 }
 
-// Imbalance is how unevenly work lies on a service's targets.
+// Imbalance is how unevenly executions are distributed over a service's targets.
 type Imbalance struct {
+	// MaxOverMean is the ratio of the largest count to the mean.
 	MaxOverMean float64 `json:"maxOverMean"`
 	// Variation is the coefficient of variation.
 	Variation float64 `json:"variation"`
@@ -89,7 +92,8 @@
 	return Imbalance{MaxOverMean: float64(largest) / mean, Variation: math.Sqrt(squares/float64(len(counts))) / mean}
 }
 
-// Clean reports whether nothing was broken, lost, doubled, misrouted or wrong.
+// Clean reports whether no request, upload or stream was broken, unanswered, executed twice,
+// misrouted or answered with the wrong response.
 func (r Report) Clean() bool {
 	for _, t := range r.Tallies {
 		if t.Unanswered+t.Broken+t.WrongResponses > 0 {
@@ -99,7 +103,7 @@
 	return len(r.DuplicateExecutions)+len(r.Misrouted) == 0
 }
 
-// String is the report as text.
+// String returns the report as text.
 func (r Report) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%-8s %8s %8s %8s %8s %6s %6s %6s %8s %10s %10s\n", "work", "started", "answered", "refused", "unknown", "lost", "broken", "wrong", "repeats", "median", "p99")
@@ -128,7 +132,7 @@
 	return b.String()
 }
 
-// recorder gathers tallies from many flows.
+// recorder collects the results of concurrent flows.
 type recorder struct {
 	mu            sync.Mutex
 	tallies       map[WorkloadKind]*Tally
@@ -136,7 +140,7 @@
 	firstProblems []string
 }
 
-// addProblem keeps a line about something that went wrong, if it is one of the first.
+// addProblem records a problem unless maxProblems have been recorded already.
 func (r *recorder) addProblem(format string, args ...any) {
 	const maxProblems = 10
 	r.mu.Lock()
--- a/standin/internal/measurer/markdown.go
+++ b/standin/internal/measurer/markdown.go
@@ -8,7 +8,7 @@
 	"cranberryspan.dev/standin/internal/plotter"
 )
 
-// Measurements is all that one run measured.
+// Measurements holds all measurements of a run.
 type Measurements struct {
 	Settings  []SettingsCost
 	Fleets    []FleetCost
@@ -17,7 +17,7 @@
 	Requests  []RequestCost
 }
 
-// MeasureAll measures every slope. progress gets a line for each point.
+// MeasureAll measures all costs at several sizes. It calls progress before each measurement.
 func MeasureAll(progress func(string)) Measurements {
 	var m Measurements
 	for _, size := range [][2]int{{100, 55}, {500, 275}, {1900, 1050}, {PlannedTargets, PlannedServices}} {
@@ -43,7 +43,7 @@
 	return m
 }
 
-// HostEstimate is what the slopes mean for one host at the two-year size.
+// HostEstimate is the estimated cost of one host at the planned size in two years.
 type HostEstimate struct {
 	Flows                   float64
 	FlowMemoryBytes         float64
@@ -57,7 +57,7 @@
 	Propagation             time.Duration
 }
 
-// EstimateHost works the figures out.
+// EstimateHost derives the estimate for one host from the measurements.
 func (m Measurements) EstimateHost() HostEstimate {
 	fleet := m.Fleets[len(m.Fleets)-1]
 	settings := m.Settings[len(m.Settings)-1]
@@ -68,7 +68,7 @@
 	d.FlowMemoryBytes = d.Flows * m.Flows[0].BytesPerFlow
 	d.MemoryBytes = d.FlowMemoryBytes + float64(settings.MemoryBytes)
 	d.HeartbeatBytesPerSecond = fleet.MaxBytesPerSecond
-	// Every new flow is taken for one request that must run once.
+	// Every new flow is counted as one non-idempotent request.
 	d.WitnessBytesPerSecond = float64(PlannedNewFlowsPerSecond) / PlannedHosts * request.BytesPerRequest
 	d.SettingsBytesPerSecond = float64(settings.CompressedBytes) * PlannedChangesPerDay / secondsPerDay
 	bytesPerFlow := float64(handover.Bytes) / float64(handover.Flows)
@@ -79,10 +79,10 @@
 	return d
 }
 
-// pageWriter writes a line of the page.
+// pageWriter writes one formatted line of the page.
 type pageWriter func(format string, args ...any)
 
-// tableHead writes the head of a table below a section's title.
+// tableHead writes a section heading and the header of its table.
 func (w pageWriter) tableHead(title string, columns ...string) {
 	w("## %s", title)
 	w("")
@@ -90,7 +90,7 @@
 	w("|%s", strings.Repeat(" --- |", len(columns)))
 }
 
-// plots ends a table with its pictures.
+// plots writes the images that follow a table.
 func (w pageWriter) plots(names ...string) {
 	w("")
 	for _, name := range names {
@@ -99,7 +99,7 @@
 	w("")
 }
 
-// Page writes the measures as Markdown.
+// Page returns the measurements as a Markdown page.
 func (m Measurements) Page() string {
 	var b strings.Builder
 	line := pageWriter(func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) })
@@ -180,7 +180,7 @@
 	return d.Round(10 * time.Microsecond)
 }
 
-// Charts returns the pictures, by file name.
+// Charts returns the charts by file name.
 func (m Measurements) Charts() map[string]plotter.Chart {
 	var adoption, change, bytes, propagation, flows, packet, handover, requests [][2]float64
 	for _, p := range m.Settings {
--- a/standin/internal/measurer/measurer.go
+++ b/standin/internal/measurer/measurer.go
@@ -1,5 +1,5 @@
-// Package measurer measures how the system's costs grow: with targets, hosts,
-// flows and requests. The capacity page is worked out from these slopes.
+// Package measurer measures how the costs of the system grow with the numbers of targets, hosts,
+// flows and requests. The capacity estimates are derived from these measurements.
 package measurer
 
 import (
@@ -16,7 +16,7 @@
 	"cranberryspan.dev/core/timekeeper"
 )
 
-// The two-year target.
+// The planned size in two years, and the limits that must hold at this size.
 const (
 	PlannedHosts             = 610
 	PlannedTargets           = 3800
@@ -33,22 +33,22 @@
 	MaxPropagation           = 9 * time.Second
 )
 
-// SettingsCost is the cost of a settings tree of a size.
+// SettingsCost is the cost of a settings tree of a given size.
 type SettingsCost struct {
 	Targets         int
 	Services        int
 	DocumentBytes   int
 	CompressedBytes int
 	ResolveTime     time.Duration
-	// AdoptTime is the whole change of revision for a host; Change the same where
-	// one target starts to drain.
+	// AdoptTime is the time in which a host adopts its first revision, ChangeTime the time in
+	// which it adopts a revision in which one target starts to drain.
 	AdoptTime  time.Duration
 	ChangeTime time.Duration
-	// MemoryBytes is what a host holds with the tree and no flows.
+	// MemoryBytes is the heap memory of a host with the tree and without flows.
 	MemoryBytes int
 }
 
-// LargeSettings is a tree with so many targets behind so many services.
+// LargeSettings returns a tree with the given numbers of hosts, targets and services.
 func LargeSettings(hosts, targets, services int) driver.SettingsTree {
 	tree := driver.SettingsTree{Defaults: []string{"exchangeLifetime: 2s"}}
 	for zone := range PlannedZones {
@@ -69,7 +69,7 @@
 	return tree
 }
 
-// MeasureSettings measures one size.
+// MeasureSettings measures the cost of a settings tree of one size.
 func MeasureSettings(targets, services int) SettingsCost {
 	tree := LargeSettings(PlannedHosts, targets, services)
 	document := tree.Document()
@@ -112,27 +112,28 @@
 // FleetCost is the control traffic of a fleet without flows.
 type FleetCost struct {
 	Hosts int
-	// MessagesPerSecond and Bytes are per host and second; MaxBytesPerSecond is the busiest host's.
+	// MessagesPerSecond and BytesPerSecond are means over all hosts, MaxBytesPerSecond is the
+	// value of the busiest host.
 	MessagesPerSecond float64
 	BytesPerSecond    float64
 	MaxBytesPerSecond float64
-	// CPUShare is the share of a core that a host spends, with encoding.
+	// CPUShare is the fraction of a core that a host uses, including encoding.
 	CPUShare float64
-	// Propagation is how long a revision takes until it is in force everywhere.
+	// Propagation is the time until a revision is in force at all hosts.
 	Propagation time.Duration
-	// PlatformReads is how many hosts read the revision from the platform.
+	// PlatformReads is the number of hosts that read the revision from the platform.
 	PlatformReads int
-	// ProbesPerSecond is per host and second.
+	// ProbesPerSecond is the mean over all hosts.
 	ProbesPerSecond float64
 }
 
-// MeasureFleet measures one size. The tree has few services, since the cost of
-// settings is measured by itself.
+// MeasureFleet measures the cost of a fleet of one size. The tree has few services, since the
+// cost of settings is measured separately.
 func MeasureFleet(hosts int) FleetCost {
 	tree := LargeSettings(hosts, 40, 10)
 	simulation := driver.New(1, tree.Document())
 	simulation.Start(tree.HostNames()...)
-	// The rumors of so many hosts starting at once must have died down.
+	// Wait until the gossip about the simultaneous start of all hosts has ended.
 	simulation.Step(75 * time.Second)
 	simulation.MeasureControlBytes = true
 	simulation.ControlMessages = 0
@@ -173,19 +174,18 @@
 	return true
 }
 
-// FlowCost is the cost of the flows that one host owns.
+// FlowCost is the cost of the flows that a host owns.
 type FlowCost struct {
 	Flows int
-	// BytesPerFlow is memory.
+	// BytesPerFlow is the heap memory per flow.
 	BytesPerFlow float64
-	// PacketTime is the time for a packet of a known flow.
+	// PacketTime is the time to process a packet of a known flow.
 	PacketTime time.Duration
-	// SlowestTick is the time of the slowest of the ticks that go once through the
-	// whole table.
+	// SlowestTick is the time of the slowest tick during one sweep of the full flow table.
 	SlowestTick time.Duration
 }
 
-// MeasureFlows measures one size.
+// MeasureFlows measures the cost of the given number of flows at one host.
 func MeasureFlows(flows int) FlowCost {
 	tree := driver.SettingsTree{HostsPerZone: []int{1}, Services: []driver.SettingsService{{TargetNumbers: []int{1, 2, 3, 4}, AddressNumber: 1}}, Defaults: []string{"exchangeLifetime: 1s"}}
 	now := timekeeper.Instant(time.Second)
@@ -229,16 +229,17 @@
 	}
 }
 
-// HandoverCost is the cost of a planned leave.
+// HandoverCost is the cost of a graceful shutdown.
 type HandoverCost struct {
 	Flows int
-	// Duration is from the signal until the host has left, with links of a
-	// millisecond; Bytes is what the leaver sends.
+	// Duration is the time from the signal until the host has left, with a link latency of one
+	// millisecond; Bytes is the control traffic sent by the host that shuts down.
 	Duration time.Duration
 	Bytes    int
 }
 
-// MeasureHandover measures one size, in a cell of three hosts.
+// MeasureHandover measures the graceful shutdown of a host with about the given number of flows,
+// in a cell of three hosts.
 func MeasureHandover(flows int) HandoverCost {
 	tree := driver.SettingsTree{HostsPerZone: []int{3}, Services: []driver.SettingsService{{TargetNumbers: []int{1, 2, 3, 4}, AddressNumber: 1}}, Defaults: []string{"exchangeLifetime: 1s"}}
 	simulation := driver.New(1, tree.Document())
@@ -265,14 +266,14 @@
 	return key
 }
 
-// RequestCost is the control traffic that requests cause which must run once.
+// RequestCost is the control traffic caused by non-idempotent requests.
 type RequestCost struct {
 	RequestsPerSecond int
-	// BytesPerRequest is over both the owner and its successor.
+	// BytesPerRequest includes the control bytes sent by the owner and by its successor.
 	BytesPerRequest float64
 }
 
-// MeasureRequests measures one rate, over a cell of three hosts.
+// MeasureRequests measures the cost at one request rate, in a cell of three hosts.
 func MeasureRequests(perSecond int) RequestCost {
 	tree := driver.SettingsTree{HostsPerZone: []int{3}, Services: []driver.SettingsService{{TargetNumbers: []int{1, 2, 3, 4}, AddressNumber: 1}}, Defaults: []string{"exchangeLifetime: 1s", "slots: 10000"}}
 	simulation := driver.New(1, tree.Document())
@@ -306,7 +307,7 @@
 	return total
 }
 
-// String is a row for people.
+// String returns a one-line summary.
 func (p FleetCost) String() string {
 	return fmt.Sprintf("%d hosts: %.1f messages and %.0f bytes a second, %s", p.Hosts, p.MessagesPerSecond, p.BytesPerSecond, p.Propagation)
 }
--- a/standin/internal/measurer/measurer_test.go
+++ b/standin/internal/measurer/measurer_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Regression bounds of the slopes, as counts and ratios within one run.
+// Guards against costs that grow faster than planned. The bounds are counts and ratios within one
+// run, since times depend on the machine.
 func TestCostsGrowWithinBounds(t *testing.T) {
 	small, large := measurer.MeasureFleet(30), measurer.MeasureFleet(120)
 	require.Less(t, large.MessagesPerSecond/small.MessagesPerSecond, 1.5, "messages a host: %.1f and %.1f", small.MessagesPerSecond, large.MessagesPerSecond)
--- a/standin/internal/plotter/plotter.go
+++ b/standin/internal/plotter/plotter.go
@@ -1,4 +1,4 @@
-// Package plotter draws the measured slopes.
+// Package plotter draws charts of measured costs.
 package plotter
 
 import (
@@ -10,7 +10,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Error is the one error type of this package.
+// Error is the error type of this package.
 type Error struct {
 	Op  string
 	Err error
@@ -27,7 +27,7 @@
 	Points [][2]float64
 }
 
-// Chart is a picture of slopes over the same axis.
+// Chart is a chart of one or more series over the same axes.
 type Chart struct {
 	Title  string
 	X, Y   string
--- a/standin/internal/publisher/publisher.go
+++ b/standin/internal/publisher/publisher.go
@@ -1,6 +1,6 @@
-// Package publisher is a small stand-in for the platform: a settings document
-// that can be read and watched by revision, and a list of hosts that lags. Its
-// control paths make it fail.
+// Package publisher emulates the platform: it serves a settings document that can be read and
+// watched by revision, and a list of hosts that can be stale. Its control paths change what it
+// serves and inject failures.
 package publisher
 
 import (
@@ -19,7 +19,7 @@
 	"cranberryspan.dev/core/resolver"
 )
 
-// Error is the one error type of this package.
+// Error is the error type of this package.
 type Error struct {
 	Op  string
 	Err error
@@ -30,10 +30,10 @@
 // Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.Err }
 
-// RevisionHeader bears the revision of a settings document.
+// RevisionHeader is the HTTP header with the revision of a settings document.
 const RevisionHeader = "Settings-Revision"
 
-// Platform is the platform's state.
+// Platform is an emulated platform.
 type Platform struct {
 	listener  net.Listener
 	callCount atomic.Uint64
@@ -45,17 +45,17 @@
 	changed   chan struct{}
 }
 
-// failureMode is how the platform fails at present.
+// failureMode holds the failures that the platform currently emulates.
 type failureMode struct {
-	// Down refuses every read.
+	// Down makes every read fail.
 	Down bool `json:"down"`
-	// ServedRevision serves this revision instead of the latest; zero serves the latest.
+	// ServedRevision is the revision to serve instead of the latest; zero serves the latest.
 	ServedRevision uint64 `json:"stale"`
-	// DelayMs delays every answer.
+	// DelayMs delays every response by this number of milliseconds.
 	DelayMs int `json:"slowMs"`
 }
 
-// New listens on an address and publishes a first document as revision 1.
+// New listens on an address and publishes a document as revision 1.
 func New(address string, document []byte) (*Platform, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -69,7 +69,7 @@
 	}, nil
 }
 
-// Run serves until the context ends, and reports its end.
+// Run serves until ctx is done. The returned channel then receives the result.
 func (p *Platform) Run(ctx context.Context) <-chan error {
 	done := make(chan error, 1)
 	mux := http.NewServeMux()
@@ -93,7 +93,8 @@
 	return done
 }
 
-// applyFailureMode counts a call and applies the mode; it reports whether to answer.
+// applyFailureMode counts a call, applies the failure mode to it, and reports whether the handler
+// must respond.
 func (p *Platform) applyFailureMode(w http.ResponseWriter) bool {
 	p.callCount.Add(1)
 	p.mu.Lock()
@@ -151,8 +152,8 @@
 	_, _ = w.Write(p.hosts)
 }
 
-// handlePublish takes any document as the next revision, also an invalid one: what
-// the system makes of it is for tests to see.
+// handlePublish publishes a document as the next revision without validating it, so that tests
+// can observe how hosts treat invalid documents.
 func (p *Platform) handlePublish(w http.ResponseWriter, request *http.Request) {
 	document, err := io.ReadAll(io.LimitReader(request.Body, 4*resolver.MaxDocumentBytes))
 	if err != nil {
@@ -190,7 +191,7 @@
 	p.mu.Unlock()
 }
 
-// notifyWatchers ends all waiting watches. The caller holds mu.
+// notifyWatchers wakes all pending watches. The caller must hold mu.
 func (p *Platform) notifyWatchers() {
 	close(p.changed)
 	p.changed = make(chan struct{})
--- a/standin/internal/responder/responder.go
+++ b/standin/internal/responder/responder.go
@@ -1,6 +1,6 @@
-// Package responder is a small stand-in for targets. It runs requests in a few
-// slots, streams, takes uploads, reports its load, and counts what ran, so that
-// tests see whether a request ran twice or reached another service's target.
+// Package responder emulates targets. They execute requests in a limited number of slots, serve
+// streams, accept uploads, report their load and count executions, so that tests can detect
+// requests that were executed twice or reached a target of another service.
 package responder
 
 import (
@@ -22,7 +22,7 @@
 	"github.com/plgd-dev/go-coap/v3/udp/coder"
 )
 
-// Error is the one error type of this package.
+// Error is the error type of this package.
 type Error struct {
 	Op  string
 	Err error
@@ -40,28 +40,29 @@
 	requestQueueLength = 64
 )
 
-// Config says how all targets of one process behave.
+// Config is the configuration of all targets of a process.
 type Config struct {
-	// ProcessingTime is how long a request takes in its slot.
+	// ProcessingTime is the time for which a request occupies a slot.
 	ProcessingTime time.Duration
-	// NotifyInterval is the time between two notifications of a stream.
+	// NotifyInterval is the interval of the notifications of a stream.
 	NotifyInterval time.Duration
 }
 
-// Report is what the targets of one process counted.
+// Report holds the counts of all targets of a process.
 type Report struct {
-	// Executions counts what ran, by target.
+	// Executions is the number of executed requests of each target.
 	Executions map[string]int `json:"runs"`
-	// OpenStreams counts open streams, by target.
+	// OpenStreams is the number of open streams of each target.
 	OpenStreams map[string]int `json:"streams"`
-	// DuplicateExecutions lists requests that ran more than once.
+	// DuplicateExecutions lists the non-idempotent requests that were executed more than once.
 	DuplicateExecutions []string `json:"doubled"`
 	// Misrouted lists requests that reached a target of another service.
 	Misrouted []string `json:"misrouted"`
-	Refused   int      `json:"shed"`
+	// Refused is the number of requests refused because of a full queue.
+	Refused int `json:"shed"`
 }
 
-// Responder is the targets of one process.
+// Responder runs the targets of one process.
 type Responder struct {
 	config  Config
 	control net.Listener
@@ -73,7 +74,8 @@
 	refused    int
 }
 
-// New opens the addresses of targets and the control address.
+// New opens the control address and the addresses of the targets whose names are included; all
+// are if included is nil.
 func New(config Config, control string, services []resolver.Service, included func(name string) bool) (*Responder, error) {
 	r := &Responder{config: config, executions: map[string]int{}}
 	var err error
@@ -95,7 +97,7 @@
 	return r, nil
 }
 
-// Run serves until the context ends, and reports its end.
+// Run serves until ctx is done. The returned channel then receives the result.
 func (r *Responder) Run(ctx context.Context) <-chan error {
 	done := make(chan error, 1)
 	mux := http.NewServeMux()
@@ -128,7 +130,7 @@
 	return done
 }
 
-// Report returns what was counted so far.
+// Report returns the current counts.
 func (r *Responder) Report() Report {
 	report := Report{Executions: map[string]int{}, OpenStreams: map[string]int{}}
 	for _, t := range r.targets {
@@ -149,7 +151,7 @@
 	return report
 }
 
-// target is one target.
+// target is one emulated target.
 type target struct {
 	responder *Responder
 	service   string
@@ -182,7 +184,7 @@
 	lastMessageID uint16
 }
 
-// upload is the blocks of an upload that came so far.
+// upload holds the blocks of an upload that have been received so far.
 type upload struct {
 	nextBlock int64
 	data      []byte
@@ -214,7 +216,7 @@
 			return
 		}
 		if err != nil {
-			continue // An earlier packet came back undeliverable.
+			continue // The error reports that an earlier packet was undeliverable.
 		}
 		m := message.Message{Options: make(message.Options, 0, maxOptions)}
 		data := append([]byte(nil), buffer[:n]...)
@@ -251,7 +253,7 @@
 	t.sendResponse(caller, m, codes.Content, nil, fmt.Appendf(nil, `{"inFlight":%d}`, load))
 }
 
-// enqueue queues a request, or sheds it without running it.
+// enqueue queues a request or, if the queue is full, refuses it without executing it.
 func (t *target) enqueue(request queuedRequest) {
 	t.responder.checkRouting(t, request.requestID)
 	select {
@@ -264,8 +266,8 @@
 	}
 }
 
-// checkRouting notes a request whose id names another service than the target's. An id
-// is "service/number".
+// checkRouting records a request as misrouted if its ID names a service other than the target's.
+// An ID has the form "service/number".
 func (r *Responder) checkRouting(t *target, id string) {
 	service, _, ok := strings.Cut(id, "/")
 	if !ok || service == t.service {
@@ -316,7 +318,8 @@
 	t.sendResponse(request.caller, request.message, code, nil, []byte(t.name+" "+request.requestID))
 }
 
-// sendResponse sends an answer in the acknowledgement of a confirmable request.
+// sendResponse sends a response. The response to a confirmable request is piggybacked on the
+// acknowledgement.
 func (t *target) sendResponse(caller netip.AddrPort, request message.Message, code codes.Code, options message.Options, payload []byte) {
 	m := message.Message{Token: request.Token, Code: code, Options: options, Payload: payload, Type: message.NonConfirmable}
 	if request.Type == message.Confirmable {
@@ -425,8 +428,8 @@
 	}
 }
 
-// handleBlock takes one block of an upload. The first payload line of the whole is
-// the id.
+// handleBlock processes one block of an upload. The first line of the complete payload is the
+// request ID.
 func (t *target) handleBlock(caller netip.AddrPort, m message.Message) {
 	value, _ := m.Options.GetUint32(message.Block1)
 	_, number, more, err := blockwise.DecodeBlockOption(value)
--- a/standin/internal/sprayer/sprayer.go
+++ b/standin/internal/sprayer/sprayer.go
@@ -1,9 +1,9 @@
-// Package sprayer is a small stand-in for the fabric. It hands every packet, in
-// both directions, to a random host among those that announce themselves.
+// Package sprayer emulates the fabric. It sends every packet, in both directions, to a random
+// host among those that announce themselves.
 //
-// Targets see one address for each return address. On one machine there is no
-// way to route a whole IPv6 prefix, so the sprayer gives each return address a
-// socket of its own and keeps the pair for as long as it runs.
+// Targets see a distinct source address for each return address. Since an IPv6 prefix cannot be
+// routed on a single machine, the sprayer maps each return address to its own socket and keeps the
+// mapping while it runs.
 package sprayer
 
 import (
@@ -21,7 +21,7 @@
 	"cranberryspan.dev/core/resolver"
 )
 
-// Error is the one error type of this package.
+// Error is the error type of this package.
 type Error struct {
 	Op  string
 	Err error
@@ -35,11 +35,11 @@
 const (
 	maxDatagramBytes   = 64 << 10
 	receiveBufferBytes = 4 << 20
-	// announcementTTL is how long an announcement holds.
+	// announcementTTL is the time for which an announcement is valid.
 	announcementTTL = 600 * time.Millisecond
 )
 
-// Fabric is the fabric.
+// Fabric is an emulated fabric.
 type Fabric struct {
 	hostConn     *net.UDPConn
 	control      net.Listener
@@ -54,8 +54,8 @@
 	random         *rand.Rand
 }
 
-// New opens the inside address, to which hosts send, and every service address
-// of the settings. seed makes the choice of hosts repeatable.
+// New opens hostListen, the address to which hosts send, the control address and every service
+// address of the settings. The seed determines the choice of hosts.
 func New(hostListen, control netip.AddrPort, settings *resolver.Settings, seed uint64) (*Fabric, error) {
 	f := &Fabric{
 		serviceConns:   map[netip.AddrPort]*net.UDPConn{},
@@ -92,7 +92,7 @@
 	return conn, nil
 }
 
-// Run moves packets until the context ends, and reports its end.
+// Run forwards packets until ctx is done. The returned channel then receives the result.
 func (f *Fabric) Run(ctx context.Context) <-chan error {
 	done := make(chan error, 1)
 	server := f.controlServer()
@@ -132,7 +132,9 @@
 	}
 }
 
-// controlServer cuts hosts off the fabric: POST /cut?host=NAME, /heal?host=NAME.
+// controlServer returns the control server. POST /cut?host=NAME disconnects a host from the
+// fabric, POST /heal?host=NAME reconnects it, and GET /hosts returns the number of hosts that
+// receive packets.
 func (f *Fabric) controlServer() *http.Server {
 	mux := http.NewServeMux()
 	set := func(cut bool) http.HandlerFunc {
@@ -162,13 +164,13 @@
 			return
 		}
 		if err != nil {
-			continue // An earlier packet came back undeliverable.
+			continue // The error reports that an earlier packet was undeliverable.
 		}
 		handle(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), buffer[:n])
 	}
 }
 
-// sendToRandomHost hands a packet to a random host.
+// sendToRandomHost sends an encapsulated packet to a random host.
 func (f *Fabric) sendToRandomHost(from, to netip.AddrPort, payload []byte) {
 	data, err := encoder.EncodeEncapsulatedPacket(encoder.EncapsulatedPacket{From: from, To: to, Payload: payload})
 	if err != nil {
@@ -188,7 +190,8 @@
 	return f.openHosts[f.random.IntN(len(f.openHosts))], true
 }
 
-// updateOpenHosts lists the hosts that get packets. The caller holds mu.
+// updateOpenHosts updates the list of hosts that receive packets: those with a valid announcement
+// that are not cut off. The caller must hold mu.
 func (f *Fabric) updateOpenHosts() {
 	now := time.Now()
 	f.openHosts = f.openHosts[:0]
@@ -199,7 +202,7 @@
 	}
 }
 
-// handleFromHost takes a packet, or an announcement, from a host.
+// handleFromHost processes an announcement or an encapsulated packet from a host.
 func (f *Fabric) handleFromHost(ctx context.Context, from netip.AddrPort, data []byte) {
 	name, ok := f.hostNames[from]
 	if !ok {
@@ -238,7 +241,7 @@
 	f.updateOpenHosts()
 }
 
-// returnConn returns the socket that stands for a return address.
+// returnConn returns the socket of a return address and opens it on first use.
 func (f *Fabric) returnConn(ctx context.Context, address netip.AddrPort) *net.UDPConn {
 	f.mu.Lock()
 	defer f.mu.Unlock()
