--- a/standin/harness_test.go
+++ b/standin/harness_test.go
@@ -25,7 +25,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// buildBinaries builds the real programs once for all tests.
+// buildBinaries builds the balancer and standin programs once for all tests.
 var buildBinaries = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "cranberryspan")
 	if err != nil {
@@ -49,7 +49,7 @@
 	os.Exit(code)
 }
 
-// testSystem is a whole system of real processes on loopback addresses of its own.
+// testSystem is a complete system of real processes on its own loopback addresses.
 type testSystem struct {
 	t            *testing.T
 	addressBlock int
@@ -85,8 +85,8 @@
 	return b.text.String()
 }
 
-// startTestSystem starts five hosts in two zones. block keeps the addresses of
-// tests that run side by side apart.
+// startTestSystem starts five hosts in two zones. Tests that run in parallel need different
+// address blocks.
 func startTestSystem(t *testing.T, block int) *testSystem {
 	t.Helper()
 	bin, err := buildBinaries()
@@ -121,7 +121,7 @@
 	return fmt.Sprintf("127.0.%d.%d:%d", s.addressBlock, last, port)
 }
 
-// document writes the tree: ledger with six targets, intake with two.
+// document returns the settings tree, with six targets of ledger and two of intake.
 func (s *testSystem) document(draining ...string) []byte {
 	var b strings.Builder
 	b.WriteString("version: 1\npeerKeys: [a-key-for-these-tests]\ndefaults: {exchangeLifetime: 9s, slots: 8}\nregions:\n  r:\n    returnPrefix: fd00:1::/64\n    availabilityZones:\n")
@@ -168,7 +168,7 @@
 	return p
 }
 
-// launch starts a process, also again after it ended.
+// launch starts a process, or starts it again after it has exited.
 func (s *testSystem) launch(p *process) {
 	s.t.Helper()
 	p.cmd = exec.Command(p.args[0], p.args[1:]...)
@@ -226,7 +226,7 @@
 	return string(text)
 }
 
-// waitRevisionInForce waits until every running host has a revision in force.
+// waitRevisionInForce waits until a revision is in force at all of the given hosts.
 func (s *testSystem) waitRevisionInForce(revision uint64, hosts ...*process) {
 	s.t.Helper()
 	require.Eventually(s.t, func() bool {
@@ -239,7 +239,7 @@
 	}, 9*time.Second, 50*time.Millisecond, "revision %d is not in force everywhere", revision)
 }
 
-// runLoad runs callers while do happens, and returns their report.
+// runLoad runs callers, calls disrupt one second after their start, and returns their report.
 func (s *testSystem) runLoad(duration time.Duration, disrupt func()) loader.Report {
 	s.t.Helper()
 	config := loader.Config{
--- a/standin/main.go
+++ b/standin/main.go
@@ -1,5 +1,6 @@
-// Command standin emulates what surrounds the load balancer: the platform, the
-// fabric, targets and callers. It is for demonstrations and tests.
+// Command standin emulates the environment of the load balancer for demonstrations and tests: the
+// platform, the fabric, targets and callers. It also runs the soak test, the capacity measurements
+// and the comparison with simpler placement policies.
 package main
 
 import (
@@ -27,7 +28,8 @@
 	"github.com/urfave/cli/v3"
 )
 
-// exitRunFailed says that a run broke, lost, doubled or misrouted something.
+// exitRunFailed is the exit code of a run that has broken, lost, duplicated or misrouted requests
+// or that has found problems.
 const exitRunFailed = 10
 
 func main() {
@@ -42,7 +44,7 @@
 				settings,
 				&cli.StringFlag{Name: "listen", Value: "127.0.0.1:8400"},
 			}},
-			{Name: "fabric", Usage: "spray packets over hosts", Action: runFabric, Flags: []cli.Flag{
+			{Name: "fabric", Usage: "distribute packets over hosts at random", Action: runFabric, Flags: []cli.Flag{
 				settings,
 				&cli.StringFlag{Name: "listen", Value: "127.0.0.1:8500"},
 				&cli.StringFlag{Name: "control", Value: "127.0.0.1:8501"},
@@ -51,25 +53,25 @@
 			{Name: "target", Usage: "run the targets of the tree", Action: runTargets, Flags: []cli.Flag{
 				settings,
 				&cli.StringFlag{Name: "control", Value: "127.0.0.1:8600"},
-				&cli.StringSliceFlag{Name: "only", Usage: "names of targets; all where none is given"},
+				&cli.StringSliceFlag{Name: "only", Usage: "names of the targets to run; all if none is given"},
 				&cli.DurationFlag{Name: "work", Value: 10 * time.Millisecond},
 				&cli.DurationFlag{Name: "notifyEvery", Value: 200 * time.Millisecond},
 			}},
-			{Name: "capacity", Usage: "measure how costs grow, and write figures and plots", Action: runCapacity, Flags: []cli.Flag{
-				&cli.StringFlag{Name: "out", Value: "docs", Usage: "folder for FIGURES.md and plots"},
+			{Name: "capacity", Usage: "measure how costs grow with size, and write figures and plots", Action: runCapacity, Flags: []cli.Flag{
+				&cli.StringFlag{Name: "out", Value: "docs", Usage: "directory of FIGURES.md and plots"},
 			}},
-			{Name: "compare", Usage: "hold the system against simpler placements", Action: runCompare},
+			{Name: "compare", Usage: "compare the load balancer with simpler placement policies", Action: runCompare},
 			soakCommand(),
-			{Name: "caller", Usage: "load the services", Action: runCallers, Flags: []cli.Flag{
+			{Name: "caller", Usage: "run callers against the services", Action: runCallers, Flags: []cli.Flag{
 				settings,
-				&cli.StringSliceFlag{Name: "work", Usage: "KIND:SERVICE:FLOWS, with streams, uploads, checks or presses"},
-				&cli.IntFlag{Name: "openRate", Usage: "new flows a second beside the others"},
+				&cli.StringSliceFlag{Name: "work", Usage: "KIND:SERVICE:FLOWS, where KIND is streams, uploads, checks or presses"},
+				&cli.IntFlag{Name: "openRate", Usage: "additional new flows per second, with one request each"},
 				&cli.DurationFlag{Name: "duration", Value: 20 * time.Second},
 				&cli.DurationFlag{Name: "think", Value: 100 * time.Millisecond},
 				&cli.DurationFlag{Name: "notifyEvery", Value: 200 * time.Millisecond},
 				&cli.IntFlag{Name: "uploadBlocks", Value: 20},
 				&cli.StringSliceFlag{Name: "targets", Value: []string{"127.0.0.1:8600"}, Usage: "control addresses of the targets"},
-				&cli.BoolFlag{Name: "direct", Usage: "send to the targets themselves, as a baseline"},
+				&cli.BoolFlag{Name: "direct", Usage: "send directly to the targets, as a baseline"},
 				&cli.BoolFlag{Name: "json"},
 			}},
 		},
@@ -153,7 +155,7 @@
 	return os.WriteFile(filepath.Join(out, "FIGURES.md"), []byte(measurements.Page()), 0o644)
 }
 
-// runCompare prints broken flows in 10,000 for each story and placement.
+// runCompare prints a Markdown table of the broken flows per 10,000 for each scenario and policy.
 func runCompare(context.Context, *cli.Command) error {
 	fmt.Print("| story | planned |")
 	for _, p := range comparer.Policies() {
@@ -215,7 +217,7 @@
 		fmt.Print(report)
 	}
 	if !report.Clean() {
-		return cli.Exit("the run was not clean", exitRunFailed)
+		return cli.Exit("the run failed: see lost, broken, wrong, doubled and misrouted in the report", exitRunFailed)
 	}
 	return nil
 }
--- a/standin/operators_test.go
+++ b/standin/operators_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Every command of docs/OPERATORS.md runs, in order, against the system that the
-// page speaks of.
+// Guards against outdated documentation: every command of docs/OPERATORS.md succeeds, in order,
+// against the example system that the page describes.
 func TestOperatorsPage(t *testing.T) {
 	root, err := filepath.Abs("..")
 	require.NoError(t, err)
--- a/standin/soak.go
+++ b/standin/soak.go
@@ -9,25 +9,25 @@
 	"github.com/urfave/cli/v3"
 )
 
-// soakCommand runs real hosts under random faults.
+// soakCommand returns the soak command, which runs real hosts under random faults.
 func soakCommand() *cli.Command {
 	return &cli.Command{
-		Name: "soak", Usage: "run real hosts that steer flows under random faults, and check the promises", Action: runSoak,
+		Name: "soak", Usage: "run real hosts under load and random faults, and check their guarantees", Action: runSoak,
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "program", Value: "bin/cranberryspan", Usage: "the balancer"},
-			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "of the first run"},
-			&cli.IntFlag{Name: "runs", Value: 1, Usage: "how many runs, with seeds one after another"},
-			&cli.DurationFlag{Name: "duration", Value: 20 * time.Second, Usage: "for how long faults come"},
-			&cli.IntSliceFlag{Name: "zones", Value: []int{3, 3, 2}, Usage: "hosts of each availability zone"},
-			&cli.IntFlag{Name: "callers", Value: 6, Usage: "callers of each zone"},
-			&cli.IntFlag{Name: "targets", Value: 9, Usage: "targets of the larger service"},
-			&cli.IntFlag{Name: "block", Value: 40, Usage: "second byte of all addresses; runs at the same time need different ones"},
-			&cli.StringSliceFlag{Name: "only", Usage: "faults that may come; all where none is given"},
-			&cli.BoolFlag{Name: "later", Value: true, Usage: "also the faults that were added after the kept seeds"},
-			&cli.BoolFlag{Name: "newest", Value: true, Usage: "all faults, also those that were added last"},
-			&cli.BoolFlag{Name: "orders", Value: true, Usage: "also orders to evacuate zones"},
-			&cli.BoolFlag{Name: "restores", Value: true, Usage: "also restores of the store from a copy"},
-			&cli.DurationFlag{Name: "gap", Value: 700 * time.Millisecond, Usage: "mean pause between two faults"},
+			&cli.StringFlag{Name: "program", Value: "bin/cranberryspan", Usage: "path of the balancer's binary"},
+			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "seed of the first run"},
+			&cli.IntFlag{Name: "runs", Value: 1, Usage: "number of runs, with consecutive seeds"},
+			&cli.DurationFlag{Name: "duration", Value: 20 * time.Second, Usage: "how long faults are injected"},
+			&cli.IntSliceFlag{Name: "zones", Value: []int{3, 3, 2}, Usage: "number of hosts in each availability zone"},
+			&cli.IntFlag{Name: "callers", Value: 6, Usage: "number of callers in each zone"},
+			&cli.IntFlag{Name: "targets", Value: 9, Usage: "number of targets of the larger service"},
+			&cli.IntFlag{Name: "block", Value: 40, Usage: "second byte of all addresses; concurrent runs need different ones"},
+			&cli.StringSliceFlag{Name: "only", Usage: "names of the faults to inject; all if none is given"},
+			&cli.BoolFlag{Name: "later", Value: true, Usage: "also inject the second set of faults"},
+			&cli.BoolFlag{Name: "newest", Value: true, Usage: "also inject the second and the third set of faults"},
+			&cli.BoolFlag{Name: "orders", Value: true, Usage: "also evacuate zones"},
+			&cli.BoolFlag{Name: "restores", Value: true, Usage: "also restore the store from a backup"},
+			&cli.DurationFlag{Name: "gap", Value: 700 * time.Millisecond, Usage: "mean time between the starts of two faults"},
 		},
 	}
 }
@@ -48,7 +48,7 @@
 		clean = clean && len(report.Problems) == 0
 	}
 	if !clean {
-		return cli.Exit("the soak found problems", exitRunFailed)
+		return cli.Exit("the soak test found problems", exitRunFailed)
 	}
 	return nil
 }
--- a/standin/soak_test.go
+++ b/standin/soak_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// requireSoakPasses runs real hosts under faults and demands that every promise holds.
+// requireSoakPasses runs real hosts under faults and requires that all guarantees hold.
 func requireSoakPasses(t *testing.T, config soaker.Config) soaker.Report {
 	t.Helper()
 	dir, err := buildBinaries()
@@ -32,41 +32,42 @@
 	return report
 }
 
-// A calm run: every attempt is answered, and the store is read seldom.
+// Guards against failed requests and frequent reads of the store in a run whose only fault is the
+// reload of settings.
 func TestAllRequestsAreAnsweredWithoutFaults(t *testing.T) {
 	t.Parallel()
 	report := requireSoakPasses(t, soaker.Config{Seed: 1, AddressBlock: 60, Duration: time.Second, OnlyFaults: []string{"reload"}, RequireAllAnswered: true})
 	require.Less(t, report.StoreReads, 80, "two reads about every second, and two at each host's start")
 }
 
-// Symptom: work is cut by a release of hosts. Sequence: hosts are stopped with
-// SIGTERM and started again, several at a time, under load.
+// Guards against requests that fail during a rolling restart: hosts are stopped with SIGTERM and
+// started again under load, several at a time.
 func TestRollingHostRestartsFailNoRequest(t *testing.T) {
 	t.Parallel()
 	requireSoakPasses(t, soaker.Config{Seed: 2, AddressBlock: 61, HostsPerZone: []int{3, 3}, Duration: 10 * time.Second, OnlyFaults: []string{"terminate", "reload"}, MeanFaultInterval: 3 * time.Second, RequireAllAnswered: true})
 }
 
-// Symptom: work is cut by a release of targets, or by new settings.
-// Sequence: targets are replaced one after another while versions are published.
+// Guards against requests that fail when targets are replaced one after another while new settings
+// versions are published.
 func TestRollingTargetReplacementsFailNoRequest(t *testing.T) {
 	t.Parallel()
 	requireSoakPasses(t, soaker.Config{Seed: 3, AddressBlock: 62, Duration: 8 * time.Second, OnlyFaults: []string{"replaceTarget", "publish"}, MeanFaultInterval: 1500 * time.Millisecond, RequireAllAnswered: true})
 }
 
-// Symptom: callers notice that the platform's store is in trouble.
-// Sequence: it refuses some hosts or all, is slow or silent, while hosts restart.
+// Guards against requests that fail when the platform's store refuses calls of some or all hosts,
+// is slow or does not respond, while hosts restart.
 func TestStoreOutagesFailNoRequest(t *testing.T) {
 	t.Parallel()
 	requireSoakPasses(t, soaker.Config{Seed: 4, AddressBlock: 63, HostsPerZone: []int{3, 2}, Duration: 8 * time.Second, OnlyFaults: []string{"store", "storeForAll", "terminate"}, MeanFaultInterval: 1500 * time.Millisecond, RequireAllAnswered: true})
 }
 
-// Any fault, overlapping, with fixed seeds. Seeds that ever failed stay, with a
-// line on the cause.
+// Guards against violated guarantees under all faults of the first set, which overlap, with fixed
+// seeds. Seeds that have failed once are kept here, with the cause of the failure.
 func TestRandomFaultsKeepGuarantees(t *testing.T) {
 	for i, config := range []soaker.Config{
 		{Seed: 1, HostsPerZone: []int{2, 2, 1}, Duration: 8 * time.Second},
 		{Seed: 2, HostsPerZone: []int{2, 2, 1}, Duration: 8 * time.Second},
-		// A second SIGTERM ended a host that was about to leave.
+		// A second SIGTERM ended the process of a host during its graceful shutdown.
 		{Seed: 201, HostsPerZone: []int{3, 3, 2}, Duration: 12 * time.Second},
 	} {
 		t.Run("", func(t *testing.T) {
@@ -77,16 +78,16 @@
 	}
 }
 
-// Symptom: work is cut although the host was asked to leave in good order.
-// Sequence: SIGTERM comes twice. Cause: the second one ended the process.
+// Guards against requests that fail in a graceful shutdown: when a host receives SIGTERM twice, the
+// second one must not end the process.
 func TestSecondSIGTERMDoesNotInterruptShutdown(t *testing.T) {
 	t.Parallel()
 	requireSoakPasses(t, soaker.Config{Seed: 5, AddressBlock: 68, Duration: 6 * time.Second, OnlyFaults: []string{"terminateTwice"}, MeanFaultInterval: 3 * time.Second, RequireAllAnswered: true})
 }
 
-// Symptom: targets that serve are avoided, or callers are cut, after a restart under the
-// same ID, beside entries that name no target, or while all targets are slow. Sequence:
-// all of these come in series and overlap.
+// Guards against working targets that are avoided and callers that are reset, when targets restart
+// under the same ID, the platform holds malformed entries, or all targets are slow. These faults
+// repeat and overlap.
 func TestTargetRestartsForeignEntriesAndOverloadKeepGuarantees(t *testing.T) {
 	t.Parallel()
 	requireSoakPasses(t, soaker.Config{
@@ -95,9 +96,9 @@
 	})
 }
 
-// Symptom: callers are cut, or targets that left get flows, after the store has dropped
-// its history. Sequence: it tells no changes for a second, in which a target is replaced,
-// and then knows nothing of what came before; hosts start meanwhile.
+// Guards against requests that fail, and flows to targets that are gone, when the store reports no
+// changes for one second, in which a target is replaced, and then drops its history, while hosts
+// restart.
 func TestLossOfStoreHistoryFailsNoRequest(t *testing.T) {
 	t.Parallel()
 	requireSoakPasses(t, soaker.Config{
@@ -106,9 +107,9 @@
 	})
 }
 
-// Symptom: an evacuated zone gets new flows, or callers are cut by an order. Sequence: zones
-// are evacuated and taken back, one after the other, while versions are published and hosts
-// stop and start.
+// Guards against new flows to an evacuated zone and requests that fail because of an evacuation
+// order: orders for one zone after another are issued and withdrawn, while settings versions are
+// published and hosts restart.
 func TestEvacuatedZonesGetNoNewFlowsAndFailNoRequest(t *testing.T) {
 	t.Parallel()
 	requireSoakPasses(t, soaker.Config{
@@ -117,9 +118,9 @@
 	})
 }
 
-// Symptom: callers are cut or refused, targets that drain get flows, or versions go back,
-// after the store has come back from a copy. Sequence: it is restored, at times twice,
-// while targets are replaced, zones evacuated, versions published and hosts stopped.
+// Guards against requests that fail, flows to draining targets and a return to older settings when
+// the store is restored from a backup, sometimes twice, while targets are replaced, zones are
+// evacuated, settings versions are published and hosts restart.
 func TestStoreRestoredFromBackupFailsNoRequest(t *testing.T) {
 	t.Parallel()
 	requireSoakPasses(t, soaker.Config{
@@ -128,9 +129,10 @@
 	})
 }
 
-// Symptom: callers are refused for good after the store has come back from a copy.
-// Sequence: targets are replaced and a zone evacuated while it is restored. Cause: the
-// order is taken back at a revision below the one that hosts have seen, which looks old.
+// Guards against requests that are refused permanently after the store is restored from a backup
+// while targets are replaced and a zone is evacuated. The evacuation order is then withdrawn at a
+// revision lower than the one that hosts have seen, and they mistake the withdrawal for an outdated
+// update.
 func TestRequestsSucceedAgainAfterStoreRestore(t *testing.T) {
 	t.Parallel()
 	requireSoakPasses(t, soaker.Config{
--- a/standin/system_e2e_test.go
+++ b/standin/system_e2e_test.go
@@ -22,8 +22,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A client that nobody here wrote the protocol for: its datagrams are sprayed
-// over all hosts, and it must not notice.
+// Guards against protocol errors that the project's own client does not reveal: the datagrams of a
+// third-party CoAP client are distributed over all hosts, and its requests, stream and block-wise
+// upload must succeed.
 func TestThirdPartyCoAPClientIsServed(t *testing.T) {
 	t.Parallel()
 	s := startTestSystem(t, 101)
@@ -59,7 +60,7 @@
 	require.Empty(t, report.Misrouted)
 }
 
-// requireGuarantees checks what must hold whatever happens to hosts.
+// requireGuarantees checks the guarantees that hold under any fault of hosts.
 func requireGuarantees(t *testing.T, report loader.Report) {
 	t.Helper()
 	require.Empty(t, report.DuplicateExecutions, "requests ran twice")
@@ -70,9 +71,9 @@
 	}
 }
 
-// Symptom: checks run twice or streams break when a host dies.
-// Sequence: kill -9 of a host under load; it starts again.
-// Cause: see the tests of package reducer; here it is real processes.
+// Guards against requests that are executed twice and streams that break when a host is killed with
+// SIGKILL (kill -9) under load and restarted. The tests of package reducer cover the causes; this
+// one uses real processes.
 func TestKilledHostBreaksNoStream(t *testing.T) {
 	t.Parallel()
 	s := startTestSystem(t, 102)
@@ -87,8 +88,8 @@
 	require.Zero(t, report.Tallies[loader.KindStream].Unanswered)
 }
 
-// Symptom: checks run twice when a host wakes.
-// Sequence: SIGSTOP for longer than others wait, then SIGCONT, under load.
+// Guards against requests that are executed twice when a host resumes: SIGSTOP under load for longer
+// than the failure detection of the other hosts takes, then SIGCONT.
 func TestPausedHostRunsNoRequestTwice(t *testing.T) {
 	t.Parallel()
 	s := startTestSystem(t, 103)
@@ -101,8 +102,8 @@
 	require.Zero(t, report.Tallies[loader.KindStream].Broken)
 }
 
-// Symptom: work is cut by a release. Sequence: every host is stopped with
-// SIGTERM and started again, one after another, under load.
+// Guards against requests and streams that break during a rolling restart: all hosts are stopped
+// with SIGTERM and started again under load, one after another.
 func TestRollingHostRestartsBreakNothing(t *testing.T) {
 	t.Parallel()
 	s := startTestSystem(t, 104)
@@ -127,9 +128,9 @@
 	}
 }
 
-// Symptom: hosts go back to old settings, or never get new ones.
-// Sequence: a revision is published; the platform goes down, comes back stale;
-// a host restarts meanwhile; an invalid revision comes between two valid ones.
+// Guards against hosts that return to older settings or miss new ones: after a revision is
+// published, the platform serves an older one and then fails, hosts restart meanwhile, and an
+// invalid revision is published between two valid ones.
 func TestSettingsSurvivePlatformFailures(t *testing.T) {
 	t.Parallel()
 	s := startTestSystem(t, 105)
@@ -162,8 +163,8 @@
 	require.Contains(t, s.hosts[0].log.String(), "settingsRejected")
 }
 
-// Symptom: one lost link breaks flows. Sequence: a host is cut off from the
-// fabric under load, and comes back.
+// Guards against streams that break when one host is cut off from the fabric under load and
+// reconnected.
 func TestFabricPartitionOfOneHostBreaksNoStream(t *testing.T) {
 	t.Parallel()
 	s := startTestSystem(t, 106)
@@ -176,10 +177,8 @@
 	require.Zero(t, report.Tallies[loader.KindStream].Broken)
 }
 
-// Symptom: a host dies of what a stranger sends it.
-// Sequence: garbage on every port, a peer with another key, an oversized
-// settings document.
-// Cause: input that is trusted.
+// Guards against hosts that crash on untrusted input: malformed data on every port, a peer with a
+// wrong key, an oversized settings document. Hosts must count such input and keep running.
 func TestMalformedInputIsCountedAndHostsKeepRunning(t *testing.T) {
 	t.Parallel()
 	s := startTestSystem(t, 107)
@@ -193,7 +192,7 @@
 		_, _ = fabric.Write(data)
 		_, _ = peer.Write(data)
 	}
-	// Well-formed deliveries of datagrams that are no CoAP.
+	// Valid encapsulated packets whose payload is not valid CoAP.
 	for _, payload := range [][]byte{nil, {0x40}, {0x49, 1, 0, 1, 1, 2, 3, 4, 5, 6, 7, 8, 9}, {0x40, 1, 0, 1, 0xff}} {
 		data, err := encoder.EncodeEncapsulatedPacket(encoder.EncapsulatedPacket{From: netip.MustParseAddrPort("127.0.0.1:9"), To: s.settings.Services[0].Address, Payload: payload})
 		require.NoError(t, err)
