--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Every task starts here: make help lists them.
+# Development tasks; make help lists them.
 MODULES := core balancer operator platform standin
 LINT := github.com/golangci/golangci-lint/v2/cmd/golangci-lint@v2.15.0
 FUMPT := mvdan.cc/gofumpt@v0.12.0
@@ -13,38 +13,38 @@
 	go build -o bin/spanctl ./operator
 	go build -o bin/standin ./standin
 
-demo: build ## run Sicily's and then Tasmania's tree with eight hosts each
+demo: build ## run the examples Sicily and Tasmania one after the other, with eight hosts each
 	scripts/demo.sh examples/sicily.yaml streams:ledger:40,checks:ledger:40,uploads:intake:8 20s
 	scripts/demo.sh examples/tasmania.yaml streams:meter-live:40,presses:meter-live:30,uploads:diary-ingest:8 20s
 
-up: build ## start Sicily's system and keep it until interrupted
+up: build ## start the example Sicily and keep it running until interrupted
 	scripts/up.sh examples/sicily.yaml
 
-check: lint test red ## all that CI checks
+check: lint test red ## run all checks of CI
 
-test: ## run every test
+test: ## run all tests
 	go test $(if $(KNOWN_RED),-skip '$(KNOWN_RED)') $(addsuffix /...,$(addprefix ./,$(MODULES)))
 
-lint: ## check format and lint
+lint: ## check formatting and run the linter
 	@test -z "$$(go run $(FUMPT) -l $(MODULES))" || { go run $(FUMPT) -l $(MODULES); exit 1; }
 	for m in $(MODULES); do (cd $$m && go run $(LINT) run --config ../.golangci.yaml ./...) || exit 1; done
 
 format: ## format the source
 	go run $(FUMPT) -w $(MODULES)
 
-red: ## show that each proof fails without its mechanism
+red: ## check that each regression test fails without the mechanism it tests
 	scripts/red.sh
 
-redsoak: ## show that the soak finds what is missing when a mechanism is
+redsoak: ## check that the soak test finds problems when a mechanism is removed
 	scripts/redsoak.sh
 
-bench: ## benchmarks of the hot paths
+bench: ## run the benchmarks of the hot paths
 	go test -run '^$$' -bench . -benchmem ./core/...
 
-throughput: build ## checks a second and added latency of one host
+throughput: build ## measure checks per second and added latency of one host
 	scripts/throughput.sh
 
-fuzz: ## the stateful fuzz and the decoders' fuzzers, for longer
+fuzz: ## run the stateful fuzz tests and the decoders' fuzz tests for longer
 	go test ./core/reducer -run TestFleetAgainstOracle -rapid.checks=3000 -rapid.steps=100 -rapid.seed=$$(date +%s)
 	go test ./core/encoder -run '^$$' -fuzz FuzzOpen -fuzztime 30s
 	go test ./core/encoder -run '^$$' -fuzz FuzzDecodeDelivery -fuzztime 30s
@@ -56,13 +56,13 @@
 	go test ./platform -run '^$$' -fuzz FuzzDecodeSettings -fuzztime 30s
 	go test ./platform -run '^$$' -fuzz FuzzDecodeTarget -fuzztime 30s
 
-soak: build ## real hosts under random faults: make soak SEED=7 RUNS=5
+soak: build ## run real hosts under random faults: make soak SEED=7 RUNS=5
 	bin/standin soak --seed $(or $(SEED),1) --runs $(or $(RUNS),1)
 
-capacity: build ## measure every slope of docs/CAPACITY.md and draw the plots
+capacity: build ## measure the costs in docs/CAPACITY.md and draw the plots
 	bin/standin capacity --out docs
 	go test ./core/steerer -count=1 -run 'TestControlTraffic|TestFlowsTake' -v -largestZone 87
 	go test ./core/steerer -run '^$$' -bench .
 
-compare: build ## hold the system against simpler placements
+compare: build ## compare the load balancer with simpler placement policies
 	bin/standin compare
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Loads a system that scripts/up.sh starts, and prints the callers' report.
+# Starts a system with scripts/up.sh, runs callers against it and prints their report.
 # usage: scripts/demo.sh SETTINGS WORK[,WORK...] [DURATION]
 set -euo pipefail
 settings=$1
--- a/scripts/red.sh
+++ b/scripts/red.sh
@@ -1,18 +1,19 @@
 #!/usr/bin/env bash
-# Shows that each proof fails without the mechanism that it proves: takes one
-# mechanism at a time out of a copy of the core and expects the test to fail.
-# docs/PROOFS.md lists the pairs.
+# Mutation test: removes one mechanism at a time from a copy of the core and expects
+# the regression test of this mechanism to fail. docs/PROOFS.md lists the pairs.
 set -euo pipefail
 root=$(cd "$(dirname "$0")/.." && pwd)
 work=$(mktemp -d)
 trap 'rm -rf "$work"' EXIT
-# package is where the tests of the mechanisms below it are.
+# package is the package of the tests in the pairs that follow its assignment.
 package=reducer
-# started counts the pairs, each of which runs in a copy of its own, some at a time.
+# started is the number of pairs started so far. Each runs in its own copy of the core, up
+# to atOnce of them in parallel.
 started=0
 atOnce=$(nproc)
 
-# without WHAT FILE SEARCH REPLACE TEST: SEARCH is a literal line part.
+# without WHAT FILE SEARCH REPLACE TEST: starts one pair in the background. SEARCH is
+# literal text in FILE, a path below core.
 without() {
 	started=$((started + 1))
 	while [ "$(jobs -rp | wc -l)" -ge "$atOnce" ]; do
@@ -22,7 +23,7 @@
 }
 
 # takeOut COPY PACKAGE WHAT FILE SEARCH REPLACE TEST: runs one pair and prints a line that
-# begins with "ok" or "FAIL".
+# starts with "ok" or "FAIL".
 takeOut() {
 	local copy=$1 package=$2 what=$3 file=$4 search=$5 replace=$6 test=$7
 	mkdir "$copy"
--- a/scripts/redsoak.sh
+++ b/scripts/redsoak.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Shows that the soak can fail: takes one mechanism at a time out of a copy of the
-# flow edge, and expects the soak to find a problem of the right kind with the seed
-# that is named. Takes about half a minute for each; docs/SOAK.md lists the pairs.
+# Mutation test of the soak test: removes one mechanism at a time from a copy of the
+# source and expects the soak test, with the given seed, to report a problem that
+# matches. Each takes about half a minute; docs/SOAK.md lists the pairs.
 set -euo pipefail
 root=$(cd "$(dirname "$0")/.." && pwd)
 work=$(mktemp -d)
@@ -10,8 +10,8 @@
 failed=0
 make -C "$root" build >/dev/null
 
-# without WHAT FILE SEARCH REPLACE SEED FAULT PROBLEM: SEARCH is a literal line part
-# of a file of core/steerer, PROBLEM a part of what the soak has to say.
+# without WHAT FILE SEARCH REPLACE SEED FAULT PROBLEM: runs one pair. SEARCH is literal
+# text in a file of core/steerer, PROBLEM a pattern that a reported problem must match.
 without() {
 	local what=$1 file=$2 search=$3 replace=$4 seed=$5 fault=$6 problem=$7
 	local copy=$work/copy
--- a/scripts/throughput.sh
+++ b/scripts/throughput.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Measures one host on this machine: checks a second through it, and the latency
-# that it adds to a direct run of the same callers in the same minute.
+# Measures one host on this machine: the number of checks per second through it, and
+# the latency that it adds compared with a run of the same callers directly against
+# the targets, in the same minute.
 # usage: scripts/throughput.sh [FLOWS] [DURATION]
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/scripts/up.sh
+++ b/scripts/up.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Starts a whole system from a settings tree on this machine, runs a command
-# against it, or waits to be interrupted, and ends every process that it started,
-# by process ID. The command finds the first host's process ID in PID.
+# Starts a complete system from a settings tree on this machine and runs a command
+# against it or, without a command, waits for an interrupt. At the end it kills every
+# process that it started, by process ID. The environment variable PID of the command
+# is the process ID of the first host.
 # usage: scripts/up.sh SETTINGS [COMMAND...]
 set -euo pipefail
 settings=$1
@@ -31,7 +32,7 @@
 # shellcheck disable=SC2086
 start target standin target --settings "$settings" ${TARGET_FLAGS:-}
 
-# A line of the tree such as "pa-1: {address: A, fabricAddress: B}" is a host.
+# Hosts are the lines of the tree of the form "pa-1: {address: A, fabricAddress: B}".
 port=8700
 names=()
 admins=()
