--- a/standin/soak_test.go
+++ b/standin/soak_test.go
@@ -96,9 +96,8 @@
 	})
 }
 
-// Guards against requests that fail, and flows to targets that are gone, when the store reports no
-// changes for one second, in which a target is replaced, and then drops its history, while hosts
-// restart.
+// Guards against requests that fail, and flows to removed targets, when the store reports no changes
+// for one second, in which a target is replaced, and then drops its history, while hosts restart.
 func TestLossOfStoreHistoryFailsNoRequest(t *testing.T) {
 	t.Parallel()
 	requireSoakPasses(t, soaker.Config{
