--- a/core/comparer/comparer_test.go
+++ b/core/comparer/comparer_test.go
@@ -24,12 +24,12 @@
 					t.Logf("%s: broken %d of %d", comparer.PolicyName(p), result.BrokenFlows, result.Flows)
 				}
 			}
-			ours := broken[len(broken)-1]
+			systemBroken := broken[len(broken)-1]
 			if s.Planned {
-				require.Zero(t, ours)
+				require.Zero(t, systemBroken)
 			}
 			for _, baseline := range broken {
-				require.LessOrEqual(t, ours, baseline)
+				require.LessOrEqual(t, systemBroken, baseline)
 			}
 		})
 	}
@@ -45,12 +45,12 @@
 			all = append(all, b)
 			t.Logf("skewed %v, %s: variation of flows %.3f, of work %.3f", skewed, comparer.PolicyName(p), b.FlowVariation, b.LoadVariation)
 		}
-		ours := all[len(all)-1]
+		systemBalance := all[len(all)-1]
 		for _, baseline := range all[:len(all)-1] {
 			if skewed {
-				require.Less(t, ours.LoadVariation, baseline.LoadVariation)
+				require.Less(t, systemBalance.LoadVariation, baseline.LoadVariation)
 			} else {
-				require.LessOrEqual(t, ours.FlowVariation, baseline.FlowVariation)
+				require.LessOrEqual(t, systemBalance.FlowVariation, baseline.FlowVariation)
 			}
 		}
 	}
--- a/core/driver/simulation.go
+++ b/core/driver/simulation.go
@@ -53,8 +53,8 @@
 	Seeds []string
 	// Replies and Answers record the hosts' replies and the targets' responses that
 	// reached callers.
-	Replies []CallerReply
-	Answers []CallerAnswer
+	Replies   []CallerReply
+	Responses []CallerResponse
 	// TargetPackets records every packet that reached a target.
 	TargetPackets []TargetPacket
 	// ControlBytes is the number of control bytes sent by each host, ForwardedPackets the
@@ -67,7 +67,7 @@
 	Probes          int
 	// MeasureControlBytes enables encoding of control messages to count their bytes.
 	MeasureControlBytes bool
-	sealers             map[string]*encoder.MessageCodec
+	codecs              map[string]*encoder.MessageCodec
 	// PlatformReads is the number of reads that returned a newer document.
 	PlatformReads int
 }
@@ -98,8 +98,8 @@
 	Reason  reducer.Reason
 }
 
-// CallerAnswer is a target's response that reached a caller.
-type CallerAnswer struct {
+// CallerResponse is a target's response that reached a caller.
+type CallerResponse struct {
 	At     timekeeper.Instant
 	Caller netip.AddrPort
 	ID     RequestID
@@ -133,7 +133,7 @@
 		packetsByID:           map[uint64]packetInfo{},
 		ControlBytes:          map[string]int{},
 		nonIdempotentRequests: map[RequestID]bool{},
-		sealers:               map[string]*encoder.MessageCodec{},
+		codecs:                map[string]*encoder.MessageCodec{},
 	}
 }
 
@@ -385,7 +385,7 @@
 
 func (s *Simulation) deliverToCaller(e reducer.ToCaller) {
 	info := s.packetsByID[binary.BigEndian.Uint64(e.Payload)]
-	s.Answers = append(s.Answers, CallerAnswer{At: s.Now, Caller: e.Caller, ID: info.id})
+	s.Responses = append(s.Responses, CallerResponse{At: s.Now, Caller: e.Caller, ID: info.id})
 }
 
 func (s *Simulation) sendToPeer(h *host, e *reducer.ToPeer) {
@@ -405,12 +405,12 @@
 }
 
 func (s *Simulation) countControlBytes(from string, e *reducer.ToPeer) {
-	sealer, ok := s.sealers[from]
+	codec, ok := s.codecs[from]
 	if !ok {
-		sealer = encoder.New(from, nil)
-		s.sealers[from] = sealer
+		codec = encoder.New(from, nil)
+		s.codecs[from] = codec
 	}
-	data, err := sealer.Encode(e.Host, e.Body)
+	data, err := codec.Encode(e.Host, e.Body)
 	if err != nil {
 		panic(fmt.Sprintf("encode control message: %v", err))
 	}
--- a/core/reducer/fixture_test.go
+++ b/core/reducer/fixture_test.go
@@ -117,7 +117,7 @@
 }
 
 func answered(f *driver.Simulation, id driver.RequestID) bool {
-	return slices.ContainsFunc(f.Answers, func(a driver.CallerAnswer) bool { return a.ID == id && a.Caller == id.Caller })
+	return slices.ContainsFunc(f.Responses, func(a driver.CallerResponse) bool { return a.ID == id && a.Caller == id.Caller })
 }
 
 func replyTo(f *driver.Simulation, id driver.RequestID) (driver.CallerReply, bool) {
--- a/core/reducer/flows_test.go
+++ b/core/reducer/flows_test.go
@@ -138,11 +138,11 @@
 	for range 50 {
 		f.SendResponse(target, returnAddress, id, stream)
 	}
-	before := len(f.Answers)
+	before := len(f.Responses)
 	f.Step(100 * time.Millisecond)
 	// The fabric may route some of them to the dead host before it detects the
 	// failure.
-	require.Equal(t, 50, len(f.Answers)-before)
+	require.Equal(t, 50, len(f.Responses)-before)
 }
 
 // Guards against uploads cut when a host dies: when a target fails, the flows of its
--- a/core/reducer/fuzz_test.go
+++ b/core/reducer/fuzz_test.go
@@ -221,7 +221,7 @@
 			t.Fatalf("request %v was refused as not run (%v) at %v: %s", r.ID, r.Reason, time.Duration(r.At), sendTrace(m.f, r.ID))
 		}
 	}
-	for _, a := range m.f.Answers {
+	for _, a := range m.f.Responses {
 		if a.Caller != a.ID.Caller {
 			t.Fatalf("an answer to %v reached %v", a.ID, a.Caller)
 		}
--- a/core/reducer/responses_test.go
+++ b/core/reducer/responses_test.go
@@ -78,7 +78,7 @@
 		f.SendResponse(targetOf(t, f, ids[i]), f.ReturnAddress(ids[i]), ids[i], messenger.FlagPiggybacked)
 	}
 	f.Step(100 * time.Millisecond)
-	for _, a := range f.Answers {
+	for _, a := range f.Responses {
 		require.Equal(t, a.ID.Caller, a.Caller)
 	}
 	for _, id := range ids {
--- a/core/reducer/services_test.go
+++ b/core/reducer/services_test.go
@@ -115,11 +115,11 @@
 	id := requestID(1, 1, 1)
 	f.SendPacket("", id, requestPacket(openRead|stream))
 	f.Step(100 * time.Millisecond)
-	before := len(f.Answers)
+	before := len(f.Responses)
 	f.SendResponse(driver.TargetAddress(21), f.ReturnAddress(id), id, stream)
 	f.SendResponse(driver.TargetAddress(999), f.ReturnAddress(id), id, stream)
 	f.Step(100 * time.Millisecond)
-	require.Len(t, f.Answers, before)
+	require.Len(t, f.Responses, before)
 }
 
 // Guards against a quarantine for the first move only: when an address moves from one
--- a/standin/internal/answerer/answerer.go
+++ b/standin/internal/answerer/answerer.go
@@ -38,9 +38,9 @@
 const (
 	maxDatagramBytes = 2048
 	tickInterval     = 20 * time.Millisecond
-	// answerBytes is the size of a response without its first line.
-	answerBytes = 1500
-	initialSeq  = 7000
+	// responseBytes is the size of a response without its first line.
+	responseBytes = 1500
+	initialSeq    = 7000
 )
 
 // Record holds what all targets of a test have observed.
@@ -112,8 +112,8 @@
 
 	mu    sync.Mutex
 	flows map[flowKey]*flow
-	// silent makes the target unresponsive: it ignores all packets and sends none.
-	silent bool
+	// unresponsive makes the target unresponsive: it ignores all packets and sends none.
+	unresponsive bool
 	// incarnation is the number of restarts of the target.
 	incarnation   int
 	drainingSince time.Time
@@ -174,7 +174,7 @@
 
 // Stop stops the target at once, like a crash.
 func (t *Target) Stop() {
-	t.Silence()
+	t.StopResponding()
 	_ = t.conn.Close()
 }
 
@@ -185,20 +185,20 @@
 	t.serving.Wait()
 }
 
-// Silence makes the target unresponsive. Connections of health checks are refused rather than
+// StopResponding makes the target unresponsive. Connections of health checks are refused rather than
 // ignored, since a process cannot make its kernel ignore a TCP handshake.
-func (t *Target) Silence() {
+func (t *Target) StopResponding() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.silent = true
+	t.unresponsive = true
 	_ = t.http.Close()
 }
 
-// Answering reports whether the target is responsive.
-func (t *Target) Answering() bool {
+// Responding reports whether the target is responsive.
+func (t *Target) Responding() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return !t.silent
+	return !t.unresponsive
 }
 
 // Restart restarts the target under the same ID. It loses its flows and its requests in flight.
@@ -229,7 +229,7 @@
 }
 
 func (t *Target) handleHealthCheck(w http.ResponseWriter, r *http.Request) {
-	if !t.Answering() {
+	if !t.Responding() {
 		<-r.Context().Done()
 		return
 	}
@@ -260,7 +260,7 @@
 func (t *Target) handlePacket(p platformtest.Packet) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.silent {
+	if t.unresponsive {
 		return
 	}
 	key := flowKey{p.From, p.To}
@@ -367,15 +367,15 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.silent || j.incarnation != t.incarnation {
+	if t.unresponsive || j.incarnation != t.incarnation {
 		return
 	}
 	status := "ok"
 	if t.config.Entry.Draining {
 		status = "last"
 	}
-	answer := append(fmt.Appendf(nil, "%s %s %d\n", j.requestID, status, answerBytes), make([]byte, answerBytes)...)
-	j.flow.endpoint.Write(answer, time.Now())
+	response := append(fmt.Appendf(nil, "%s %s %d\n", j.requestID, status, responseBytes), make([]byte, responseBytes)...)
+	j.flow.endpoint.Write(response, time.Now())
 }
 
 func (t *Target) tickLoop(ctx context.Context) {
@@ -389,7 +389,7 @@
 		case now := <-ticker.C:
 			t.mu.Lock()
 			for key, f := range t.flows {
-				if !t.silent && f.endpoint.Tick(now) {
+				if !t.unresponsive && f.endpoint.Tick(now) {
 					delete(t.flows, key)
 				}
 			}
@@ -400,7 +400,7 @@
 
 // send sends a packet to a caller, with the service's address as its source.
 func (t *Target) send(key flowKey, echo uint32, flags byte, seq, ack uint32, data []byte) {
-	if t.silent {
+	if t.unresponsive {
 		return
 	}
 	p := platformtest.Encode(platformtest.Packet{From: key.service, To: key.caller, Echo: echo, Flags: flags, Seq: seq, Ack: ack, Data: data})
--- a/standin/internal/loader/client.go
+++ b/standin/internal/loader/client.go
@@ -112,10 +112,10 @@
 		timeout *= 2
 		c.retransmissions++
 	}
-	return message.Message{}, &Error{Op: "await response", Err: errNoAnswer}
+	return message.Message{}, &Error{Op: "await response", Err: errNoResponse}
 }
 
-var errNoAnswer = errors.New("no response to any transmission")
+var errNoResponse = errors.New("no response to any transmission")
 
 // awaitResponse reads until the response with the given token arrives or the deadline passes.
 func (c *client) awaitResponse(ctx context.Context, token uint64, deadline time.Time) (message.Message, error) {
--- a/standin/internal/loader/loader.go
+++ b/standin/internal/loader/loader.go
@@ -89,17 +89,17 @@
 	ctxWithDeadline, cancel := context.WithDeadline(ctx, end.Add(lastResponseTimeout))
 	defer cancel()
 	var running sync.WaitGroup
-	for _, work := range l.config.Workloads {
-		address, err := l.serviceAddress(work.Service)
+	for _, workload := range l.config.Workloads {
+		address, err := l.serviceAddress(workload.Service)
 		if err != nil {
 			return Report{}, err
 		}
-		for i := range work.Flows {
+		for i := range workload.Flows {
 			to := address
 			if l.config.Direct {
-				to = l.targetAddress(work.Service, i)
+				to = l.targetAddress(workload.Service, i)
 			}
-			running.Go(func() { l.runFlow(ctxWithDeadline, work, to, uint16(i*7), end) })
+			running.Go(func() { l.runFlow(ctxWithDeadline, workload, to, uint16(i*7), end) })
 		}
 	}
 	if l.config.NewFlowsPerSecond > 0 {
@@ -345,7 +345,7 @@
 // buildReport combines the results of the callers with the reports of the targets.
 func (l *Loader) buildReport(ctx context.Context) (Report, error) {
 	report := Report{Tallies: l.recorder.snapshot(), Imbalance: map[string]Imbalance{}, Problems: l.recorder.firstProblems}
-	runs := map[string]int{}
+	executions := map[string]int{}
 	for _, control := range l.config.TargetControlAddresses {
 		r, err := fetchTargetReport(ctx, control)
 		if err != nil {
@@ -355,13 +355,13 @@
 		report.Misrouted = append(report.Misrouted, r.Misrouted...)
 		report.RefusedByTargets += r.Refused
 		for name, n := range r.Executions {
-			runs[name] += n
+			executions[name] += n
 		}
 	}
 	for _, service := range l.settings.Services {
 		var counts []int
 		for _, t := range service.Targets {
-			if n, ok := runs[t.Name]; ok {
+			if n, ok := executions[t.Name]; ok {
 				counts = append(counts, n)
 			}
 		}
--- a/standin/internal/measurer/measurer.go
+++ b/standin/internal/measurer/measurer.go
@@ -73,32 +73,32 @@
 func MeasureSettings(targets, services int) SettingsCost {
 	tree := LargeSettings(PlannedHosts, targets, services)
 	document := tree.Document()
-	point := SettingsCost{Targets: targets, Services: services, DocumentBytes: len(document)}
+	cost := SettingsCost{Targets: targets, Services: services, DocumentBytes: len(document)}
 	startedAt := time.Now()
 	driver.MustResolve(document)
-	point.ResolveTime = time.Since(startedAt)
+	cost.ResolveTime = time.Since(startedAt)
 
 	before := heapBytes()
 	now := timekeeper.Instant(time.Second)
 	host := reducer.New(reducer.Config{Self: "a1", Incarnation: 1, Seed: 1, Timing: detector.DefaultTiming(), Start: now})
 	startedAt = time.Now()
 	host.Reduce(&reducer.SettingsPublished{At: now, Revision: 1, Document: document})
-	point.AdoptTime = time.Since(startedAt)
+	cost.AdoptTime = time.Since(startedAt)
 	tree.Services[0].DrainingTargetNumbers = tree.Services[0].TargetNumbers[:1]
 	changed := tree.Document()
 	startedAt = time.Now()
 	host.Reduce(&reducer.SettingsPublished{At: now, Revision: 2, Document: changed})
-	point.ChangeTime = time.Since(startedAt)
+	cost.ChangeTime = time.Since(startedAt)
 	for _, effect := range host.Reduce(&reducer.PeerMessage{At: now, From: "a2", Body: &messenger.SettingsRequest{}}) {
 		if e, ok := effect.(*reducer.ToPeer); ok {
 			if d, ok := e.Body.(*messenger.SettingsDocument); ok {
-				point.CompressedBytes = len(d.Compressed)
+				cost.CompressedBytes = len(d.Compressed)
 			}
 		}
 	}
-	point.MemoryBytes = int(heapBytes() - before)
+	cost.MemoryBytes = int(heapBytes() - before)
 	runtime.KeepAlive(host)
-	return point
+	return cost
 }
 
 func heapBytes() uint64 {
@@ -138,27 +138,27 @@
 	simulation.MeasureControlBytes = true
 	simulation.ControlMessages = 0
 	simulation.Probes = 0
-	const span = 5 * time.Second
+	const duration = 5 * time.Second
 	startedAt := time.Now()
-	simulation.Step(span)
+	simulation.Step(duration)
 	elapsed := time.Since(startedAt)
-	point := FleetCost{Hosts: hosts, MessagesPerSecond: perHostPerSecond(simulation.ControlMessages, hosts, span)}
+	cost := FleetCost{Hosts: hosts, MessagesPerSecond: perHostPerSecond(simulation.ControlMessages, hosts, duration)}
 	total := 0
 	for _, bytes := range simulation.ControlBytes {
 		total += bytes
-		point.MaxBytesPerSecond = max(point.MaxBytesPerSecond, float64(bytes)/span.Seconds())
+		cost.MaxBytesPerSecond = max(cost.MaxBytesPerSecond, float64(bytes)/duration.Seconds())
 	}
-	point.BytesPerSecond = perHostPerSecond(total, hosts, span)
-	point.CPUShare = elapsed.Seconds() / float64(hosts) / span.Seconds()
-	point.ProbesPerSecond = perHostPerSecond(simulation.Probes, hosts, span)
+	cost.BytesPerSecond = perHostPerSecond(total, hosts, duration)
+	cost.CPUShare = elapsed.Seconds() / float64(hosts) / duration.Seconds()
+	cost.ProbesPerSecond = perHostPerSecond(simulation.Probes, hosts, duration)
 	tree.Services[0].DrainingTargetNumbers = tree.Services[0].TargetNumbers[:1]
 	reads := simulation.PlatformReads
 	revision := simulation.Publish(tree.Document())
 	published := simulation.Now
 	simulation.StepUntil(30*time.Second, func() bool { return inForceEverywhere(simulation, revision) })
-	point.Propagation = simulation.Now.Until(published)
-	point.PlatformReads = simulation.PlatformReads - reads
-	return point
+	cost.Propagation = simulation.Now.Until(published)
+	cost.PlatformReads = simulation.PlatformReads - reads
+	return cost
 }
 
 func perHostPerSecond(n, hosts int, span time.Duration) float64 {
@@ -199,7 +199,7 @@
 	for n := range flows {
 		host.Reduce(callerPacket(n, now))
 	}
-	point := FlowCost{Flows: flows, BytesPerFlow: float64(heapBytes()-before) / float64(flows)}
+	cost := FlowCost{Flows: flows, BytesPerFlow: float64(heapBytes()-before) / float64(flows)}
 	const packets = 200_000
 	events := make([]*reducer.CallerPacket, 4096)
 	for i := range events {
@@ -209,14 +209,14 @@
 	for i := range packets {
 		host.Reduce(events[i%len(events)])
 	}
-	point.PacketTime = time.Since(startedAt) / packets
+	cost.PacketTime = time.Since(startedAt) / packets
 	for range 256 {
 		now = now.Add(reducer.TickInterval)
 		startedAt = time.Now()
 		host.Reduce(&reducer.Tick{At: now})
-		point.SlowestTick = max(point.SlowestTick, time.Since(startedAt))
+		cost.SlowestTick = max(cost.SlowestTick, time.Since(startedAt))
 	}
-	return point
+	return cost
 }
 
 func callerPacket(n int, now timekeeper.Instant) *reducer.CallerPacket {
@@ -280,12 +280,12 @@
 	simulation.Start(tree.HostNames()...)
 	simulation.Step(5 * time.Second)
 	simulation.MeasureControlBytes = true
-	const span = 4 * time.Second
-	idleBytes := controlBytesDuring(simulation, func() { simulation.Step(span) })
+	const duration = 4 * time.Second
+	idleBytes := controlBytesDuring(simulation, func() { simulation.Step(duration) })
 	perTick := max(1, perSecond*int(reducer.TickInterval)/int(time.Second))
 	n := 0
 	loadedBytes := controlBytesDuring(simulation, func() {
-		for end := simulation.Now.Add(span); simulation.Now < end; {
+		for end := simulation.Now.Add(duration); simulation.Now < end; {
 			for range perTick {
 				n++
 				id := driver.RequestID{Caller: callerPacket(n, 0).Caller, Service: driver.ServiceAddress(1), Exchange: messenger.Exchange{MessageID: uint16(n), Token: uint64(n), TokenLength: 8}}
@@ -294,7 +294,7 @@
 			simulation.Step(reducer.TickInterval)
 		}
 	})
-	return RequestCost{RequestsPerSecond: n * int(time.Second) / int(span), BytesPerRequest: float64(loadedBytes-idleBytes) / float64(n)}
+	return RequestCost{RequestsPerSecond: n * int(time.Second) / int(duration), BytesPerRequest: float64(loadedBytes-idleBytes) / float64(n)}
 }
 
 func controlBytesDuring(simulation *driver.Simulation, action func()) int {
--- a/standin/internal/soaker/faults.go
+++ b/standin/internal/soaker/faults.go
@@ -47,7 +47,7 @@
 	{"flapTarget", true, flapTarget},
 	{"killAll", false, killAll},
 	{"restartTarget", true, restartTarget},
-	{"foreignEntry", true, writeForeignEntry},
+	{"foreignEntry", true, writeMalformedEntry},
 	{"overload", true, overloadTargets},
 }
 
@@ -96,13 +96,13 @@
 		return "skipped since another zone is being evacuated"
 	}
 	defer s.evacuations.oneAtATime.Unlock()
-	zone, span := zoneName(s.randomInt(len(s.config.HostsPerZone))), drainLimit+s.randomDuration(4*time.Second)
+	zone, duration := zoneName(s.randomInt(len(s.config.HostsPerZone))), drainLimit+s.randomDuration(4*time.Second)
 	s.evacuations.set(zone, time.Now())
 	s.fleet.store.Evacuate(zone, true)
-	sleep(ctx, span)
+	sleep(ctx, duration)
 	s.evacuations.set("", time.Time{})
 	s.fleet.store.Evacuate(zone, false)
-	return fmt.Sprintf("%s for %s", zone, span)
+	return fmt.Sprintf("%s for %s", zone, duration)
 }
 
 func (s *soakRun) randomHost() *process { return s.fleet.hosts[s.randomInt(len(s.fleet.hosts))] }
@@ -184,46 +184,46 @@
 }
 
 func degradeStore(ctx context.Context, s *soakRun) string {
-	h, mode, span := s.randomHost(), s.randomStoreMode(), s.randomDuration(5*time.Second)
+	h, mode, duration := s.randomHost(), s.randomStoreMode(), s.randomDuration(5*time.Second)
 	s.fleet.store.SetMode(h.Name, mode)
-	sleep(ctx, span)
+	sleep(ctx, duration)
 	s.fleet.store.SetMode(h.Name, platformtest.ModeServing)
-	return fmt.Sprintf("%s mode %d for %s", h.Name, mode, span)
+	return fmt.Sprintf("%s mode %d for %s", h.Name, mode, duration)
 }
 
 func degradeStoreForAll(ctx context.Context, s *soakRun) string {
-	mode, span := s.randomStoreMode(), s.randomDuration(5*time.Second)
+	mode, duration := s.randomStoreMode(), s.randomDuration(5*time.Second)
 	s.setStoreModeForAll(mode)
-	sleep(ctx, span)
+	sleep(ctx, duration)
 	s.setStoreModeForAll(platformtest.ModeServing)
-	return fmt.Sprintf("mode %d for %s", mode, span)
+	return fmt.Sprintf("mode %d for %s", mode, duration)
 }
 
 // degradePeerTraffic disturbs the traffic to one host from some of the others, in this direction
 // only.
 func degradePeerTraffic(ctx context.Context, s *soakRun) string {
-	h, span := s.randomHost(), s.randomDuration(4*time.Second)
+	h, duration := s.randomHost(), s.randomDuration(4*time.Second)
 	fault := []ProxyFault{{Drop: true}, {Delay: 400 * time.Millisecond}, {Reset: true}}[s.randomInt(3)]
 	for _, other := range s.fleet.hosts {
 		if s.randomInt(3) > 0 {
 			h.proxy.setFault(other.listenAddress, fault)
 		}
 	}
-	sleep(ctx, span)
+	sleep(ctx, duration)
 	for _, other := range s.fleet.hosts {
 		h.proxy.setFault(other.listenAddress, ProxyFault{})
 	}
-	return fmt.Sprintf("%s %+v for %s", h.Name, fault, span)
+	return fmt.Sprintf("%s %+v for %s", h.Name, fault, duration)
 }
 
 // degradePackets drops or delays the packets from the router to a host.
 func degradePackets(ctx context.Context, s *soakRun) string {
-	h, span := s.randomHost(), s.randomDuration(1500*time.Millisecond)
+	h, duration := s.randomHost(), s.randomDuration(1500*time.Millisecond)
 	fault := []router.Fault{{Drop: true}, {Delay: 100 * time.Millisecond}}[s.randomInt(2)]
 	s.router.SetFault(h.Name, fault)
-	sleep(ctx, span)
+	sleep(ctx, duration)
 	s.router.SetFault(h.Name, router.Fault{})
-	return fmt.Sprintf("%s %+v for %s", h.Name, fault, span)
+	return fmt.Sprintf("%s %+v for %s", h.Name, fault, duration)
 }
 
 // entryTTL is the time for which the entry of an unresponsive target stays listed: three
@@ -232,7 +232,7 @@
 
 func crashTarget(ctx context.Context, s *soakRun) string {
 	t := s.takeTarget()
-	t.Silence()
+	t.StopResponding()
 	sleep(ctx, entryTTL)
 	s.fleet.store.RemoveTarget(t.Entry().ID)
 	t.Stop()
@@ -304,7 +304,7 @@
 // loseStoreResponses makes the store accept the calls of some hosts and close the connections
 // without a response.
 func loseStoreResponses(ctx context.Context, s *soakRun) string {
-	span := s.randomDuration(4 * time.Second)
+	duration := s.randomDuration(4 * time.Second)
 	var names []string
 	for _, h := range s.fleet.hosts {
 		if s.randomInt(2) > 0 {
@@ -312,26 +312,26 @@
 			names = append(names, h.Name)
 		}
 	}
-	sleep(ctx, span)
+	sleep(ctx, duration)
 	for _, name := range names {
 		s.fleet.store.SetMode(name, platformtest.ModeServing)
 	}
-	return fmt.Sprintf("%v for %s", names, span)
+	return fmt.Sprintf("%v for %s", names, duration)
 }
 
 // flapTarget repeatedly removes a target's entry from the list and restores it, while the target
 // keeps working.
 func flapTarget(ctx context.Context, s *soakRun) string {
 	t := s.takeTarget()
-	turns := 1 + s.randomInt(3)
-	for range turns {
+	count := 1 + s.randomInt(3)
+	for range count {
 		s.fleet.store.RemoveTarget(t.Entry().ID)
 		sleep(ctx, s.randomDuration(2*time.Second))
 		s.fleet.store.PutTarget(t.Entry())
 		sleep(ctx, s.randomDuration(2*time.Second))
 	}
 	s.returnTarget(t)
-	return fmt.Sprintf("%s %d times", t.Entry().ID, turns)
+	return fmt.Sprintf("%s %d times", t.Entry().ID, count)
 }
 
 // killAll kills all hosts at the same time, so that a restarted host finds no sync peer.
@@ -352,28 +352,28 @@
 // times.
 func restartTarget(ctx context.Context, s *soakRun) string {
 	t := s.takeTarget()
-	turns := 1 + s.randomInt(3)
-	for range turns {
+	count := 1 + s.randomInt(3)
+	for range count {
 		s.fleet.store.PutTarget(t.Restart())
 		sleep(ctx, s.randomDuration(2*time.Second))
 	}
 	s.returnTarget(t)
-	return fmt.Sprintf("%s %d times", t.Entry().ID, turns)
+	return fmt.Sprintf("%s %d times", t.Entry().ID, count)
 }
 
-// foreignValues are malformed values of target entries.
-var foreignValues = []string{`"not base64!"`, `17`, `null`, `""`, `"e30="`, `"W10="`}
+// malformedValues are malformed values of target entries.
+var malformedValues = []string{`"not base64!"`, `17`, `null`, `""`, `"e30="`, `"W10="`}
 
-// writeForeignEntry writes a malformed entry, as another program could, in half of the cases
+// writeMalformedEntry writes a malformed entry, as another program could, in half of the cases
 // over the entry of a target.
-func writeForeignEntry(ctx context.Context, s *soakRun) string {
+func writeMalformedEntry(ctx context.Context, s *soakRun) string {
 	id := "readme"
 	if s.randomInt(2) > 0 {
 		t := s.takeTarget()
 		id = t.Entry().ID
 		defer s.returnTarget(t)
 	}
-	value := foreignValues[s.randomInt(len(foreignValues))]
+	value := malformedValues[s.randomInt(len(malformedValues))]
 	s.fleet.store.WriteMalformed(id, json.RawMessage(value))
 	sleep(ctx, s.randomDuration(3*time.Second))
 	s.fleet.store.WriteMalformed(id, nil)
@@ -407,9 +407,9 @@
 	sleep(ctx, age)
 	times := 1 + s.randomInt(2)
 	for range times {
-		away := s.randomDuration(time.Second)
+		outage := s.randomDuration(time.Second)
 		s.setStoreModeForAll(platformtest.ModeAborting)
-		sleep(ctx, away)
+		sleep(ctx, outage)
 		rewrite := s.fleet.store.Restore(backup)
 		s.setStoreModeForAll(platformtest.ModeServing)
 		sleep(ctx, s.randomDuration(rewriteLimit))
@@ -431,11 +431,11 @@
 // overloadTargets multiplies the processing time of every target by twenty, so that demand
 // exceeds capacity.
 func overloadTargets(ctx context.Context, s *soakRun) string {
-	span := s.randomDuration(4 * time.Second)
+	duration := s.randomDuration(4 * time.Second)
 	s.setProcessingTime(20 * processingTime)
-	sleep(ctx, span)
+	sleep(ctx, duration)
 	s.setProcessingTime(processingTime)
-	return span.String()
+	return duration.String()
 }
 
 func (s *soakRun) setProcessingTime(d time.Duration) {
--- a/standin/internal/soaker/soaker.go
+++ b/standin/internal/soaker/soaker.go
@@ -453,7 +453,7 @@
 	targets := slices.Clone(s.availableTargets)
 	s.mu.Unlock()
 	for _, t := range targets {
-		if t.Entry().ID == target && t.Answering() {
+		if t.Entry().ID == target && t.Responding() {
 			return "was reset while its target responds"
 		}
 	}
--- a/standin/internal/sprayer/sprayer.go
+++ b/standin/internal/sprayer/sprayer.go
@@ -50,7 +50,7 @@
 	returnConns    map[netip.Addr]*net.UDPConn
 	announcedUntil map[string]time.Time
 	cutHosts       map[string]bool
-	openHosts      []netip.AddrPort
+	receivingHosts []netip.AddrPort
 	random         *rand.Rand
 }
 
@@ -142,7 +142,7 @@
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			f.cutHosts[request.URL.Query().Get("host")] = cut
-			f.updateOpenHosts()
+			f.updateReceivingHosts()
 		}
 	}
 	mux.HandleFunc("POST /cut", set(true))
@@ -150,8 +150,8 @@
 	mux.HandleFunc("GET /hosts", func(w http.ResponseWriter, _ *http.Request) {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.updateOpenHosts()
-		_, _ = fmt.Fprintln(w, len(f.openHosts))
+		f.updateReceivingHosts()
+		_, _ = fmt.Fprintln(w, len(f.receivingHosts))
 	})
 	return &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
 }
@@ -184,20 +184,20 @@
 func (f *Fabric) pickHost() (netip.AddrPort, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.openHosts) == 0 {
+	if len(f.receivingHosts) == 0 {
 		return netip.AddrPort{}, false
 	}
-	return f.openHosts[f.random.IntN(len(f.openHosts))], true
+	return f.receivingHosts[f.random.IntN(len(f.receivingHosts))], true
 }
 
-// updateOpenHosts updates the list of hosts that receive packets: those with a valid announcement
+// updateReceivingHosts updates the list of hosts that receive packets: those with a valid announcement
 // that are not cut off. The caller must hold mu.
-func (f *Fabric) updateOpenHosts() {
+func (f *Fabric) updateReceivingHosts() {
 	now := time.Now()
-	f.openHosts = f.openHosts[:0]
+	f.receivingHosts = f.receivingHosts[:0]
 	for address, name := range f.hostNames {
 		if until, ok := f.announcedUntil[name]; ok && now.Before(until) && !f.cutHosts[name] {
-			f.openHosts = append(f.openHosts, address)
+			f.receivingHosts = append(f.receivingHosts, address)
 		}
 	}
 }
@@ -238,7 +238,7 @@
 	if a.Accepting {
 		f.announcedUntil[a.Host] = time.Now().Add(announcementTTL)
 	}
-	f.updateOpenHosts()
+	f.updateReceivingHosts()
 }
 
 // returnConn returns the socket of a return address and opens it on first use.
--- a/standin/soak_test.go
+++ b/standin/soak_test.go
@@ -88,7 +88,7 @@
 // Guards against working targets that are avoided and callers that are reset, when targets restart
 // under the same ID, the platform holds malformed entries, or all targets are slow. These faults
 // repeat and overlap.
-func TestTargetRestartsForeignEntriesAndOverloadKeepGuarantees(t *testing.T) {
+func TestTargetRestartsMalformedEntriesAndOverloadKeepGuarantees(t *testing.T) {
 	t.Parallel()
 	requireSoakPasses(t, soaker.Config{
 		Seed: 6, AddressBlock: 69, HostsPerZone: []int{2, 2}, Duration: 8 * time.Second, MeanFaultInterval: 900 * time.Millisecond, SecondFaultSet: true,
--- a/standin/system_e2e_test.go
+++ b/standin/system_e2e_test.go
@@ -34,9 +34,9 @@
 	ledger, err := udp.Dial(s.address(30, 5683))
 	require.NoError(t, err)
 	defer func() { _ = ledger.Close() }()
-	answer, err := ledger.Post(ctx, "/check", message.TextPlain, strings.NewReader("ledger/foreign-1"))
+	response, err := ledger.Post(ctx, "/check", message.TextPlain, strings.NewReader("ledger/foreign-1"))
 	require.NoError(t, err)
-	require.Equal(t, codes.Changed, answer.Code())
+	require.Equal(t, codes.Changed, response.Code())
 
 	var notifications atomic.Int64
 	observation, err := ledger.Observe(ctx, "/stream", func(*pool.Message) { notifications.Add(1) })
@@ -48,10 +48,10 @@
 	require.NoError(t, err)
 	defer func() { _ = intake.Close() }()
 	file := append([]byte("intake/foreign-file\n"), bytes.Repeat([]byte("x"), 1<<20-20)...)
-	answer, err = intake.Post(ctx, "/upload", message.AppOctets, bytes.NewReader(file))
+	response, err = intake.Post(ctx, "/upload", message.AppOctets, bytes.NewReader(file))
 	require.NoError(t, err)
-	require.Equal(t, codes.Changed, answer.Code())
-	body, err := answer.ReadBody()
+	require.Equal(t, codes.Changed, response.Code())
+	body, err := response.ReadBody()
 	require.NoError(t, err)
 	require.Contains(t, string(body), "intake/foreign-file 1048576")
 
