--- a/core/steerer/service_load.go
+++ b/core/steerer/service_load.go
@@ -26,7 +26,7 @@
 	name     string
 	load     pacer.Load
 	capacity capacityState
-	// inFlight counts the requests that this host has forwarded; paced counts those queued
+	// inFlight counts the requests that this host has forwarded; queued counts those queued
 	// at it.
 	inFlight int
 	queued   int
--- a/core/steerer/slots.go
+++ b/core/steerer/slots.go
@@ -12,11 +12,10 @@
 // targets.
 const recountBatch = 128
 
-// slotTotals holds the slots of a service's targets by zone.
+// slotTotals holds the slots of a service's candidates by zone.
 type slotTotals struct {
 	byZone []microSlots
-	// nextIndex is the index among the service's selectable targets at which the next batch
-	// starts.
+	// nextIndex is the index among the service's candidates at which the next batch starts.
 	nextIndex int
 }
 
@@ -48,7 +47,7 @@
 }
 
 // updateSlotTotals updates the slot totals of a service: it recounts the targets that have
-// changed, and a batch of the others.
+// changed, of any service, and a batch of this service's candidates.
 func (s *Steerer) updateSlotTotals(service string) *slotTotals {
 	for _, t := range s.targets.slotsStale {
 		t.slotsStale = false
--- a/core/steerer/steerer.go
+++ b/core/steerer/steerer.go
@@ -30,8 +30,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// TickInterval is the interval between Tick events. Stalls are detected from packets; ticks
-// only drive reads, reports and the expiry of state.
+// TickInterval is the interval between Tick events. Retransmissions are detected as packets
+// arrive; ticks drive reads, reports, timers such as those of opening packets, and the
+// expiry of state.
 const TickInterval = 50 * time.Millisecond
 
 // Config is what a steerer needs to know of its host.
@@ -120,8 +121,9 @@
 	path          path
 	// baselines holds the baseline latency of each route, by route name.
 	baselines map[string]*medianEstimator
-	// services holds the load of each service; paced counts the requests queued at this
-	// host; inFlight holds the timers of the forwarded requests, the oldest first.
+	// services holds the load of each service, visibility the hosts and zones whose reports
+	// count in it; queued counts the requests queued at this host; inFlight holds the
+	// timers of the forwarded requests, the oldest first.
 	services   map[string]*service
 	visibility peerVisibility
 	queued     int
--- a/core/steerer/target.go
+++ b/core/steerer/target.go
@@ -81,7 +81,8 @@
 	// slotsStale reports whether it may have changed.
 	countedSlots microSlots
 	slotsStale   bool
-	// inUse and gone report whether the target is in the table's lists of these names.
+	// inUse and inMissing report whether the target is in the table's lists inUse and
+	// missing.
 	inUse     bool
 	inMissing bool
 	// seenPosition is the position in the platform's history at which the state was first
@@ -97,8 +98,8 @@
 	incarnationPosition sequencer.Position
 	// missingSince is when this host learned that the target is missing.
 	missingSince timekeeper.Instant
-	// restored is what was known of the target before the platform's store was restored,
-	// and contradicts the restored store.
+	// restored is what was known of the target before the platform's store was restored and
+	// that contradicts the restored store.
 	restored restoreConflict
 	// warmUpDeadline is when the target reaches its full speed.
 	warmUpDeadline timekeeper.Instant
--- a/core/steerer/target_restart.go
+++ b/core/steerer/target_restart.go
@@ -57,7 +57,7 @@
 // another target at once. Without resending, the caller waits until its deadline: the old
 // incarnation had acknowledged the request, so the caller does not retransmit it. This host
 // must not send the reset itself: the flow may have been opened at the new incarnation
-// before this host learned of it, and then a duplicate request packet is harmless.
+// before this host learned of it. In that case the duplicate request packet is harmless.
 func (s *Steerer) resendRequest(f *flow, t *target) {
 	if f.queued != nil {
 		for _, data := range f.queued.packets {
--- a/core/steerer/target_selection.go
+++ b/core/steerer/target_selection.go
@@ -28,12 +28,12 @@
 	// costs little.
 	failingPenalty = 2.0
 	// tieBreakSpread orders targets of equal load by the flow's hash, so that hosts that do
-	// not know each other's choices choose different targets. It is less than the smallest
-	// difference in load.
+	// not know each other's choices choose different targets. It is less than the load of
+	// an idle flow on a target with fewer than five slots.
 	tieBreakSpread = 0.01
 	// suspectZonePenalty is added for a target in a zone that seems unresponsive: more than
-	// crossZonePenalty and failingPenalty, so that another zone is used, and less than the
-	// penalties for what is known of a single target.
+	// crossZonePenalty and failingPenalty, so that another zone is used, and less than
+	// suspectPenalty, which applies to a target that is itself suspect.
 	suspectZonePenalty = 10
 	// suspectPenalty ranks a target that may be unresponsive after all that are not.
 	suspectPenalty = 1000
@@ -58,7 +58,7 @@
 	// inRegion reports whether the route may run in the zone's region.
 	inRegion bool
 	// Targets in evacuated zones get no new flows. Those in last-resort zones get only
-	// flows that no other target could take.
+	// flows that no other target could serve.
 	evacuated  bool
 	lastResort bool
 	suspect    bool
@@ -114,7 +114,7 @@
 	}
 	for _, t := range s.targets.candidates(c.service) {
 		if best != nil && bestLoad < crossZonePenalty && t.AvailabilityZone != s.config.AvailabilityZone {
-			break // The remaining targets are in other zones, each with at least crossZonePenalty.
+			break // The remaining targets are in other zones, each with a load of at least crossZonePenalty.
 		}
 		if s.exclusionOf(t, views) != notExcluded || !s.warmUpAllows(t) {
 			continue
@@ -133,7 +133,7 @@
 		}
 	}
 	if full && best != nil && best.health.unreachable() {
-		return nil // All reachable targets are full: refuse at once.
+		return nil // All reachable targets are full, so the flow is refused at once.
 	}
 	return best
 }
--- a/core/steerer/target_table.go
+++ b/core/steerer/target_table.go
@@ -27,9 +27,9 @@
 	// targets whose contribution may have changed.
 	slots      map[string]*slotTotals
 	slotsStale []*target
-	// inUse holds the targets that have flows or were recently unreachable or failing; gone
-	// holds those that are no longer listed. Both are in the order in which the targets
-	// were added.
+	// inUse holds the targets that have flows, are unreachable or recently had fast
+	// failures; missing holds those that are no longer listed. Both are in the order in
+	// which the targets were added.
 	inUse   []*target
 	missing []*target
 	// history holds the recent changes of targets.
@@ -74,9 +74,9 @@
 // claimTag makes a target the owner of its tag unless another listed target owns it. It
 // reports whether the target owns it now.
 //
-// Without this, if a target without its tag, or one that has changed its service, remained
-// a candidate, a flow placed on it would have its later packets sent to the tag's owner, or
-// it would run requests of another service.
+// Without this, a target without its tag, or one that has changed its service, would remain
+// a candidate. Later packets of a flow placed on it would go to the tag's owner, or it
+// would get requests of a service that it does not run.
 func (t *targetTable) claimTag(one *target) bool {
 	if holder := t.byTag[one.tag]; holder != nil && holder != one {
 		if !holder.missing {
--- a/core/steerer/targetlist.go
+++ b/core/steerer/targetlist.go
@@ -12,8 +12,8 @@
 	// recentProgressWindow is how recently a target must have shown progress to keep getting
 	// flows for sequencer.RewriteGracePeriod after it went missing without draining.
 	recentProgressWindow = time.Second
-	// missingTargetRetention is how long a missing target is kept: its open flows still name
-	// it, for as long as a flow may last.
+	// missingTargetRetention is how long a missing target is kept: packets of its open flows
+	// still carry its tag, for as long as a flow may last.
 	missingTargetRetention = 70 * time.Second
 	// targetSweepInterval is the interval between sweeps for targets to probe again or to
 	// drop. Both become due only after seconds.
@@ -33,7 +33,7 @@
 // cost depends on the number of changes, not of targets.
 func (s *Steerer) applyTargetChanges(list TargetList) {
 	if !s.targetsPosition.ContinuesFrom(list.Since) || s.targetsPosition.Before(list.Since) {
-		return // This host has moved to another era since the request.
+		return // This host has moved to another era since the request, or lacks earlier changes.
 	}
 	s.recordMalformed(list.Malformed, list.Position)
 	for _, record := range list.Targets {
@@ -95,8 +95,8 @@
 }
 
 // applyTarget applies the state of a target as read at a position. The first list is not
-// queued for reports: it would fill the reports of each host that starts for changeRetention,
-// and after a loss of all hosts those of every host.
+// queued for reports: for changeRetention it would fill the reports of a host that has
+// started, and after a loss of all hosts those of every host.
 func (s *Steerer) applyTarget(record Target, seen sequencer.Position, from string) {
 	known, ok := s.targets.byID[record.ID]
 	if ok && !known.missing && known.equalIgnoringWarmUp(record) {
