--- a/core/steerer/missing.go
+++ b/core/steerer/missing.go
@@ -22,7 +22,7 @@
 //
 // Without this, a host that starts after a target has crashed and is no longer listed does
 // not know the target when it gets packets of the target's flows. It neither probes the
-// target nor resets the flows of callers that wait for it. The symptom is flows that get no
+// target nor resets the flows of callers that wait for it. This shows as flows that get no
 // response to any request, with a log line for each dropped packet on one host only.
 func (s *Steerer) needsMissingTargets() bool {
 	return !s.peerSync.missingTargetsKnown && s.canRoute() && !s.config.Start.Add(missingTargetsSyncWindow).Passed(s.now)
--- a/core/steerer/peers.go
+++ b/core/steerer/peers.go
@@ -107,10 +107,11 @@
 	zones  peerZones
 	// alive counts the hosts that are presumed alive.
 	alive aliveCounts
-	// visits counts the entries of the lists handed out; see targetTable.entriesVisited.
+	// visits counts the entries of the lists that were returned or iterated over; see
+	// targetTable.entriesVisited.
 	visits uint64
-	// recent are the hosts that reported within peerTimeout, a few of a large fleet, ordered
-	// by name.
+	// recent are the hosts that reported within peerTimeout, ordered by name. In a large
+	// fleet these are only a few.
 	recent []*peer
 	// loaded are the hosts whose requests in flight count in the load of targets.
 	loaded []*peer
@@ -273,8 +274,8 @@
 // including this one.
 func (s *Steerer) aliveInZone() int { return 1 + s.countAlive().sameZone }
 
-// upsertPeer returns the record of a host and creates it if there is none. The host was alive
-// that long ago.
+// upsertPeer returns the record of a host and creates it if there is none. age is the time
+// since the host was last known to be alive.
 func (s *Steerer) upsertPeer(name string, address netip.AddrPort, age time.Duration) *peer {
 	p, ok := s.peers.byName[name]
 	if !ok {
@@ -310,9 +311,9 @@
 // changes start a round early, as long as the rounds are not ahead of schedule by more than
 // maxRoundAdvance.
 //
-// Without that limit, while targets are replaced each tick of each host brings changes, and a
-// host would send and process five times as many reports as normally, which shows as small
-// hosts that run out of processor time during a release.
+// Without that limit, while targets are replaced, every tick would bring changes at each
+// host, and a host would send and process five times as many reports as normally, which shows
+// as small hosts that run out of processor time during a release.
 func (p *peers) roundDue(now timekeeper.Instant) bool {
 	if p.reportNow {
 		now = now.Add(maxRoundAdvance)
--- a/core/steerer/peersync.go
+++ b/core/steerer/peersync.go
@@ -97,7 +97,7 @@
 //
 // With a fixed timeout, a host whose link is saturated by uploads tries one host after
 // another, abandons each while its response is on the way, and fills its link with partial
-// responses. The symptom is a host that gets no response from any other for seconds while
+// responses. This shows as a host that gets no response from any other for seconds while
 // reports still arrive.
 func (s *Steerer) syncResponseTimeout() time.Duration {
 	if s.path.slow(s.now) {
--- a/core/steerer/platformread.go
+++ b/core/steerer/platformread.go
@@ -50,8 +50,8 @@
 // fromPlatform is the origin, in logs and status, of what was read from the platform.
 const fromPlatform = "platform"
 
-// source is one of the two things that are read from the platform: what operators publish,
-// which is the settings and the evacuation orders, and the targets.
+// source is the state of the reads of one of the platform's two sources: what operators
+// publish, which is the settings and the evacuation orders, and the targets.
 type source struct {
 	// confirmed is the moment as of which this host's state is known to be complete; 0 before
 	// any.
@@ -83,7 +83,7 @@
 	moment timekeeper.Instant
 }
 
-// maxRecentReads is how many reads a host can tell apart: more than there are readers between
+// maxRecentReads is how many reads a host can tell apart: more than all hosts make between
 // two reads of the first reader.
 const maxRecentReads = 16
 
@@ -104,8 +104,8 @@
 	}
 }
 
-// confirmation states that a read of the platform has shown the state that was complete as of
-// a moment.
+// confirmation states that a read of the platform has shown the complete state as of a
+// moment.
 type confirmation struct {
 	// read is the number of the read; 0 if the host that reported it does not number its
 	// reads.
@@ -152,8 +152,8 @@
 }
 
 // due reports whether to read a source now. State that may be stale is assumed to have the
-// age at which the first reader reads again, so that this host reads again at once and the
-// others learn of it.
+// age at which the first reader reads again, so that the first reader reads again at once and
+// the others learn of it.
 func (src *source) due(now timekeeper.Instant, maxAge, firstReaderMaxAge time.Duration) bool {
 	if src.inFlight || !src.retryDeadline.Passed(now) {
 		return false
@@ -225,8 +225,9 @@
 }
 
 // settingsWaitForTargets reports whether the first read of the settings has to wait for that
-// of the targets. Open flows, most of the traffic, need the targets only, and share the link,
-// and the platform's, with a document that may be far larger.
+// of the targets. Open flows are most of the traffic and need only the targets. Read at the
+// same time, the settings, which may be far larger, would delay the targets on the links of
+// this host and of the platform.
 func (s *Steerer) settingsWaitForTargets() bool {
 	return s.platformReads.settings.neverRead() && s.platformReads.targets.inFlight && !s.config.Start.Add(targetsReadHeadStart).Passed(s.now)
 }
--- a/core/steerer/reports.go
+++ b/core/steerer/reports.go
@@ -46,8 +46,8 @@
 	s.applyOrders(evacuator.Orders{Position: sequencer.At(r.OrdersEra, r.OrdersRevision), Zones: r.EvacuatedZones}, p.name)
 	s.compareSettings(r, p.name)
 	s.compareTargets(r, p.name)
-	// It may have no state yet. In a large fleet a host that has state needs no immediate
-	// reply from each host that it reports to for the first time.
+	// The sender may have no state yet. In a large fleet a host that has state needs no
+	// immediate reply from each host that it reports to for the first time.
 	lacksState := r.SettingsRevision == 0 || r.TargetsRevision == 0
 	if firstReport && (lacksState || len(s.peers.byName) <= smallFleetSize || s.needsFlowReport(p)) {
 		p.nextReport = 0
@@ -381,8 +381,8 @@
 
 // targetObservations is what a host reports of the targets to the others of its zone.
 type targetObservations struct {
-	// inFlight counts requests in flight by the target's tag. fastFailing and silent are the tags
-	// of targets that recently failed implausibly fast, or were unresponsive.
+	// inFlight counts requests in flight by the target's tag. fastFailing and unresponsive are
+	// the tags of targets that recently failed implausibly fast, or were found unreachable.
 	inFlight     map[uint32]uint16
 	fastFailing  []uint32
 	unresponsive []uint32
@@ -390,8 +390,8 @@
 	valid bool
 }
 
-// observeTargets collects, once for all reports of an event, the requests in flight, the
-// recent fast failures and the recently unresponsive ones of the targets in use.
+// observeTargets collects, once for all reports of an event, the requests in flight at the
+// targets in use, and which of these recently had fast failures or were found unreachable.
 func (s *Steerer) observeTargets() *targetObservations {
 	if s.ownReport.valid {
 		return &s.ownReport
--- a/core/steerer/restore.go
+++ b/core/steerer/restore.go
@@ -59,9 +59,10 @@
 	}
 }
 
-// recordNewEraList dates all targets to the list of a new era. States from hosts that only
-// have an earlier list cannot override it. What an earlier restore has undone may be written
-// again for as long after this one.
+// recordNewEraList sets the positions of all targets to that of the first list of a new era,
+// so that states from hosts that have only an earlier list cannot override it. Conflicts with
+// an earlier restore apply for another RewriteGracePeriod, because this restore may have
+// undone what was written again since.
 func (s *Steerer) recordNewEraList(earlier sequencer.Position, missing int, from string) {
 	avoided := 0
 	s.targets.history.resetTo(s.targetsPosition)
@@ -106,10 +107,11 @@
 // restoreConflictOf returns how a restored store, whose record was read at a position,
 // contradicts what was known of a target; known is nil for a target that is new to this host.
 //
-// Without this, if a target drains or has terminated after the backup was made, new flows go
-// to it from every host until it has written its state again, and end with it. Its address
-// may have been given to another target, which does not respond to them. It shows as flows
-// that do not open, or are cut, in the seconds after "storeRestored".
+// Without this, if a target began to drain or terminated after the backup was made, every
+// host sends it new flows until the lost update is written again, and these are cut when it
+// terminates. Its address may have been given to another target, which does not respond to
+// them. This shows as flows that do not open, or are cut, in the seconds after
+// "storeRestored".
 func (s *Steerer) restoreConflictOf(known *target, record Target, seen sequencer.Position) restoreConflict {
 	if !s.inLaterEra(seen) || known == nil || known.Incarnation != record.Incarnation || record.Draining {
 		return restoreConflict{}
@@ -130,8 +132,9 @@
 // restored from a backup that lacks it. It writes its entry again within about two seconds.
 //
 // Without this, it would get no flows until then. If all targets of a service were replaced
-// after the backup was made, the old ones have drained and the new ones are idle, so that no
-// progress shows that they are alive, and every caller is refused.
+// after the backup was made, the old ones would get no flows because they have drained, and
+// the new ones none because they are idle, so that no progress shows that they are alive.
+// Every caller would be refused.
 func (s *Steerer) missingFromBackup(t *target) bool {
 	return t.restored.absentFromBackup && !t.restored.deadline.Passed(s.now)
 }
@@ -141,8 +144,8 @@
 // has been missing since, and has made no progress recently.
 //
 // If it got none at all, then after entries expire during a fault of the platform and the
-// platform is restored, all targets of a service would be refused although each of them
-// works, which shows as refusals in the seconds after "targetsReread".
+// platform is restored, callers would be refused although every target of their service
+// works. This would show as refusals in the seconds after "targetsReread".
 func (s *Steerer) missingAcrossRestore(t *target) bool {
 	r := &t.restored
 	return (r.wasMissing || r.absentFromBackup) && !r.wasDraining && !r.deadline.Passed(s.now) && !s.hasRecentProgress(t)
