--- a/core/steerer/path.go
+++ b/core/steerer/path.go
@@ -45,11 +45,11 @@
 // path is the state of the network path between this host and all callers, targets and
 // hosts.
 //
-// Without it: a few uploads fill a small host's link, and packets are queued in it for
-// longer than callers' retransmission timeouts and than a probe takes. Every target looks
-// unresponsive, and the host resets flows whose targets work. This shows as resets only on
-// hosts with small links, of targets that other hosts reach. So missing responses are no
-// evidence while the path is slow.
+// Missing responses are no evidence while the path is slow. Without this, when a few uploads
+// fill a small host's link, packets are queued in it for longer than callers' retransmission
+// timeouts and longer than a probe may take. Every target looks unresponsive, and the host
+// resets flows whose targets work. This shows as resets only on hosts with small links, of
+// flows to targets that other hosts reach.
 type path struct {
 	// slowDeadline is until when the path counts as slow.
 	slowDeadline timekeeper.Instant
@@ -118,7 +118,7 @@
 	}
 }
 
-// recordBulkFlow counts the flows that send large requests at the same time.
+// recordBulkFlow counts a flow, once per window, if the packet belongs to a large request.
 func (s *Steerer) recordBulkFlow(f *flow, p *Packet) {
 	if p.Length >= bulkPacketBytes && f.bulkWindow != s.path.windowDeadline {
 		f.bulkWindow = s.path.windowDeadline
--- a/core/steerer/queueing.go
+++ b/core/steerer/queueing.go
@@ -9,7 +9,8 @@
 )
 
 const (
-	// maxQueuedRequests limits the requests queued at a host, to about 5 MB of the largest.
+	// maxQueuedRequests limits the requests queued at a host, to about 5 MB if all of them
+	// are of the largest size.
 	maxQueuedRequests = 4096
 	// maxQueuedPackets limits the packets of a queued request to what a caller sends without
 	// an acknowledgment.
--- a/core/steerer/redispatch.go
+++ b/core/steerer/redispatch.go
@@ -128,9 +128,9 @@
 // there: the target was already found full when the flow was placed, or the caller has
 // retransmitted its opening packet at this host.
 //
-// Without this, if all half-open flows were redispatched: a target accepts a flow as its
-// last, the caller continues through another host, and this host opens the flow at a second
-// target. This shows as resets of established flows.
+// If all half-open flows were redispatched, this host would open a flow at a second target
+// when the first has accepted it as its last and the caller continues through another host.
+// This would show as resets of established flows.
 func (f *flow) certainlyNotAccepted() bool {
 	return f.openingResentByCaller || f.target.foundFullBefore(f.openingSentAt)
 }
@@ -192,8 +192,8 @@
 	return s.estimateFlows(t, v).Total(), v.limit
 }
 
-// needsFlowReport reports whether a host that has just been heard from should receive this
-// host's flow counts at once.
+// needsFlowReport reports whether a host whose first report has just arrived should receive
+// this host's flow counts at once.
 //
 // Without this, a restarted host assumes that the targets are empty, and sends a burst of
 // opening packets to full targets.
--- a/core/steerer/status.go
+++ b/core/steerer/status.go
@@ -6,7 +6,7 @@
 )
 
 // SyncStatus is the operators' view of a host's settings and targets: which version it has,
-// how old, and from which host or the platform.
+// how old that is, and whether it came from the platform or from another host.
 type SyncStatus struct {
 	Host             string `json:"host"`
 	AvailabilityZone string `json:"availabilityZone"`
@@ -62,8 +62,8 @@
 	AvailabilityZone string `json:"availabilityZone"`
 	Address          string `json:"address"`
 	Slots            int    `json:"slots"`
-	// Flows counts the flows through this host. Busy counts those of them that wait for a
-	// response or are half-open, PeersInFlight those of the zone's other hosts.
+	// Flows counts the flows through this host. InFlight counts those of them that wait for a
+	// response or are half-open, PeersInFlight the same for the zone's other hosts.
 	Flows         int `json:"flows"`
 	InFlight      int `json:"busy"`
 	PeersInFlight int `json:"peersBusy"`
@@ -94,7 +94,7 @@
 }
 
 // avoidReason returns why new flows avoid a target, the strongest reason first; see
-// exclusionOf and penalty.
+// exclusionOf and targetLoad.
 func (s *Steerer) avoidReason(t *target) string {
 	switch {
 	case s.targets.byTag[t.tag] != t:
--- a/core/steerer/throttling.go
+++ b/core/steerer/throttling.go
@@ -76,8 +76,8 @@
 	f.hasSentRequest = true
 }
 
-// divideQuotas divides the quotas by the number of alive hosts of the local zone, over which
-// the network fabric spreads each caller's flows evenly.
+// divideQuotas divides the quotas by the number of hosts of the local zone that are alive,
+// over which the fabric spreads each caller's flows evenly.
 func (s *Steerer) divideQuotas() {
 	if !s.throttler.HasQuotas() {
 		return
--- a/core/steerer/unresponsive_targets.go
+++ b/core/steerer/unresponsive_targets.go
@@ -52,8 +52,8 @@
 // probeIfZoneLost handles a flow that another host has carried so far. If the hosts of its
 // target's zone are silent, the target is probed at once.
 //
-// Without this: a zone loses power, and the fabric hands its callers' packets to the hosts
-// of the next zone after a second. These have never sent anything to the lost zone's
+// Without this, when a zone loses power, the fabric hands its callers' packets to the hosts
+// of another zone after a second. These have never sent anything to the lost zone's
 // targets, so each caller waits for another retransmission timeout, by then 1.6 s, and for
 // a probe. This shows as requests that fail at their deadline although they reach a working
 // host.
--- a/core/steerer/zonestart.go
+++ b/core/steerer/zonestart.go
@@ -18,11 +18,11 @@
 // waitsForZone reports whether this host should not accept packets yet, because most hosts of
 // its zone are still missing while other zones serve its callers.
 //
-// Without this, when a zone comes back while other zones serve its callers, its first ready
-// host makes the fabric spread the zone's packets over all of its hosts, started or not:
-// fewer than half of them being ready looks like a fault of the checks. It shows as requests
-// that fail until the last host has started. After a loss of all zones no other zone serves
-// the callers, and no host waits.
+// Without this, when the first host of a zone that comes back becomes ready, the fabric
+// spreads the zone's packets over all of its hosts, started or not: if fewer than half of a
+// zone's hosts are ready, the fabric assumes that its readiness checks are at fault. This
+// shows as requests that fail until the last host has started. After a loss of all zones no
+// other zone serves the callers, and no host waits.
 func (s *Steerer) waitsForZone() bool {
 	if s.peers.expectedInZone == 0 || s.peers.zoneEstablished || s.config.Start.Add(zoneStartGrace).Passed(s.now) {
 		return false
