--- a/core/steerer/missing_test.go
+++ b/core/steerer/missing_test.go
@@ -41,8 +41,8 @@
 	require.NotEqual(t, unresponsiveTarget, fresh.target, "it gets no new flows")
 }
 
-// All hosts start at once, so none knows of missing targets. Guards against a request that
-// counts as answered only if the response names a target, which would be repeated forever.
+// All hosts start at once, so none knows of missing targets. Guards against repeating the
+// request forever because it counts as done only if a response names a target.
 func TestMissingTargetsAreRequestedOnce(t *testing.T) {
 	f := newFleet(t, 2)
 	asks := f.syncRequests
--- a/core/steerer/peersync_test.go
+++ b/core/steerer/peersync_test.go
@@ -23,8 +23,8 @@
 	require.LessOrEqual(t, len(h.syncRequests), 20, "two a second")
 }
 
-// answerSyncRequest answers a sync request that the host has sent since the last tick, like a
-// host that knows all but the latest change.
+// answerSyncRequest responds to a sync request that the host has sent since the last tick,
+// like a host that knows all but the latest change.
 func (h *largeHost) answerSyncRequest() {
 	if !h.syncRequestPending {
 		return
--- a/core/steerer/platformread_test.go
+++ b/core/steerer/platformread_test.go
@@ -123,9 +123,9 @@
 	}
 }
 
-// Guards against trusting a list more than the flows: when the entries of all targets are
-// missing for two seconds because of a fault of the platform, callers must not be refused
-// although every target works.
+// Guards against refusing callers although every target works: when the entries of all
+// targets are missing for two seconds because of a fault of the platform, targets whose flows
+// show recent progress must still get flows.
 func TestMissingTargetsWithRecentProgressStillGetFlows(t *testing.T) {
 	f := newFleet(t, 1)
 	var callers []*caller
--- a/core/steerer/restore_test.go
+++ b/core/steerer/restore_test.go
@@ -383,7 +383,7 @@
 	}
 }
 
-// Guards against dropping with the era what hosts know of a target: when a target has
+// Guards against discarding what hosts know of a target when an era ends: when a target has
 // terminated and the backup is from before that, it is listed again until its entry is
 // removed again, and new flows would go to it, or to another target that has its address. The
 // host lists it as the platform does, but sends it no flows until the lost updates are
@@ -419,8 +419,8 @@
 
 // Guards against new flows to a target that drained before a restore: when the backup is from
 // before that and the target writes its state again two seconds later, flows from every host
-// would be cut when it terminates. A target that stays up and is never written as draining
-// again gets flows after that.
+// would be cut when it terminates. A target that stays up and is not written as draining
+// again gets flows once the grace period has ended.
 func TestTargetDrainingBeforeRestoreGetsNoFlows(t *testing.T) {
 	f := newFleetWithEra(t, 1)
 	before := f.backup()
--- a/core/steerer/restoreedges_test.go
+++ b/core/steerer/restoreedges_test.go
@@ -67,9 +67,9 @@
 }
 
 // Guards against a response that leaves out missing targets: when a target goes missing and a
-// host requests changes since another era than the responder's, or since none because it is
-// of an earlier release, it would never learn that the target is missing, or consider a live
-// one missing.
+// host requests changes since a position of another era than the responder's, or of no era
+// because it is of an earlier release, it would never learn that the target is missing, or
+// consider a live one missing.
 func TestSyncResponseToOlderReleaseListsMissingTargets(t *testing.T) {
 	f := newFleetWithEra(t, 1)
 	f.step(2 * time.Second)
@@ -105,9 +105,9 @@
 	require.True(t, listed)
 }
 
-// Guards against a period that runs from the first of two restores: when a target drains and
-// the platform is restored twice, two seconds apart, before the target has written its state
-// again, new flows would go to it.
+// Guards against avoiding a target only for a period after the first of two restores: when a
+// target drains and the platform is restored twice, two seconds apart, before the target has
+// written its state again, new flows would go to it.
 func TestSecondRestoreExtendsAvoidance(t *testing.T) {
 	f := newFleetWithEra(t, 1)
 	before := f.backup()
--- a/core/steerer/slots_internal_test.go
+++ b/core/steerer/slots_internal_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fullSlotTotals adds up the slots of all selectable targets of a service by zone.
+// fullSlotTotals adds up the slots of all candidates of a service by zone.
 func fullSlotTotals(s *Steerer, service string) []microSlots {
 	sum := make([]microSlots, len(s.targets.slotTotalsOf(service).byZone))
 	for _, t := range s.targets.byService[service] {
--- a/core/steerer/target_restart_test.go
+++ b/core/steerer/target_restart_test.go
@@ -66,7 +66,7 @@
 // Guards against a caller waiting until its deadline: when its target has acknowledged a
 // request in an established flow and then restarts, the caller has nothing to retransmit.
 // The target itself resets the flow once it sees a packet of a flow that it does not have;
-// this host must not reset it, since it cannot know.
+// this host must not reset it, since it cannot know whether the target has it.
 func TestInFlightRequestIsResentToNewIncarnation(t *testing.T) {
 	f := newFleet(t, 1)
 	c := requestAt(f, "a1", restartedTarget, 100)
@@ -118,9 +118,9 @@
 	require.Empty(t, statusOf(f, "a1", restartedTarget).AvoidReason)
 }
 
-// Guards against a restarted target being avoided for fast failures: when a host of the
-// zone that has not learned of the restart reports fast failures and requests in flight of
-// the earlier incarnation.
+// Guards against a restarted target being avoided for fast failures when a host of the zone
+// that has not learned of the restart reports fast failures and requests in flight of the
+// earlier incarnation.
 func TestReportsFromBeforeARestartAreIgnored(t *testing.T) {
 	f := newFleet(t, 2)
 	f.restart(restartedTarget)
@@ -139,7 +139,7 @@
 	require.Equal(t, 7, statusOf(f, "a1", restartedTarget).PeersInFlight)
 }
 
-// Guards against some hosts using a restarted target while others do not: when one host
+// Guards against some hosts using a restarted target while others do not, when one host
 // reads the platform and the others learn of the restart by its reports, one of them
 // seconds later, after a partition.
 func TestRestartReachesEveryHost(t *testing.T) {
--- a/core/steerer/targetlist_internal_test.go
+++ b/core/steerer/targetlist_internal_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// A target waits for a tag that another target holds. Guards against a wait that never ends
-// once the holder has gone missing, because the waiting target's own entry does not change.
+// A target waits for a tag that another target owns. Guards against a wait that never ends
+// once the owner has gone missing, because the waiting target's own entry does not change.
 func TestTagOfMissingTargetIsReassigned(t *testing.T) {
 	s := hostWithTargets(10)
 	first := s.targets.byID["i-10000007"]
