--- a/core/steerer/queueing_test.go
+++ b/core/steerer/queueing_test.go
@@ -49,7 +49,8 @@
 	return c
 }
 
-// fillWindow sends enough checks to use up the host's window of requests in flight.
+// fillWindow sends enough requests of the check route to use up the host's window of requests
+// in flight.
 func fillWindow(f *fleet, from int) []*caller {
 	var all []*caller
 	for n := range 8 {
@@ -62,8 +63,9 @@
 	return all
 }
 
-// hostWithQueuedRead is a congested host where the request of a read flow is queued behind
-// checks.
+// hostWithQueuedRead is a congested host where the request of a read flow is queued while
+// requests of the check route use up the window. It returns the caller of the read and those
+// of the checks.
 func hostWithQueuedRead(t *testing.T) (*fleet, *caller, []*caller) {
 	f := congestedHost(t)
 	c := openReadFlow(f, 1)
@@ -84,8 +86,9 @@
 	require.Equal(t, c.address, f.hosts["a1"].resets[0].Caller)
 }
 
-// Guards against checks that are as late as reads during overload: when a service is congested
-// and a read on an open flow comes before a check, the read has to wait.
+// Guards against requests of the check route, which has a higher priority, being as late as
+// reads during overload: when a service is congested and a read on an open flow comes before a
+// check, the read has to wait.
 func TestReadIsQueuedWhileServiceIsCongested(t *testing.T) {
 	f := congestedHost(t)
 	c := openReadFlow(f, 1)
@@ -140,8 +143,8 @@
 	require.Equal(t, 1, asks)
 }
 
-// Guards against targets that work for callers that have gone: when a caller resets the flow
-// of a queued read, the request must be dropped.
+// Guards against targets that run requests whose callers have gone away: when a caller resets
+// the flow of a queued read, the request must be dropped.
 func TestQueuedRequestIsDiscardedWhenItsCallerResets(t *testing.T) {
 	f, c, _ := hostWithQueuedRead(t)
 	before := len(f.hosts["a1"].sent)
--- a/core/steerer/throttling_internal_test.go
+++ b/core/steerer/throttling_internal_test.go
@@ -26,9 +26,9 @@
 }
 
 // Guards against a caller whose ended flows count forever: when a flow is forwarded to a
-// service and its target serves another one before it ends (the target came back under its ID
-// for that, or a retransmission of the opening packet went there after the route's weights
-// changed), the end must count for the original service.
+// service and its target serves another one before it ends (the target restarted under its ID
+// in that service, or a retransmission of the opening packet went there after the route's
+// weights changed), the end must count for the original service.
 func TestFlowEndIsCountedForItsOriginalService(t *testing.T) {
 	s := New(Config{Self: "a1", AvailabilityZone: "a", MaxFlows: 100})
 	s.now = timekeeper.Instant(time.Second)
--- a/core/steerer/throttling_test.go
+++ b/core/steerer/throttling_test.go
@@ -90,8 +90,8 @@
 }
 
 // Guards against callers that get more than their quota, or others that get less: when a
-// prefix has a quota of 40 requests per second and its zone three hosts, each host applies its
-// part, and to callers of the prefix only.
+// prefix has a quota of 40 requests per second and its zone three hosts, each host applies a
+// third of the quota, and to callers of the prefix only.
 func TestQuotaIsDividedAmongTheHostsOfAZone(t *testing.T) {
 	f := newFleet(t, 3)
 	f.quotas = []throttler.Quota{{Prefix: netip.MustParsePrefix("203.0.113.0/24"), PerSecond: 40}}
--- a/core/steerer/trials_test.go
+++ b/core/steerer/trials_test.go
@@ -13,8 +13,8 @@
 	return int(f.hosts[name].steerer.Snapshot().Counters[steerer.TrialFlow])
 }
 
-// openAndCountReached opens flows of a route one after another and counts those that reach a
-// target.
+// openAndCountReached opens flows of the check route one after another and counts those that
+// reach a target.
 func openAndCountReached(f *fleet, name, target string, from, count int) int {
 	reached := 0
 	for n := range count {
@@ -41,8 +41,9 @@
 }
 
 // Guards against refusing flows for overload while fast targets are idle: when a service is
-// congested, requests are queued at this host and a slow target is due for a trial, the trial
-// must not go to a target for which requests are queued.
+// congested, requests are queued at this host and a slow target is due for a trial, there must
+// be no trial, because the new flow would be refused if requests are queued for the slow
+// target.
 func TestNoTrialsWhileRequestsAreQueued(t *testing.T) {
 	f := newFleet(t, 1)
 	f.settings = newSettings(2, objectiveRoutes())
--- a/core/steerer/unresponsive_targets_test.go
+++ b/core/steerer/unresponsive_targets_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// crashZone makes the ledger targets of a zone unresponsive.
+// crashZone makes the targets of the ledger service in a zone unresponsive.
 func (a *callerPool) crashZone(zone string) {
 	for id, target := range a.f.targets {
 		if target.AvailabilityZone == zone && target.Service == "ledger" {
@@ -79,7 +79,7 @@
 }
 
 // Guards against requests to a crashed zone being late by a retransmission timeout and a
-// probe, and retried requests going to the next dead target: when a zone crashes without
+// probe, and retried requests going to the next crashed target: when a zone crashes without
 // sending resets while callers open flows and send requests, its targets must not be
 // detected one by one, each by a caller that has to retransmit.
 //
@@ -139,7 +139,7 @@
 	other := all.callers[1]
 	require.NotEqual(t, c.target, other.target)
 	other.sendRequest("a1")
-	other.ackResponse("a1") // The zone responds, so the probe is a long one.
+	other.ackResponse("a1") // The zone responds, so the probe has the longer timeout.
 	c.retransmit("a1")
 	f.reduce("a1", &steerer.ProbeCompleted{Target: c.target, Outcome: steerer.ProbeConnectTimeout, Took: 310 * time.Millisecond})
 	require.Empty(t, f.hosts["a1"].resets)
@@ -196,8 +196,8 @@
 
 // Guards against a partitioned evacuated zone failing every request although its targets
 // work: when the zone is evacuated and then partitioned, its hosts reach only their own
-// targets and hear from no host of another zone, so none can confirm that the order is
-// still valid. The order applies again as soon as other hosts are heard from.
+// targets and receive no reports from other zones, so nothing confirms that the order is
+// still valid. The order applies again as soon as such reports arrive.
 func TestPartitionedEvacuatedZoneUsesItsOwnTargets(t *testing.T) {
 	f, c := openFlowInIsolatedZone(t, "b", "c")
 	require.Equal(t, "a", f.targetZone(c.target))
@@ -208,7 +208,7 @@
 	require.NotEqual(t, "a", f.targetZone(c.target))
 }
 
-// The same with one other zone: it may be that zone that was lost, so the order remains
+// As above, with one other zone: it may be that zone that was lost, so the order remains
 // valid.
 func TestEvacuationOrderHoldsWhenOnlyOtherZoneIsLost(t *testing.T) {
 	f, c := openFlowInIsolatedZone(t, "b")
