--- a/core/steerer/peers.go
+++ b/core/steerer/peers.go
@@ -219,7 +219,7 @@
 }
 
 // countAlive counts the other hosts that are presumed alive. In a larger fleet the counts may
-// be as old as one interval between two rounds of reports, which is when they change.
+// be up to reportInterval old.
 func (s *Steerer) countAlive() *aliveCounts {
 	l := &s.peers.alive
 	if !l.deadline.Passed(s.now) {
--- a/core/steerer/platformread.go
+++ b/core/steerer/platformread.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// firstReadShare is the fraction of the time limit within which changes must be known
-	// that the fleet's state may age before its first reader reads the platform again. The
-	// rest is for the read, for the propagation from host to host, and for the loss of one of
-	// the two.
+	// firstReadShare is how old the fleet's state may become before its first reader reads
+	// the platform again, as a fraction of the time limit within which changes must be known.
+	// The rest is for the read, for the propagation from host to host, and for the loss of
+	// one of the two.
 	firstReadShare = 0.3
 	// readRankDelay is how much longer each host waits than the one before it in rank. It
 	// exceeds the interval between two reports, so that a host sees the result of the one
@@ -35,8 +35,8 @@
 	// fleet starts for the first time. No caller needs it yet, and in a large fleet each host
 	// would otherwise read the platform twice.
 	fleetStartGrace = 2 * time.Second
-	// targetsReadHeadStart is how long a first read of the settings waits for the targets at
-	// most. That is enough for a few hundred KB on a small link.
+	// targetsReadHeadStart limits how long the first read of the settings waits for that of
+	// the targets. It is enough for a few hundred KB on a small link.
 	targetsReadHeadStart = 300 * time.Millisecond
 	// minReadBackoff and maxReadBackoff limit the delay after a failed read.
 	minReadBackoff = 150 * time.Millisecond
--- a/core/steerer/release_test.go
+++ b/core/steerer/release_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// releaseZone and releaseChanges are the size of the fleet of
+// releaseZone and releaseChanges are the number of hosts per zone and of changed targets in
 // TestReleaseReachesAllHostsInTime, which takes minutes at the size of the largest fleets.
 var (
 	releaseZone    = flag.Int("releaseZone", 8, "hosts of each of five zones during a release")
--- a/core/steerer/target_restart.go
+++ b/core/steerer/target_restart.go
@@ -10,11 +10,11 @@
 // A target may exit and restart under the same ID and address. The new incarnation holds
 // none of its flows, and nothing that was learned about the earlier one applies to it.
 //
-// Without this distinction, the target counts as unreachable, failing or loaded for seconds
-// in which it would serve; a probe of the old process counts against the new one; and a
-// report about the old incarnation, from a host that missed the restart, overrides what is
-// known of the new one. This shows as a restarted target that gets no flows, on some hosts
-// only.
+// Without distinguishing incarnations, the target counts as unreachable, failing or loaded
+// for seconds in which it would serve; a probe of the old process counts against the new
+// one; and a report about the old incarnation, from a host that missed the restart,
+// overrides what is known of the new one. This shows as a restarted target that gets no
+// flows, on some hosts only.
 
 // olderThan reports whether what is known of a target is older than the state of the given
 // incarnation as read at the given position. Incarnations are compared first: what an
--- a/core/steerer/zonestart.go
+++ b/core/steerer/zonestart.go
@@ -6,9 +6,9 @@
 	"cranberryspan.dev/core/messenger"
 )
 
-// zoneStartGrace is how long after its start a host waits for the others of its zone. Hosts
-// that start together do so within a few hundred milliseconds, and take a little longer to
-// receive each other's reports.
+// zoneStartGrace limits how long after its start a host waits for the others of its zone.
+// Hosts that start together do so within a few hundred milliseconds, and take a little longer
+// to receive each other's reports.
 const zoneStartGrace = 1500 * time.Millisecond
 
 // establishedUptime distinguishes hosts that were running before a zone came back from those
@@ -16,7 +16,7 @@
 const establishedUptime = 2 * zoneStartGrace
 
 // waitsForZone reports whether this host should not accept packets yet, because most hosts of
-// its zone are still missing while other zones serve its callers.
+// its zone have not started yet while other zones serve its callers.
 //
 // Without this, when the first host of a zone that comes back becomes ready, the fabric
 // spreads the zone's packets over all of its hosts, started or not: if fewer than half of a
