--- a/core/steerer/target_restart.go
+++ b/core/steerer/target_restart.go
@@ -10,11 +10,11 @@
 // A target may exit and restart under the same ID and address. The new incarnation holds
 // none of its flows, and nothing that was learned about the earlier one applies to it.
 //
-// Without this distinction, the target counts as unreachable, failing or loaded for seconds
-// in which it would serve; a probe of the old process counts against the new one; and a
-// report about the old incarnation, from a host that missed the restart, overrides what is
-// known of the new one. This shows as a restarted target that gets no flows, on some hosts
-// only.
+// Without distinguishing incarnations, the target counts as unreachable, failing or loaded
+// for seconds in which it would serve; a probe of the old process counts against the new
+// one; and a report about the old incarnation, from a host that missed the restart,
+// overrides what is known of the new one. This shows as a restarted target that gets no
+// flows, on some hosts only.
 
 // olderThan reports whether what is known of a target is older than the state of the given
 // incarnation as read at the given position. Incarnations are compared first: what an
@@ -57,7 +57,7 @@
 // another target at once. Without resending, the caller waits until its deadline: the old
 // incarnation had acknowledged the request, so the caller does not retransmit it. This host
 // must not send the reset itself: the flow may have been opened at the new incarnation
-// before this host learned of it, and then a duplicate request packet is harmless.
+// before this host learned of it. In that case the duplicate request packet is harmless.
 func (s *Steerer) resendRequest(f *flow, t *target) {
 	if f.queued != nil {
 		for _, data := range f.queued.packets {
