--- a/core/encoder/encoder.go
+++ b/core/encoder/encoder.go
@@ -273,7 +273,7 @@
 
 // EncapsulatedPacket is a packet between the fabric and a host, with the source and
 // destination addresses that callers and targets see. A host sends only from service
-// addresses and return addresses, which are its own.
+// addresses and return addresses, which all hosts share.
 type EncapsulatedPacket struct {
 	_       struct{} `cbor:",toarray"`
 	From    netip.AddrPort
--- a/core/encoder/encoder_test.go
+++ b/core/encoder/encoder_test.go
@@ -166,7 +166,7 @@
 	})
 }
 
-// previousReleaseTarget is a target as hosts reported it before there were eras.
+// previousReleaseTarget is a target as the previous release encodes it, which has no eras.
 type previousReleaseTarget struct {
 	_                struct{} `cbor:",toarray"`
 	ID               string
--- a/core/resolver/build.go
+++ b/core/resolver/build.go
@@ -55,8 +55,8 @@
 	namePaths    map[string]string
 }
 
-// Resolve parses, builds and checks a document. If it returns an error, that is an *Error
-// with every finding, and the Settings are nil.
+// Resolve parses and checks a document and builds its Settings. If it returns an error, that
+// is an *Error with every finding, and the Settings are nil.
 func Resolve(file string, document []byte) (*Settings, error) {
 	const op = "resolve settings"
 	if len(document) > MaxDocumentBytes {
@@ -438,7 +438,8 @@
 }
 
 // applyZoneDefaults applies a zone's defaults beneath a target's own values. Values that
-// the service sets take precedence over the zone's defaults.
+// the service sets take precedence over the zone's defaults. Findings are discarded, since
+// buildZone has added them already.
 func (b *builder) applyZoneDefaults(node *yaml.Node, zone, region string, in *inheritedPolicy) {
 	level := fmt.Sprintf("regions.%s.availabilityZones.%s.defaults", region, zone)
 	discarding := &builder{file: b.file}
--- a/core/resolver/policy.go
+++ b/core/resolver/policy.go
@@ -29,11 +29,12 @@
 
 // The priorities, as the settings tree writes them.
 const (
-	// PriorityLow is shed first: uploads that can wait.
+	// PriorityLow is shed first. It is for uploads that can wait.
 	PriorityLow Priority = iota + 1
 	// PriorityNormal is shed next.
 	PriorityNormal
-	// PriorityHigh is shed last: checks and presses.
+	// PriorityHigh is shed last. It is for short requests, such as checks and presence
+	// presses.
 	PriorityHigh
 )
 
@@ -58,7 +59,7 @@
 	ExchangeLifetime time.Duration
 	// FlowIdleTimeout is how long an idle flow stays on its target.
 	FlowIdleTimeout time.Duration
-	// WarmUp is how long a new target takes to reach its full share.
+	// WarmUp is how long a new target takes to reach its full share of new flows.
 	WarmUp time.Duration
 	// MaxTenantInFlight bounds the requests, queued or at targets, of all services of one
 	// tenant, on one host.
@@ -67,8 +68,8 @@
 	MaxQueueLength int
 	// RetryBudget bounds retries as a fraction of requests, 0 to 1.
 	RetryBudget float64
-	// MaxEjectedFraction bounds the fraction of a service's targets that health may eject, 0
-	// to 1.
+	// MaxEjectedFraction bounds the fraction of a service's targets that may be ejected as
+	// unhealthy, 0 to 1.
 	MaxEjectedFraction float64
 	// Priority determines what is shed first.
 	Priority Priority
@@ -111,8 +112,8 @@
 	format        func(policy Policy) string
 }
 
-// policyFields is the table of all inheritable keys, in the order in which
-// explain prints them.
+// policyFields is the table of all inheritable keys, in the order in which Explain lists
+// them.
 var policyFields = []policyField{
 	durationField("requestDeadline", time.Millisecond, 10*time.Minute, func(p *Policy) *time.Duration { return &p.RequestDeadline }),
 	durationField("exchangeLifetime", time.Second, 10*time.Minute, func(p *Policy) *time.Duration { return &p.ExchangeLifetime }),
--- a/core/resolver/settings.go
+++ b/core/resolver/settings.go
@@ -1,9 +1,9 @@
 // Package resolver turns the settings tree, a YAML document that operators write, into
 // immutable values with all inheritance resolved.
 //
-// Resolve works in three phases: parse (YAML to nodes with lines), build (nodes to
-// Settings, collecting findings) and check (rules across the tree). All findings of a
-// document are reported in one run.
+// Resolve parses the YAML to nodes with lines, then builds Settings from them. While it
+// builds, it checks each value and the rules across the tree, and collects the findings, so
+// that all of a document are reported in one run.
 package resolver
 
 import (
--- a/core/translator/translator.go
+++ b/core/translator/translator.go
@@ -85,7 +85,7 @@
 }
 
 // Decode decodes a datagram received at now. The packet's payload is the datagram itself,
-// so the caller must not reuse it.
+// so its buffer must not be reused while the packet is in use.
 func (t *Translator) Decode(datagram []byte, now timekeeper.Instant) (messenger.Packet, error) {
 	const op = "decode datagram"
 	if err := t.parse(datagram); err != nil {
