--- a/core/resolver/policy.go
+++ b/core/resolver/policy.go
@@ -68,8 +68,8 @@
 	MaxQueueLength int
 	// RetryBudget bounds retries as a fraction of requests, 0 to 1.
 	RetryBudget float64
-	// MaxEjectedFraction bounds the fraction of a service's targets that may be ejected as
-	// unhealthy, 0 to 1.
+	// MaxEjectedFraction bounds the fraction of a service's targets that failed health probes
+	// may eject, 0 to 1.
 	MaxEjectedFraction float64
 	// Priority determines what is shed first.
 	Priority Priority
