--- a/balancer/flows.go
+++ b/balancer/flows.go
@@ -15,12 +15,13 @@
 	"github.com/urfave/cli/v3"
 )
 
-// heapMemoryFraction is the fraction of a host's memory that the garbage collector takes
-// as its soft limit; the rest is for stacks and received bytes.
+// heapMemoryFraction is the fraction of a host's memory that is the soft limit of the Go
+// runtime, its stacks included. The rest is for memory outside of the runtime, such as
+// received bytes in socket buffers.
 const heapMemoryFraction = 0.7
 
-// flowsCommand returns the command that runs a flow host: an entry host that forwards flows
-// to targets which respond to callers directly (direct server return).
+// flowsCommand returns the command that runs a flow host, which forwards flows to targets
+// that respond to callers directly (direct server return).
 func flowsCommand(code *int) *cli.Command {
 	return &cli.Command{
 		Name:  "flows",
--- a/balancer/internal/carrier/carrier.go
+++ b/balancer/internal/carrier/carrier.go
@@ -125,8 +125,8 @@
 		select {
 		case c.events <- event:
 		default:
-			// The host is overloaded. Callers retransmit what matters, so the
-			// newest packet is dropped instead of delaying all.
+			// The event queue is full. Callers retransmit what matters, so the newest
+			// packet is dropped instead of delaying all.
 			c.Counters.Overflow.Add(1)
 		}
 	}
--- a/balancer/internal/configurer/flows.go
+++ b/balancer/internal/configurer/flows.go
@@ -108,8 +108,9 @@
 // Differs reports whether two configurations differ in any value.
 func (c FlowConfig) Differs(other FlowConfig) bool { return !reflect.DeepEqual(c, other) }
 
-// forwardingEcho is the only forwarding mode that this release supports: targets and
-// callers echo the tag of each packet.
+// forwardingEcho is the only forwarding mode that this release supports: a target echoes
+// the tag of a flow's opening packet to the caller, and the caller echoes it in every later
+// packet.
 const forwardingEcho = "echo"
 
 const (
--- a/balancer/internal/exchanger/exchanger.go
+++ b/balancer/internal/exchanger/exchanger.go
@@ -321,8 +321,8 @@
 	return err
 }
 
-// isCold reports whether a state contains the rest of its target's slow start, which is
-// soon out of date and must not be cached.
+// isCold reports whether a state contains the remaining duration of its target's slow
+// start, which is soon out of date and must not be cached.
 func isCold(t messenger.TargetState) bool { return t.WarmUp > 0 }
 
 func decompressTargets(response *messenger.SyncResponse) error {
--- a/balancer/internal/exchanger/exchanger_test.go
+++ b/balancer/internal/exchanger/exchanger_test.go
@@ -111,7 +111,8 @@
 }
 
 // Guards against a starting host treating warm targets as cold: a full list compressed while
-// targets are cold must not be cached, since it contains the rest of their slow start.
+// targets are cold must not be cached, since it contains the remaining duration of their
+// slow start.
 func TestTargetListWithColdTargetsIsNotCached(t *testing.T) {
 	var x Exchanger
 	cold := makeTargets(2)
--- a/balancer/internal/forwarder/forwarder.go
+++ b/balancer/internal/forwarder/forwarder.go
@@ -112,7 +112,7 @@
 		select {
 		case f.events <- &d.event:
 		default:
-			// The host is overloaded. Callers retransmit what matters, so the newest
+			// The event queue is full. Callers retransmit what matters, so the newest
 			// packet is dropped instead of delaying all.
 			f.Counters.Overflow.Add(1)
 			f.buffers.Put(d)
@@ -132,8 +132,8 @@
 	f.send(e.Address)
 }
 
-// SendReset tells a caller that its flow has ended. Callers receive packets on the same
-// port number as hosts.
+// SendReset sends a caller the packet that resets its flow. Callers receive packets on the
+// same port number as hosts.
 func (f *Forwarder) SendReset(e *steerer.ResetFlow) {
 	f.sendBuffer = f.codec.AppendReset(f.sendBuffer[:0], e)
 	f.send(netip.AddrPortFrom(e.Caller.Addr(), f.port))
--- a/balancer/internal/linker/linker.go
+++ b/balancer/internal/linker/linker.go
@@ -1,5 +1,5 @@
-// Package linker maintains the control links between hosts: WebSocket connections
-// that carry authenticated messages in order.
+// Package linker maintains the control links between hosts: WebSocket connections that
+// carry authenticated messages in order.
 //
 // Each host dials the hosts that it sends to, and only reads from the links that others
 // dialed. So each link has one writer, and hosts need not agree on which of them dials.
--- a/balancer/internal/watcher/watcher.go
+++ b/balancer/internal/watcher/watcher.go
@@ -1,5 +1,5 @@
-// Package watcher reads the settings tree and the list of hosts from the
-// platform. It never writes to the platform.
+// Package watcher reads the settings tree and the list of hosts from the platform. It never
+// writes to the platform.
 package watcher
 
 import (
@@ -43,7 +43,7 @@
 
 const (
 	// longPollTimeout limits how long the platform holds a request while the settings do
-	// not change.
+	// not change. hostsInterval, between two reads of the list of hosts, limits it further.
 	longPollTimeout = 20 * time.Second
 	// readTimeout exceeds longPollTimeout, so that the platform ends a long poll first.
 	readTimeout   = longPollTimeout + 5*time.Second
--- a/balancer/main.go
+++ b/balancer/main.go
@@ -1,4 +1,4 @@
-// Command cranberryspan is the daemon that runs on each entry host.
+// Command cranberryspan is the daemon that runs on each host of the load balancer.
 package main
 
 import (
