--- a/balancer/internal/gossiper/gossiper.go
+++ b/balancer/internal/gossiper/gossiper.go
@@ -33,8 +33,8 @@
 // Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Counters count datagrams that can't be decoded, can't be authenticated or contain no
-// report (Unreadable), failed sends, and the bytes sent. They are safe for concurrent use.
+// Counters count received datagrams that can't be decoded, can't be authenticated or contain
+// no report, failed sends, and the bytes sent. They are safe for concurrent use.
 type Counters struct {
 	Unreadable atomic.Uint64
 	SendFailed atomic.Uint64
--- a/core/resolver/build.go
+++ b/core/resolver/build.go
@@ -297,7 +297,7 @@
 		host := b.buildHost(e, region, zone.key, cells)
 		sizes[host.Cell]++
 		if sizes[host.Cell] == MaxCellHosts+1 {
-			b.addFinding(e.node, e.path, "cell "+host.Cell+" has more than 8 hosts", "at most 8 hosts in a cell", "raise cells of the availability zone, or give hosts a cell each")
+			b.addFinding(e.node, e.path, "cell "+host.Cell+" has more than 8 hosts", "at most 8 hosts in a cell", "raise cells of the availability zone, or set the cell of some hosts")
 		}
 	}
 }
