--- a/core/steerer/admission.go
+++ b/core/steerer/admission.go
@@ -7,8 +7,8 @@
 	// fleet has capacity, as a fraction of the host's window (the requests that it may have in
 	// flight).
 	maxQueuedFraction = 0.25
-	// slowerFactor is how many times as long as another target a target must take to count as
-	// slower. Equally fast targets rarely differ by this much.
+	// slowerFactor is the ratio of the slowdowns of two targets above which one counts as
+	// slower than the other. Equally fast targets rarely differ by this much.
 	slowerFactor = 1.5
 )
 
@@ -40,8 +40,9 @@
 // admissionDecision decides whether to refuse a new flow.
 //
 // If all flows were admitted, callers would wait for responses that come too late, and take
-// capacity from requests that could be served in time. Nothing has run yet, so a refused
-// caller is notified at once. A host without reports from peers decides by its own queue.
+// capacity from requests that could be served in time. A refused caller is notified at once
+// and may retry, since none of its requests has run yet. A host without reports from peers
+// decides by its own queue.
 //
 // Requests that must not run twice are never queued at a host, and are therefore admitted
 // before others of their priority. If no capacity is left for their priority, they are refused
@@ -128,7 +129,7 @@
 	v := s.service(f.target.Service)
 	priority := f.route.Priority
 	if !f.route.Kind.retryable() {
-		priority = 0 // It can't be queued at this host either.
+		priority = 0 // It can't be queued at this host, so it counts at the highest priority.
 	}
 	v.capacity.admitter.RecordOpenFlowRequest(priority, s.processingTime(f.route, v), s.now)
 	s.refreshCapacity(v)
--- a/core/steerer/admission_test.go
+++ b/core/steerer/admission_test.go
@@ -13,8 +13,8 @@
 // ledgerSlots is the capacity of the fixture's service "ledger".
 const ledgerSlots = 18
 
-// ledgerDemand is reported demand for the ledger, by encoded priority in thousandths of a
-// slot.
+// ledgerDemand is reported demand for the ledger service in thousandths of a slot. A priority
+// p of requests on open flows is encoded as -1-p.
 func ledgerDemand(entries ...messenger.PriorityDemand) []messenger.ServiceDemand {
 	return []messenger.ServiceDemand{{Service: "ledger", ByPriority: entries}}
 }
@@ -69,7 +69,7 @@
 	return last
 }
 
-// Guards against late urgent requests during overload: when callers of all hosts together
+// Guards against late high-priority requests during overload: when callers of all hosts together
 // demand more than the capacity, a host that decides by its own queue alone admits a read, and
 // reads take the capacity that checks of a higher priority need.
 func TestLowPriorityIsRefusedWhenHigherPrioritiesTakeAllCapacity(t *testing.T) {
@@ -87,7 +87,8 @@
 }
 
 // Guards against refusals while slots are idle: when demand is estimated to exceed capacity
-// but responses are as fast as ever, the measured latency must overrule the estimate.
+// but responses take no longer than the baseline, the observed latency must overrule the
+// estimate.
 func TestNoRefusalsWhileResponsesAreFast(t *testing.T) {
 	f := calibratedPair(t)
 	deliverReport(f, "a2", &messenger.Report{AvailabilityZone: "a", Demands: urgentOverload()})
@@ -136,7 +137,7 @@
 	require.Greater(t, f.hosts["a2"].steerer.Snapshot().Demand, ledgerSlots/2.0)
 }
 
-// Guards against services that hosts keep forever because a broken report has named them:
+// Guards against state that hosts keep forever for a service that only a faulty report names:
 // demand for services without listed targets is ignored.
 func TestDemandForUnknownServicesIsIgnored(t *testing.T) {
 	f := calibratedPair(t)
@@ -158,8 +159,8 @@
 	require.InDelta(t, before+24, f.hosts["a1"].steerer.Snapshot().Demand, 2)
 }
 
-// delayResponses makes responses so late that requests wait for a third of the time that their
-// callers can spare.
+// delayResponses makes responses so late that requests wait for a third of the slack between
+// their baseline latency and their latency objective.
 func delayResponses(f *fleet, from int) {
 	for n := range 40 {
 		requestWithLatency(f, "a1", from+n, 150*time.Millisecond)
@@ -188,7 +189,7 @@
 	require.True(t, opens(f.caller(2, readRoute)), "a part of the reads fits in: %s", lastRefusal(f))
 }
 
-// Guards against urgent callers that are refused because too many others are admitted: when
+// Guards against refusing high-priority callers because too many others are admitted: when
 // requests arrive for a route without a latency objective, whose processing time is not
 // learned, they must not count as 0 demand.
 func TestUnknownProcessingTimeDefaultsToThatOfTheService(t *testing.T) {
@@ -251,7 +252,7 @@
 // Guards against the only host of a zone admitting all flows while hosts of other zones
 // refuse: when a service is overloaded, a host without peers in its zone must not be taken for
 // one that is partitioned from them. Its callers would get more than their fair share, and
-// urgent callers elsewhere less.
+// high-priority callers elsewhere less.
 func TestOnlyHostOfAZoneSharesCapacityWithOtherZones(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	f.settings = newSettings(2, objectiveRoutes())
--- a/core/steerer/bench_test.go
+++ b/core/steerer/bench_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// loneHost is a host without peers that knows some targets of the ledger.
+// loneHost returns a host without peers that has the given number of ledger targets.
 func loneHost(targets, maxFlows int) *steerer.Steerer {
 	s := steerer.New(steerer.Config{Self: "a1", AvailabilityZone: "a", MaxFlows: maxFlows, SettingsPropagationLimit: 3 * time.Second, DrainingPropagationLimit: 3 * time.Second, Start: timekeeper.Instant(time.Second)})
 	at := timekeeper.Instant(2 * time.Second)
@@ -30,8 +30,8 @@
 	return s
 }
 
-// BenchmarkOpeningPacket places new flows among up to as many targets as the fleet is planned
-// to have in two years.
+// BenchmarkOpeningPacket places new flows among different numbers of targets. The largest is
+// the size of the fleet that is planned for two years ahead.
 func BenchmarkOpeningPacket(b *testing.B) {
 	for _, targets := range []int{14, 150, 3800} {
 		b.Run(fmt.Sprint(targets), func(b *testing.B) {
@@ -66,7 +66,7 @@
 	}
 }
 
-// A flow in the flow table takes less memory than the daemon's memory budget assumes.
+// A flow in the flow table takes less memory than the memory budget of the process assumes.
 func TestFlowsTakeLittleMemory(t *testing.T) {
 	const flows, maxBytesPerFlow = 50_000, 512
 	s := loneHost(150, flows)
@@ -86,9 +86,8 @@
 	require.Less(t, each, maxBytesPerFlow)
 }
 
-// largestZone is the number of hosts in each of seven zones of the largest fleet that is
-// measured. make capacity passes 87, the size planned for two years ahead, which takes
-// minutes.
+// largestZone is the number of hosts in each of the seven zones of the largest simulated
+// fleet. make capacity passes 87, the size planned for two years ahead, which takes minutes.
 var largestZone = flag.Int("largestZone", 15, "hosts of each zone in the largest fleet")
 
 // Guards against control traffic that fills the links of a large fleet: hosts must not report
--- a/core/steerer/capacity.go
+++ b/core/steerer/capacity.go
@@ -32,9 +32,9 @@
 	// processing alone.
 	//
 	// Steerer.baselines learns from the same responses and differs: it holds the full time
-	// that callers wait, including the network, and goes on learning when more than half of
-	// the capacity is demanded, since lateness is measured against it. If processing times
-	// included the queueing during overload, the overload would look even larger.
+	// that callers wait, including the network, and keeps its full weight when more than half
+	// of the capacity is demanded, since it defines which responses are late. If processing
+	// times included the queueing during overload, the overload would look even larger.
 	processingTimes map[string]*medianEstimator
 	// overallProcessingTime is the median over all routes whose latency objective exceeds
 	// their processing time.
@@ -158,7 +158,7 @@
 }
 
 // reachableCapacity is the capacity of a service's targets that this host considers alive, in
-// slots of baseline speed.
+// slots of baseline speed. It leaves out zones that are evacuated, suspect or silent.
 func (s *Steerer) reachableCapacity(service string) float64 {
 	var capacity microSlots
 	views := s.evaluateZones(&placement{service: service})
@@ -198,7 +198,7 @@
 // connected reports whether this host gets enough reports to share capacity with other hosts.
 // The only host of a zone sees all demand of the zone's callers and needs reports of other
 // zones only. A host that has peers in its zone and gets no reports of them may be
-// partitioned, and knows only a part of the demand.
+// partitioned, and knows only a fraction of the demand.
 func (r *peerVisibility) connected() bool {
 	return r.peerHeard || (!r.zoneHasPeers && len(r.recentZones) > 0)
 }
--- a/core/steerer/changes.go
+++ b/core/steerer/changes.go
@@ -25,9 +25,9 @@
 
 // pendingChanges lists the changes that reports carry, those sent least often first.
 //
-// If changes took turns, new ones would wait behind those that every host already knows while
-// targets are replaced. The symptom is hosts that request from other hosts, or from the
-// platform, what reports could have delivered.
+// If changes took turns, new ones would wait behind those that every host already has while
+// targets are replaced, which shows as hosts that fetch from other hosts, or from the platform,
+// what reports could have delivered.
 type pendingChanges []pendingChange
 
 // queueChange schedules a target's state for reports.
--- a/core/steerer/cold.go
+++ b/core/steerer/cold.go
@@ -27,7 +27,8 @@
 
 // warmUpAllows reports whether the slow start of a target lets this host place a new flow on
 // it. Hosts of other zones place no flows on cold targets: they may be partitioned from the
-// hosts that share the rate limit.
+// hosts that share the rate limit. Hosts that are shutting down place none either: the others
+// no longer count them among those that share it.
 func (s *Steerer) warmUpAllows(t *target) bool {
 	if !s.isCold(t) {
 		return true
--- a/core/steerer/compare.go
+++ b/core/steerer/compare.go
@@ -14,7 +14,7 @@
 	Effect string `json:"effect"`
 }
 
-// Compare lists the differences between two versions by route.
+// Compare lists the differences between two versions of the settings by route.
 func Compare(before, after *Settings) []Difference {
 	var differences []Difference
 	for _, route := range before.Routes {
--- a/core/steerer/connection_limits_test.go
+++ b/core/steerer/connection_limits_test.go
@@ -251,9 +251,9 @@
 }
 
 // Guards against callers waiting for their retransmission timeout, 200 ms, at working
-// targets: when hosts that this one does not hear from have filled a target while others
-// have connections available, the target makes progress on its open flows, so the host must
-// probe what it does with new ones.
+// targets: when hosts from which this one receives no reports have filled a target while
+// others have connections available, the target makes progress on its open flows, so the host
+// must probe whether it accepts new ones.
 func TestFullTargetIsNotTreatedAsUnreachable(t *testing.T) {
 	s := newLimitedFleet(t, 20, 1)
 	for range 60 {
--- a/core/steerer/connection_reservations.go
+++ b/core/steerer/connection_reservations.go
@@ -13,8 +13,8 @@
 	// routes with short-lived flows.
 	probeReserve = 1
 	// priorityReserveFraction is the fraction of a target's connections that is reserved, at
-	// each priority level, for flows of higher priority: as many as are opened until a
-	// host's report arrives.
+	// each priority level, for flows of higher priority. It covers the flows that other
+	// hosts open before their reports arrive.
 	priorityReserveFraction = 0.05
 	// shortLivedLimit is the lifetime, from the opening packet, up to which a flow counts
 	// as short-lived: that of a request or two, and far less than the idle time of
--- a/core/steerer/counters.go
+++ b/core/steerer/counters.go
@@ -110,7 +110,7 @@
 	// Live counts the other hosts that are alive according to any host's reports.
 	Live    int
 	Version uint64
-	// Era is the latest era of the platform's history that this host has heard of; 0 if the
+	// Era is the latest era of the platform's history that this host has learned of; 0 if the
 	// platform reports none.
 	Era uint64
 	// SettingsAge and TargetsAge are the times since settings and targets were last confirmed.
