--- a/core/steerer/digest.go
+++ b/core/steerer/digest.go
@@ -25,8 +25,8 @@
 // It also reports whether the history goes back that far.
 //
 // If hosts compared their current digests, then while targets change continuously each host
-// would know some changes that others do not. No two would agree, and none would learn that
-// it knows everything up to the last read of the platform. The symptom is hosts that all read
+// would have some changes that others do not. No two would agree, and none would learn that
+// it has everything up to the last read of the platform, which shows as hosts that all read
 // the platform themselves during a release.
 func (t *targetTable) digestAt(position sequencer.Position) (uint64, bool) {
 	switch {
--- a/core/steerer/digest_internal_test.go
+++ b/core/steerer/digest_internal_test.go
@@ -59,7 +59,7 @@
 	return sum
 }
 
-// Guards against hosts that know the same up to a position but disagree on its digest,
+// Guards against hosts that have the same state up to a position but disagree on its digest
 // because one of them has learned of later changes.
 func TestDigestAtExcludesLaterChanges(t *testing.T) {
 	random := rand.New(rand.NewPCG(4, 4))
--- a/core/steerer/effect.go
+++ b/core/steerer/effect.go
@@ -33,7 +33,7 @@
 	Data []byte
 }
 
-// ResetFlow tells a caller that its flow has ended.
+// ResetFlow sends a caller a reset that ends its flow.
 type ResetFlow struct {
 	Caller  netip.AddrPort
 	Service netip.AddrPort
@@ -46,10 +46,10 @@
 	// MayBeStale allows a response that is a few seconds old. It is never set together with
 	// Since.
 	MayBeStale bool
-	// Since is a position up to which this host knows everything that is read, so that the
+	// Since is a position up to which this host has everything that is read, so that the
 	// changes after it are enough; zero if there is none.
 	Since sequencer.Position
-	// Era is the newest era of the platform's history that this host has heard of. A
+	// Era is the newest era of the platform's history that this host has learned of. A
 	// response without an era counts as one of this era.
 	Era uint64
 }
@@ -78,7 +78,7 @@
 	Report  *messenger.Report
 }
 
-// SendSyncRequest asks another host for its settings and targets.
+// SendSyncRequest requests settings and targets from another host.
 type SendSyncRequest struct {
 	Host    string
 	Address netip.AddrPort
--- a/core/steerer/estimates.go
+++ b/core/steerer/estimates.go
@@ -24,8 +24,8 @@
 	// slowZoneLogSlowdown is the difference in log slowdown from another zone above which a
 	// zone counts as slow: 1.4 times.
 	slowZoneLogSlowdown = 0.5
-	// verySlowZoneLogSlowdown is the log slowdown above which a zone counts as slow whatever
-	// the other zones are: 2.8 times the baseline. It exceeds slowZoneLogSlowdown because
+	// verySlowZoneLogSlowdown is the log slowdown above which a zone counts as slow
+	// regardless of the other zones: 2.8 times the baseline. It exceeds slowZoneLogSlowdown because
 	// during overload a host does not know all requests in flight, and responses take longer
 	// than the known ones explain.
 	verySlowZoneLogSlowdown = 1.5
@@ -293,8 +293,9 @@
 	return t.slowdownEstimate.Slow() || s.inSlowZone(t)
 }
 
-// inSlowZone reports whether a target's zone is slower than another. If all zones are slow,
-// the service is overloaded or its requests have become more expensive.
+// inSlowZone reports whether a target's zone is slower than another, or far slower than the
+// baseline. If all zones are moderately slow, the service is overloaded or its requests have
+// become more expensive.
 func (s *Steerer) inSlowZone(t *target) bool {
 	logSlowdown := s.zoneLogSlowdown(t.Service, t.AvailabilityZone)
 	if logSlowdown <= slowZoneLogSlowdown || logSlowdown > verySlowZoneLogSlowdown {
--- a/core/steerer/evacuation.go
+++ b/core/steerer/evacuation.go
@@ -13,8 +13,8 @@
 //
 // Health checks continue only for open flows that get no response. Without them, if a zone is
 // evacuated because it is about to fail and then fails, each caller with an open flow there
-// waits until its deadline, which shows as feeds that fail in a zone that crashes after an
-// order, where other callers are reset and reconnect at once.
+// would wait until its deadline. In a zone that crashes without an order, callers are reset and
+// reconnect at once.
 //
 // Orders arrive with the settings, in one read of the platform, and in each report of another
 // host, because they are small. They therefore reach every host that receives any report.
@@ -52,8 +52,9 @@
 	return s.config.SettingsPropagationLimit
 }
 
-// evacuatedZonePenalty ranks a target of an evacuated zone behind all that may respond, and
-// before those that do not. It applies only while the host's orders are stale.
+// evacuatedZonePenalty ranks a target of an evacuated zone after all others that may respond,
+// and before unreachable ones. It applies only to zones of last resort: while this host's
+// orders are stale, or if all zones are evacuated and the zone's order may be outdated.
 const evacuatedZonePenalty = 5 * suspectPenalty
 
 // ordersStale reports whether this host's orders may be outdated because no confirmation has
@@ -65,12 +66,13 @@
 
 // allZonesEvacuated reports whether the orders leave no zone that has targets. In that case
 // orders that came back with a restore of the platform, next to one that the restore has
-// undone, apply only as a last resort; see evacuator.PossiblyStale.
+// undone, no longer exclude their zones: the targets there are a last resort; see
+// evacuator.PossiblyStale.
 //
 // Without this, if operators move an order from one zone to another and the platform is
 // restored from a backup from before that, one zone is evacuated by the backup's order and
-// the other by the undone order until its time to be reissued is over. Every caller is
-// refused, which shows as "zoneEvacuated" for all zones.
+// the other by the undone order, until the time in which the latter may be reissued is over.
+// Every caller is refused, which shows as refused flows with the reason "zoneEvacuated".
 func (s *Steerer) allZonesEvacuated() bool {
 	for _, zone := range s.targets.zones {
 		if !s.evacuator.Evacuates(zone) {
--- a/core/steerer/evacuation_test.go
+++ b/core/steerer/evacuation_test.go
@@ -42,8 +42,7 @@
 }
 
 // Guards against moving or resetting the open flows of an evacuated zone, which only their
-// target can serve. Dashboards and uploads would be cut by the order that is meant to protect
-// them.
+// target can serve. The order is meant to protect them.
 func TestOpenFlowsStayInAnEvacuatedZone(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	c := f.caller(1, readRoute)
@@ -107,7 +106,8 @@
 }
 
 // A zone is evacuated, then its targets crash. Guards against leaving the open flows there
-// without health checks, so that feeds fail at their deadline although other zones work.
+// without health checks, so that their requests fail at the deadline although other zones
+// work.
 func TestCrashOfEvacuatedZoneResetsOpenFlows(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	c := f.caller(1, readRoute)
@@ -187,8 +187,8 @@
 	require.NotEmpty(t, zones)
 }
 
-// An order is issued, the store becomes unavailable, and a host starts. Guards against
-// learning orders only from the store, so that the host sends flows to an evacuated zone.
+// An order is issued, the platform becomes unavailable, and a host starts. Guards against
+// learning orders only from the platform, so that the host sends flows to an evacuated zone.
 func TestHostStartedDuringPlatformOutageLearnsOrders(t *testing.T) {
 	f := newFleet(t, 2, 2)
 	f.evacuate("a")
--- a/core/steerer/event.go
+++ b/core/steerer/event.go
@@ -172,13 +172,14 @@
 // Tick marks the passing of time. It comes every TickInterval.
 type Tick struct {
 	At timekeeper.Instant
-	// TransfersReceived and TransfersSent are the bytes that reads of the platform and
-	// responses between hosts have put on this host's link since the last tick.
+	// TransfersReceived and TransfersSent are the bytes that reads of the platform and sync
+	// responses have put on this host's link since the last tick.
 	TransfersReceived int
 	TransfersSent     int
 }
 
-// Shutdown asks the host to leave the fabric's rotation and exit.
+// Shutdown requests a graceful shutdown: the host reports itself as not ready, so that the
+// fabric stops sending packets to it, and then exits.
 type Shutdown struct {
 	At timekeeper.Instant
 }
