--- a/core/steerer/fast_failure_test.go
+++ b/core/steerer/fast_failure_test.go
@@ -36,8 +36,8 @@
 	c.close(name)
 }
 
-// countPlacements counts how many of 60 new flows of a host, ten for each target, are
-// placed on the given target.
+// countPlacements counts how many of 60 new flows of a host, on average ten for each target,
+// are placed on the given target.
 func countPlacements(f *fleet, name, target string, from int) int {
 	landed := 0
 	for n := range 60 {
--- a/core/steerer/fixture_test.go
+++ b/core/steerer/fixture_test.go
@@ -18,7 +18,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// tester is the common part of a test and a fuzz run.
+// tester is the interface that a test and a fuzz run have in common.
 type tester interface {
 	require.TestingT
 	Fatalf(format string, args ...any)
@@ -41,14 +41,14 @@
 	era uint64
 	// orders are the platform's evacuation orders.
 	orders evacuator.Orders
-	// settingsPropagationLimit is the configured limit for the propagation of settings to hosts that
-	// start; 3 s if 0. documentBytes is the size of the published document.
+	// settingsPropagationLimit is the propagation limit of settings in the configuration of
+	// hosts that start; 3 s if 0. documentBytes is the size of the published document.
 	settingsPropagationLimit time.Duration
 	documentBytes            int
 	// drainingPropagationLimit is the same limit for draining targets.
 	drainingPropagationLimit time.Duration
-	// hostsWithoutSyncResponses are hosts whose sync requests get no response, inboundDelay is how late
-	// hosts process what they receive.
+	// hostsWithoutSyncResponses are hosts whose sync requests get no response. inboundDelay is
+	// how late hosts process what they receive.
 	hostsWithoutSyncResponses map[string]bool
 	inboundDelay              map[string]time.Duration
 	// evacuationPropagationLimit and regions are in the configuration of hosts that start.
@@ -81,8 +81,8 @@
 	// peakPendingSyncRequests is the most that any host had at once.
 	pendingSyncRequests     map[string]int
 	peakPendingSyncRequests int
-	// maxConcurrentSyncResponses limits the sync requests that a host responds to at once; 0 is no
-	// limit.
+	// maxConcurrentSyncResponses limits the sync requests that a host responds to at once; 0 is
+	// no limit.
 	maxConcurrentSyncResponses int
 	probes                     int
 	// reports counts the reports that hosts sent each other, crossZoneReports those that went
@@ -224,7 +224,7 @@
 	f.malformed = append(f.malformed, steerer.MalformedTarget{ID: id, Digest: f.revision, Err: errMalformedEntry})
 }
 
-// evacuate issues an evacuation order for a zone, cancelEvacuation withdraws it.
+// evacuate issues an evacuation order for a zone, withdrawEvacuation withdraws it.
 func (f *fleet) evacuate(zone string) {
 	f.revision++
 	f.orders = f.orders.WithZone(zone, f.revision)
@@ -369,8 +369,8 @@
 	f.schedule(max(linkDelay, f.settingsReadTime)+f.inboundDelay[name], func() { f.reduce(name, event) })
 }
 
-// responseEra is the era of a platform response: the platform's own, or, if it reports none, the
-// one that the reader knows.
+// responseEra is the era of a platform response: the platform's own, or, if it reports none,
+// the one in the read options.
 func (f *fleet) responseEra(options steerer.ReadOptions) uint64 {
 	if f.era == 0 {
 		return options.Era
@@ -531,7 +531,7 @@
 	}
 }
 
-// establish acknowledges the target's answer to the opening packet.
+// establish acknowledges the target's response to the opening packet.
 func (c *caller) establish(name string) {
 	c.f.reduce(name, &steerer.CallerPacket{Packet: c.packet(steerer.FlagAck, 0, "ack")})
 }
--- a/core/steerer/fleet_load_test.go
+++ b/core/steerer/fleet_load_test.go
@@ -45,8 +45,8 @@
 	require.Less(t, f.reads-reads, 20, "of 30 hosts; some 8 when nothing changes")
 }
 
-// Guards against about a thousand calls to the platform in an outage of five seconds, which are
-// most of its price for a day of a large fleet and hinder its recovery: when the platform
+// Guards against about a thousand calls to the platform in an outage of five seconds, which make
+// up most of what the platform costs a large fleet per day and hinder its recovery: when it
 // goes down and every host retries about once a second, for settings and targets, the retry
 // interval must grow with the number of hosts.
 func TestFleetLimitsReadsDuringPlatformOutage(t *testing.T) {
@@ -65,8 +65,8 @@
 	}
 }
 
-// A host that hears from no other host retries as often as one in a small fleet, however
-// large the fleet was that it heard from before.
+// A host that receives no reports retries as often as one in a small fleet, however large the
+// fleet was from which it received reports before.
 func TestIsolatedHostReadsOften(t *testing.T) {
 	f := newFleet(t, 40, 40)
 	for _, name := range f.names[1:] {
@@ -166,8 +166,8 @@
 
 // Guards against live hosts of a large fleet counting as dead, dead ones counting as alive
 // for long, and the reader of the platform changing all the time: when most reports come
-// from the local zone, hosts must also report hosts that they have not heard from
-// themselves, together with the age of that information.
+// from the local zone, hosts must also report as alive hosts from which they have received no
+// reports themselves, together with the age of that information.
 func TestHostsInOtherZonesCountAsLive(t *testing.T) {
 	f := newFleet(t, 20, 20, 20, 20)
 	f.step(20 * time.Second)
--- a/core/steerer/flow.go
+++ b/core/steerer/flow.go
@@ -173,12 +173,11 @@
 
 // checkOpenings checks flows that should have been established by now.
 //
-// A flow is established within a round trip. Without this check, if the host waited for the
-// caller's retransmission: a zone crashes, callers retransmit after 200 ms, and only then
-// is the first of the zone's targets probed; by then every caller of the zone has an
-// opening packet or a request at a dead target. A crashed target that is back refuses new
-// flows with a reset that goes straight to the caller, so that no retransmission ever shows
-// it.
+// A flow is established within a round trip. If the host waited for the caller's
+// retransmission instead, the first target of a crashed zone would be probed only after
+// 200 ms, when every caller of the zone already has an opening packet or a request at a dead
+// target. A target that refuses new flows after a crash resets them straight to the caller,
+// so that there is no retransmission at all.
 func (s *Steerer) checkOpenings() {
 	s.awaitedOpenings.expire(s.now, func(timer flowTimer) {
 		f := s.flows[timer.key]
--- a/core/steerer/flow_reports.go
+++ b/core/steerer/flow_reports.go
@@ -13,8 +13,8 @@
 	// maxReportedFlows limits the targets with flow counts in one report, so that it fits a
 	// datagram.
 	maxReportedFlows = 120
-	// zoneFlowsTTL is how long another zone's report of its flows is valid: in a larger
-	// fleet one of its hosts is heard from every half second.
+	// zoneFlowsTTL is how long another zone's report of its flows is valid. In a larger fleet
+	// a report from one of the zone's hosts arrives every half second.
 	zoneFlowsTTL = 5 * time.Second
 )
 
--- a/core/steerer/flow_reports_internal_test.go
+++ b/core/steerer/flow_reports_internal_test.go
@@ -100,8 +100,8 @@
 	require.Zero(t, s.usageOf("ledger", &f.route).openFlows)
 }
 
-// Flows that are established after they were given up, and those taken over from another
-// host, count as discovered; a packet of a closed flow is not counted.
+// Flows that are established after this host has stopped counting them, and those opened
+// through another host, count as discovered. A packet of a closed flow is not counted.
 func TestConnectionCountsAreSymmetric(t *testing.T) {
 	s := New(Config{Self: "a1", AvailabilityZone: "a", Start: timekeeper.Instant(time.Second)})
 	one, _ := s.targets.upsert(Target{ID: "i-1", Number: 1, Service: "ledger", AvailabilityZone: "a"})
--- a/core/steerer/forwarding.go
+++ b/core/steerer/forwarding.go
@@ -237,7 +237,8 @@
 	s.log("packetDropped", field("flow", p.Caller.String()), field("reason", "unknownTarget"), field("tag", p.Tag.String()), field("targetsAgeMillis", s.targetsAge()))
 }
 
-// refuseFlow tells a caller at once that its flow cannot be opened. No request has run.
+// refuseFlow resets a flow that cannot be opened, so that its caller learns of it at once. No
+// request has run.
 func (s *Steerer) refuseFlow(p *Packet, reason string, inputs ...Field) {
 	s.counters.add(Refused)
 	s.emit(&ResetFlow{Caller: p.Caller, Service: p.Service})
--- a/core/steerer/fuzz_test.go
+++ b/core/steerer/fuzz_test.go
@@ -31,8 +31,8 @@
 // partitions, platform outages, draining, crashing and restarting targets, reused addresses,
 // new versions of the settings and traffic. Each failure found becomes a named test.
 //
-// The oracle keeps the target of each flow, the services that each route was ever allowed to
-// use, and when each target began to drain. It has no access to the state of the hosts.
+// The oracle keeps the target of each flow, which targets have crashed or restarted, and when
+// each target began to drain. It has no access to the state of the hosts.
 func TestFleetAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
@@ -77,7 +77,7 @@
 	flows        []*oracleFlow
 	lastCaller   int
 	lastTargetID int
-	// services holds the services that each route was ever allowed to use.
+	// services is unused: open checks the service of each new flow itself.
 	services     map[string]string
 	crashed      map[string]bool
 	drainedSince map[string]timekeeper.Instant
