--- a/core/steerer/health.go
+++ b/core/steerer/health.go
@@ -16,8 +16,9 @@
 	minProbeInterval = time.Second
 	// reprobeInterval is the interval between probes of an unreachable target.
 	reprobeInterval = 2 * time.Second
-	// lateProbeFactor times its timeout is how long a probe may take to be conclusive: one
-	// that ends later was delayed by this host, and so was the response that it missed.
+	// lateProbeFactor times its timeout is the longest that a probe may take to be
+	// conclusive. One that ends later was delayed by this host, and the response may have
+	// been, too.
 	lateProbeFactor = 2
 )
 
@@ -109,10 +110,10 @@
 }
 
 // probeTimeout returns the handshake timeout for a probe of a target from which nothing has
-// come since the given time. While its whole zone has been unresponsive, too, a short probe
-// is enough to make the zone suspect; see recordZoneSilence. To mark this target as
-// unreachable and reset its flows takes a long one: a target with a full accept queue still
-// works.
+// come since the given time. If nothing has come from the rest of its zone either, a short
+// probe is enough to make the zone suspect; see recordZoneSilence. Marking the target as
+// unreachable and resetting its flows takes a long probe: a target with a full accept queue
+// still works.
 func (s *Steerer) probeTimeout(t *target, since timekeeper.Instant) time.Duration {
 	zone := t.AvailabilityZone
 	if s.diagnoser.ZoneUnresponsive(zone, since, s.now) && !s.diagnoser.ZoneSuspect(zone, s.now) {
@@ -192,14 +193,13 @@
 	s.resetWaitingFlows(t)
 }
 
-// recordZoneSilence records that a target was found unresponsive. If nothing has come from
-// its zone since then, it probes the zone's other targets.
+// recordZoneSilence records that a target was found unresponsive. If that makes its zone
+// suspect, it probes the zone's other targets that have flows.
 //
-// Without this, if each target were probed only once a caller retransmits to it: a zone
-// crashes without sending resets, and each of its callers waits for its own retransmission
-// timeout, 200 ms, and for a probe after it, before it may try another target. This shows
-// as requests that are late by the length of a probe. The first target that is found
-// unresponsive is enough to probe all of them.
+// If each target were probed only once a caller retransmits to it, then after a zone crashes
+// without sending resets each of its callers would wait for its own retransmission timeout,
+// 200 ms, and for a probe after it, before it may try another target. This shows as requests
+// that are late by the length of a probe.
 func (s *Steerer) recordZoneSilence(found *target) {
 	h := &found.health
 	h.probeDeadline = s.now
--- a/core/steerer/held_packets.go
+++ b/core/steerer/held_packets.go
@@ -9,8 +9,8 @@
 
 const (
 	// heldPacketTimeout is how long a packet is held until the first settings and targets
-	// are read. A start takes 5 to 90 ms, and up to 200 ms if other hosts have to be asked;
-	// after the caller's next retransmission holding a packet saves little.
+	// are read. A start takes 5 to 90 ms, and up to 200 ms if they come from other hosts.
+	// After the caller's next retransmission holding a packet saves little.
 	heldPacketTimeout = 300 * time.Millisecond
 	// maxHeldPackets limits the held packets, to 0.7 MB if all have the maximum size.
 	maxHeldPackets = 512
@@ -49,11 +49,11 @@
 
 // holdPacket holds a packet until this host is ready to forward it.
 //
-// Without this, after a loss of all hosts callers have already retransmitted, and the next
-// retransmission comes after 0.4 to 1.6 s, while the host needs only a few milliseconds to
-// read its targets. This shows as responses that are late long after the hosts are back. A
-// retransmission replaces the packet that it repeats: both at once would look like an
-// unresponsive target.
+// If the packet were dropped, its flow would stall until its caller retransmits. After a loss
+// of all hosts callers have already retransmitted, so the next retransmission comes only after
+// 0.4 to 1.6 s, while the host needs a few milliseconds to read its targets. This shows as
+// responses that are late long after the hosts are back. A retransmission replaces the packet
+// that it repeats: forwarding both at once would look like an unresponsive target.
 func (s *Steerer) holdPacket(p *Packet) {
 	held := *p
 	held.Data = slices.Clone(p.Data)
--- a/core/steerer/held_packets_test.go
+++ b/core/steerer/held_packets_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// restartBeforeFirstRead restarts a host with slow first reads, and lets it receive packets
-// before they complete.
+// restartBeforeFirstRead restarts a host, and lets it receive packets before its first reads
+// complete.
 func restartBeforeFirstRead(f *fleet, name string, beforeFirstRead func()) {
 	f.kill(name)
 	f.step(100 * time.Millisecond)
@@ -42,7 +42,7 @@
 }
 
 // Guards against all long-lived flows stalling for two seconds after a loss of all hosts:
-// when hosts with small links read a large settings document, they know their targets after
+// when hosts with small links read a large settings document, they have their targets after
 // a few milliseconds, and the tags of established flows suffice to forward packets.
 func TestEstablishedFlowsDoNotWaitForSettings(t *testing.T) {
 	f := newFleet(t, 1)
--- a/core/steerer/history.go
+++ b/core/steerer/history.go
@@ -32,8 +32,8 @@
 // covers reports whether all changes after a position are listed.
 //
 // A host must not list changes since a position before its own start: it does not know the
-// targets that went missing before that, so the requester would keep them for good. The
-// symptom is flows that go to a target that terminated long ago, through one host only.
+// targets that went missing before that, so the requester would keep them for good. This would
+// show as flows that go to a target that terminated long ago, through one host only.
 func (h *history) covers(position sequencer.Position) bool { return !position.Before(h.completeSince) }
 
 // add appends a state. The older half is dropped when the history is full.
--- a/core/steerer/history_internal_test.go
+++ b/core/steerer/history_internal_test.go
@@ -23,7 +23,7 @@
 		applyRandomChange(s, random, sequencer.At(0, last-min(random.Uint64N(20), last-1)))
 		since := sequencer.At(0, last-min(random.Uint64N(50), last-1))
 		if !s.targets.history.covers(since) {
-			continue // A missing target has been dropped, so no host is sent changes since then.
+			continue // The history is incomplete since then, so no host is sent changes since then.
 		}
 		compared++
 		require.ElementsMatch(t, s.changedSinceByScan(since), slices.Compact(sortedByID(s.targets.changedSince(since))))
--- a/core/steerer/large_bench_test.go
+++ b/core/steerer/large_bench_test.go
@@ -21,7 +21,7 @@
 	zones   int
 }
 
-// largeFleets are the fleets of these benchmarks; each of the larger ones is twice the size of
+// largeFleets are the fleets of these benchmarks. Each of the last two is twice the size of
 // the one before.
 var largeFleets = []largeFleet{
 	{hosts: 300, targets: 480, zones: 3},
@@ -199,7 +199,8 @@
 }
 
 // runSecond simulates a second of a host: 20 ticks, 12 reports of the local zone and 4 of
-// others, and the given number of flows. Each report of the local zone contains some changes.
+// others, and the given number of flows. Each report of the local zone contains the given
+// number of changes.
 func (h *largeHost) runSecond(f *fleet, flows, changes int) {
 	for tick := range 20 {
 		for range flows / 20 {
@@ -215,7 +216,8 @@
 	}
 }
 
-// runIdleSecond simulates a second in which the host receives nothing.
+// runIdleSecond simulates a second in which the host receives nothing, and discards the reports
+// that it sends.
 func (h *largeHost) runIdleSecond() {
 	for range 20 {
 		h.tick()
@@ -235,8 +237,8 @@
 	}
 }
 
-// BenchmarkLargeReport receives a report of a host of the local zone, or of another, some of
-// them between two ticks.
+// BenchmarkLargeReport receives reports of hosts of the local zone, or of other zones, in
+// batches of 16 without a tick in between.
 func BenchmarkLargeReport(b *testing.B) {
 	for _, sameZone := range []bool{true, false} {
 		b.Run(fmt.Sprintf("near=%v", sameZone), func(b *testing.B) {
--- a/core/steerer/malformed_test.go
+++ b/core/steerer/malformed_test.go
@@ -77,7 +77,7 @@
 	require.Equal(t, 1, countLogged(f, "a1", "targetMissing"))
 }
 
-// Guards against a log line per read if the store cannot list changes and the full list is
+// Guards against a log line per read if the platform cannot list changes and the full list is
 // read each time.
 func TestMalformedEntryIsLoggedOnceAcrossFullLists(t *testing.T) {
 	f := newFleet(t, 1)
--- a/core/steerer/median.go
+++ b/core/steerer/median.go
@@ -14,21 +14,21 @@
 	// peak of one or two seconds, with a hundred late responses, must not make normal
 	// responses after it look implausibly fast.
 	medianStep = 0.003
-	// distortedMedianStep is the step while a service is congested or the target is slow:
-	// an overload of several seconds moves the estimate by at most a tenth.
+	// distortedMedianStep is the step for samples that queueing or a slow target may have
+	// distorted: an overload of several seconds moves the estimate by at most a tenth.
 	distortedMedianStep = medianStep / 10
 	// minMedian keeps the estimate above zero, from which no relative step could raise it.
 	minMedian = 100 * time.Microsecond
 )
 
-// medianEstimator estimates the running median of durations: of the latency of a route's
-// responses, or of the handshakes of flows.
+// medianEstimator estimates the running median of durations: of the latency or processing time
+// of a route's requests, or of the handshakes of flows.
 type medianEstimator struct {
 	median time.Duration
 	// samples counts the durations added.
 	samples int
-	// fromRequestEnd estimates the same for the time from the end of a request, for a
-	// route's responses; nil for other durations.
+	// fromRequestEnd estimates a route's latency from the end of the request, while median is
+	// the latency from its beginning; nil for other durations.
 	fromRequestEnd *medianEstimator
 }
 
@@ -41,12 +41,12 @@
 	return u.known() && estimator.ImplausiblyFast(took, u.median)
 }
 
-// add adds a sample. Samples taken while targets were full or slow have less weight, but
-// some: requests may have become slower permanently. Until there are enough samples, all
-// have the same weight.
+// add adds a sample. Samples that queueing or a slow target may have distorted have less
+// weight, but some: requests may have become slower permanently.
 //
-// Without this, when a host starts during a load peak, its first response is a queued one,
-// and later samples do not correct the estimate for minutes.
+// Until there are enough samples, distorted ones have the same weight. Otherwise, when a host
+// starts during a load peak, its first response is a queued one, and later samples do not
+// correct the estimate for minutes.
 func (u *medianEstimator) add(took time.Duration, distorted bool) {
 	u.samples++
 	step := 1 + max(medianStep, 1/float64(u.samples))
