--- a/core/steerer/connection_limits.go
+++ b/core/steerer/connection_limits.go
@@ -19,16 +19,16 @@
 	// connectionCheckInterval is the interval between checks of which services are
 	// constrained.
 	connectionCheckInterval = reportInterval
-	// unconstrainedMargin times this host's share of the flows has to be below
-	// unconstrainedFraction for the targets of a service not to be scanned. The margin allows
-	// for the flow counts that are rounded up at each target.
+	// unconstrainedMargin is how many times the number of flows, extrapolated from this host's
+	// own, has to fit into unconstrainedFraction for the targets of a service not to be
+	// scanned. The margin allows for the flow counts that are rounded up at each target.
 	unconstrainedMargin = 2
 	// growthChecks is the number of checks over which unreported flows of other hosts are
 	// assumed to grow: about half the maximum age of a host's report.
 	growthChecks = 2
 	// connectionWeight times the ratio of used to free connections is added to a target's
 	// load, in requests per slot: a tenth of a request when half its connections are used,
-	// and nearly a whole one, as much as crossZonePenalty, at nine tenths.
+	// and nearly a whole one, which is crossZonePenalty, at nine tenths.
 	connectionWeight = 0.1
 	// openingAbandonTimeout is how long a half-open flow counts towards the connection
 	// limit: callers give up after 1.4 s.
--- a/core/steerer/demand.go
+++ b/core/steerer/demand.go
@@ -8,8 +8,8 @@
 const (
 	// maxReportedDemands limits the services in a report, so that it fits into a datagram.
 	maxReportedDemands = 8
-	// milliSlots is the resolution of reported demand in parts of a slot. Smaller demand is
-	// left out.
+	// milliSlots is the number of units of reported demand in a slot. Demand of less than one
+	// unit is left out.
 	milliSlots = 1000
 )
 
--- a/core/steerer/estimates.go
+++ b/core/steerer/estimates.go
@@ -42,7 +42,7 @@
 type slowdownEstimates struct {
 	// zones holds the slowdown of each zone of a service from which responses came recently.
 	zones map[serviceZone]*estimator.Zone
-	// active lists the targets with an estimate, the oldest first.
+	// active lists the targets with an estimate, in the order in which they got one.
 	active []*target
 	// reportStart is the index in active at which the reports of the current round start; the
 	// next round, after roundDeadline, starts at nextReportStart.
@@ -241,8 +241,8 @@
 	return nil
 }
 
-// trialAllowed reports whether a slow target may get a trial, which requires that nothing but
-// its slowdown excludes it.
+// trialAllowed reports whether a slow target may get a trial: it is in the local zone and has a
+// free slot, and nothing but its slowdown keeps new flows from it.
 func (s *Steerer) trialAllowed(t *target, views []zoneView) bool {
 	switch {
 	case t.AvailabilityZone != s.config.AvailabilityZone, t.listedUnder == "", views[t.zone].penalty() > 0:
--- a/core/steerer/fleet_load_test.go
+++ b/core/steerer/fleet_load_test.go
@@ -21,7 +21,7 @@
 	}
 	f.peakPendingSyncRequests = 0
 	f.settings = newSettings(2, routes()[:2])
-	f.step(4 * time.Second) // The host that reads is not the first in rank.
+	f.step(4 * time.Second) // The only host that may read the platform is not the first in rank.
 	for _, name := range f.names {
 		require.Equal(t, uint64(2), f.hosts[name].steerer.Snapshot().Version, name)
 	}
@@ -126,8 +126,8 @@
 	require.NotEmpty(t, f.hosts["a1"].resets, "the link is free again")
 }
 
-// Guards against cross-zone traffic that costs a tenth of a fleet of 300 hosts, and against
-// targets chosen by loads that are seconds old: when a fleet of five zones is idle, a host
+// Guards against cross-zone traffic that makes up a tenth of the cost of a fleet of 300 hosts,
+// and against choosing targets by loads that are seconds old: when a fleet of five zones is idle, a host
 // must not report to all others in turn, of which four of five are in other zones.
 func TestMostReportsInALargeFleetStayWithinTheirZone(t *testing.T) {
 	f := newFleet(t, 12, 12, 12, 12, 12)
--- a/core/steerer/flow.go
+++ b/core/steerer/flow.go
@@ -23,8 +23,9 @@
 	defaultIdleTimeout = 15 * time.Second
 )
 
-// flow is the state that a host keeps of a flow whose packets it has seen. It is used only
-// to balance new flows and to detect unresponsive targets.
+// flow is the state that a host keeps of a flow whose packets it has seen. Packets of an
+// established flow are forwarded by their tag, without it. It is used to balance new flows, to
+// queue requests, and to detect slow and unresponsive targets.
 type flow struct {
 	target *target
 	route  Route
--- a/core/steerer/health.go
+++ b/core/steerer/health.go
@@ -26,7 +26,8 @@
 type health struct {
 	// lastProgress is when a flow last showed that the target works.
 	lastProgress timekeeper.Instant
-	// stalls counts the retransmissions since then.
+	// stalls counts the retransmissions since then, and the openings that the target seems to
+	// have refused.
 	stalls int
 	// suspect is set from a stall until progress or a probe resolves it.
 	suspect bool
@@ -84,8 +85,8 @@
 	}
 }
 
-// recordStall records that a caller had to retransmit, having received nothing since the
-// given time.
+// recordStall records that a flow has got nothing from its target since the given time: its
+// caller had to retransmit, or the target seems to have refused its opening packet.
 func (s *Steerer) recordStall(t *target, cause string, since timekeeper.Instant) {
 	t.health.stalls++
 	if s.now.Since(t.health.lastProgress) >= recentProgressAge {
@@ -164,10 +165,10 @@
 
 // markUnreachable marks a target as unreachable, and resets the flows that wait for it.
 //
-// Without the resets, a caller whose target has crashed silently retransmits its packets
-// until its deadline, and only then opens a flow elsewhere. Only flows with retryable
-// requests are reset: whether the others have run is unknown, and their callers do not
-// retry them.
+// Without the resets, a caller whose target has crashed without sending one retransmits its
+// packets until its deadline, and only then opens a flow elsewhere. Only flows with retryable
+// requests are reset: whether the others have run is unknown, and their callers do not retry
+// them.
 func (s *Steerer) markUnreachable(t *target, e *ProbeCompleted) {
 	h := &t.health
 	if e.Outcome == ProbeConnectTimeout && (!s.silenceIsEvidence() || e.Took > lateProbeFactor*h.probeTimeout) {
