--- a/core/steerer/fleet_load_test.go
+++ b/core/steerer/fleet_load_test.go
@@ -127,8 +127,8 @@
 }
 
 // Guards against cross-zone traffic that makes up a tenth of the cost of a fleet of 300 hosts,
-// and against choosing targets by loads that are seconds old: when a fleet of five zones is idle, a host
-// must not report to all others in turn, of which four of five are in other zones.
+// and against choosing targets by loads that are seconds old: when a fleet of five zones is
+// idle, a host must not report to all others in turn, of which four of five are in other zones.
 func TestMostReportsInALargeFleetStayWithinTheirZone(t *testing.T) {
 	f := newFleet(t, 12, 12, 12, 12, 12)
 	f.step(3 * time.Second)
--- a/core/steerer/health_test.go
+++ b/core/steerer/health_test.go
@@ -28,8 +28,8 @@
 
 // Guards against callers of a crashed target waiting until their deadline: when a target stops
 // responding, without a reset, while a read and a check wait for it, the read is retryable and
-// its flow is reset. The check may have run and its caller would not retry it, so its flow
-// is not reset.
+// its flow is reset. The check may have run and its caller would not retry it, so its flow is
+// not reset.
 func TestIdempotentRequestsToUnresponsiveTargetAreReset(t *testing.T) {
 	f := newFleet(t, 1)
 	const target = "i-10000001"
