--- a/core/steerer/estimates.go
+++ b/core/steerer/estimates.go
@@ -24,8 +24,8 @@
 	// slowZoneLogSlowdown is the difference in log slowdown from another zone above which a
 	// zone counts as slow: 1.4 times.
 	slowZoneLogSlowdown = 0.5
-	// verySlowZoneLogSlowdown is the log slowdown above which a zone counts as slow whatever
-	// the other zones are: 2.8 times the baseline. It exceeds slowZoneLogSlowdown because
+	// verySlowZoneLogSlowdown is the log slowdown above which a zone counts as slow
+	// regardless of the other zones: 2.8 times the baseline. It exceeds slowZoneLogSlowdown because
 	// during overload a host does not know all requests in flight, and responses take longer
 	// than the known ones explain.
 	verySlowZoneLogSlowdown = 1.5
@@ -42,7 +42,7 @@
 type slowdownEstimates struct {
 	// zones holds the slowdown of each zone of a service from which responses came recently.
 	zones map[serviceZone]*estimator.Zone
-	// active lists the targets with an estimate, the oldest first.
+	// active lists the targets with an estimate, in the order in which they got one.
 	active []*target
 	// reportStart is the index in active at which the reports of the current round start; the
 	// next round, after roundDeadline, starts at nextReportStart.
@@ -241,8 +241,8 @@
 	return nil
 }
 
-// trialAllowed reports whether a slow target may get a trial, which requires that nothing but
-// its slowdown excludes it.
+// trialAllowed reports whether a slow target may get a trial: it is in the local zone and has a
+// free slot, and nothing but its slowdown keeps new flows from it.
 func (s *Steerer) trialAllowed(t *target, views []zoneView) bool {
 	switch {
 	case t.AvailabilityZone != s.config.AvailabilityZone, t.listedUnder == "", views[t.zone].penalty() > 0:
@@ -293,8 +293,9 @@
 	return t.slowdownEstimate.Slow() || s.inSlowZone(t)
 }
 
-// inSlowZone reports whether a target's zone is slower than another. If all zones are slow,
-// the service is overloaded or its requests have become more expensive.
+// inSlowZone reports whether a target's zone is slower than another, or far slower than the
+// baseline. If all zones are moderately slow, the service is overloaded or its requests have
+// become more expensive.
 func (s *Steerer) inSlowZone(t *target) bool {
 	logSlowdown := s.zoneLogSlowdown(t.Service, t.AvailabilityZone)
 	if logSlowdown <= slowZoneLogSlowdown || logSlowdown > verySlowZoneLogSlowdown {
--- a/core/steerer/fleet_load_test.go
+++ b/core/steerer/fleet_load_test.go
@@ -21,7 +21,7 @@
 	}
 	f.peakPendingSyncRequests = 0
 	f.settings = newSettings(2, routes()[:2])
-	f.step(4 * time.Second) // The host that reads is not the first in rank.
+	f.step(4 * time.Second) // The only host that may read the platform is not the first in rank.
 	for _, name := range f.names {
 		require.Equal(t, uint64(2), f.hosts[name].steerer.Snapshot().Version, name)
 	}
@@ -45,8 +45,8 @@
 	require.Less(t, f.reads-reads, 20, "of 30 hosts; some 8 when nothing changes")
 }
 
-// Guards against about a thousand calls to the platform in an outage of five seconds, which are
-// most of its price for a day of a large fleet and hinder its recovery: when the platform
+// Guards against about a thousand calls to the platform in an outage of five seconds, which make
+// up most of what the platform costs a large fleet per day and hinder its recovery: when it
 // goes down and every host retries about once a second, for settings and targets, the retry
 // interval must grow with the number of hosts.
 func TestFleetLimitsReadsDuringPlatformOutage(t *testing.T) {
@@ -65,8 +65,8 @@
 	}
 }
 
-// A host that hears from no other host retries as often as one in a small fleet, however
-// large the fleet was that it heard from before.
+// A host that receives no reports retries as often as one in a small fleet, however large the
+// fleet was from which it received reports before.
 func TestIsolatedHostReadsOften(t *testing.T) {
 	f := newFleet(t, 40, 40)
 	for _, name := range f.names[1:] {
@@ -126,9 +126,9 @@
 	require.NotEmpty(t, f.hosts["a1"].resets, "the link is free again")
 }
 
-// Guards against cross-zone traffic that costs a tenth of a fleet of 300 hosts, and against
-// targets chosen by loads that are seconds old: when a fleet of five zones is idle, a host
-// must not report to all others in turn, of which four of five are in other zones.
+// Guards against cross-zone traffic that makes up a tenth of the cost of a fleet of 300 hosts,
+// and against choosing targets by loads that are seconds old: when a fleet of five zones is
+// idle, a host must not report to all others in turn, of which four of five are in other zones.
 func TestMostReportsInALargeFleetStayWithinTheirZone(t *testing.T) {
 	f := newFleet(t, 12, 12, 12, 12, 12)
 	f.step(3 * time.Second)
@@ -166,8 +166,8 @@
 
 // Guards against live hosts of a large fleet counting as dead, dead ones counting as alive
 // for long, and the reader of the platform changing all the time: when most reports come
-// from the local zone, hosts must also report hosts that they have not heard from
-// themselves, together with the age of that information.
+// from the local zone, hosts must also report as alive hosts from which they have received no
+// reports themselves, together with the age of that information.
 func TestHostsInOtherZonesCountAsLive(t *testing.T) {
 	f := newFleet(t, 20, 20, 20, 20)
 	f.step(20 * time.Second)
--- a/core/steerer/health.go
+++ b/core/steerer/health.go
@@ -16,8 +16,9 @@
 	minProbeInterval = time.Second
 	// reprobeInterval is the interval between probes of an unreachable target.
 	reprobeInterval = 2 * time.Second
-	// lateProbeFactor times its timeout is how long a probe may take to be conclusive: one
-	// that ends later was delayed by this host, and so was the response that it missed.
+	// lateProbeFactor times its timeout is the longest that a probe may take to be
+	// conclusive. One that ends later was delayed by this host, and the response may have
+	// been, too.
 	lateProbeFactor = 2
 )
 
@@ -25,7 +26,8 @@
 type health struct {
 	// lastProgress is when a flow last showed that the target works.
 	lastProgress timekeeper.Instant
-	// stalls counts the retransmissions since then.
+	// stalls counts the retransmissions since then, and the openings that the target seems to
+	// have refused.
 	stalls int
 	// suspect is set from a stall until progress or a probe resolves it.
 	suspect bool
@@ -83,8 +85,8 @@
 	}
 }
 
-// recordStall records that a caller had to retransmit, having received nothing since the
-// given time.
+// recordStall records that a flow has got nothing from its target since the given time: its
+// caller had to retransmit, or the target seems to have refused its opening packet.
 func (s *Steerer) recordStall(t *target, cause string, since timekeeper.Instant) {
 	t.health.stalls++
 	if s.now.Since(t.health.lastProgress) >= recentProgressAge {
@@ -109,10 +111,10 @@
 }
 
 // probeTimeout returns the handshake timeout for a probe of a target from which nothing has
-// come since the given time. While its whole zone has been unresponsive, too, a short probe
-// is enough to make the zone suspect; see recordZoneSilence. To mark this target as
-// unreachable and reset its flows takes a long one: a target with a full accept queue still
-// works.
+// come since the given time. If nothing has come from the rest of its zone either, a short
+// probe is enough to make the zone suspect; see recordZoneSilence. Marking the target as
+// unreachable and resetting its flows takes a long probe: a target with a full accept queue
+// still works.
 func (s *Steerer) probeTimeout(t *target, since timekeeper.Instant) time.Duration {
 	zone := t.AvailabilityZone
 	if s.diagnoser.ZoneUnresponsive(zone, since, s.now) && !s.diagnoser.ZoneSuspect(zone, s.now) {
@@ -163,10 +165,10 @@
 
 // markUnreachable marks a target as unreachable, and resets the flows that wait for it.
 //
-// Without the resets, a caller whose target has crashed silently retransmits its packets
-// until its deadline, and only then opens a flow elsewhere. Only flows with retryable
-// requests are reset: whether the others have run is unknown, and their callers do not
-// retry them.
+// Without the resets, a caller whose target has crashed without sending one retransmits its
+// packets until its deadline, and only then opens a flow elsewhere. Only flows with retryable
+// requests are reset: whether the others have run is unknown, and their callers do not retry
+// them.
 func (s *Steerer) markUnreachable(t *target, e *ProbeCompleted) {
 	h := &t.health
 	if e.Outcome == ProbeConnectTimeout && (!s.silenceIsEvidence() || e.Took > lateProbeFactor*h.probeTimeout) {
@@ -192,14 +194,13 @@
 	s.resetWaitingFlows(t)
 }
 
-// recordZoneSilence records that a target was found unresponsive. If nothing has come from
-// its zone since then, it probes the zone's other targets.
+// recordZoneSilence records that a target was found unresponsive. If that makes its zone
+// suspect, it probes the zone's other targets that have flows.
 //
-// Without this, if each target were probed only once a caller retransmits to it: a zone
-// crashes without sending resets, and each of its callers waits for its own retransmission
-// timeout, 200 ms, and for a probe after it, before it may try another target. This shows
-// as requests that are late by the length of a probe. The first target that is found
-// unresponsive is enough to probe all of them.
+// If each target were probed only once a caller retransmits to it, then after a zone crashes
+// without sending resets each of its callers would wait for its own retransmission timeout,
+// 200 ms, and for a probe after it, before it may try another target. This shows as requests
+// that are late by the length of a probe.
 func (s *Steerer) recordZoneSilence(found *target) {
 	h := &found.health
 	h.probeDeadline = s.now
