--- a/core/comparer/balance.go
+++ b/core/comparer/balance.go
@@ -41,12 +41,12 @@
 	balanceTargetCount = 14
 	balanceTargetSlots = 3
 	balanceFlowCount   = 1200
-	// heavyFlowInterval is the interval of heavy flows in a skewed load: every tenth.
+	// heavyFlowInterval makes every tenth flow number a heavy flow in a skewed load.
 	heavyFlowInterval = 10
 )
 
 // MeasureBalance opens flows one after another. Each adds load to its target for the rest of
-// the run: one unit, or ten units for one flow in ten if the load is skewed.
+// the run: one unit, or ten units for about one flow in ten if the load is skewed.
 func MeasureBalance(p PlacementPolicy, skewed bool, seed uint64) Balance {
 	loadOf := func(n int) float64 {
 		if skewed && n%heavyFlowInterval == 0 {
--- a/core/comparer/comparer_test.go
+++ b/core/comparer/comparer_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// The load balancer distributes flows at least as evenly as the best baseline policy, and
-// skewed load more evenly than each of them.
+// Guards against uneven placement, with a fixed seed: the load balancer distributes flows at
+// least as evenly as the best baseline policy, and skewed load more evenly than each of them.
 func TestSystemSpreadsLoadAtLeastAsEvenlyAsBaselines(t *testing.T) {
 	for _, skewed := range []bool{false, true} {
 		var all []comparer.Balance
--- a/core/comparer/policy.go
+++ b/core/comparer/policy.go
@@ -171,8 +171,8 @@
 			}
 		}
 	case PauseHost, ResumeHost, PartitionHosts, HealPartition:
-		// A partition does not affect hosts that do not communicate, and a pause only
-		// delays their packets.
+		// Baseline hosts do not communicate, so that a partition does not affect them. A
+		// pause only delays their packets and does not change the targets.
 	}
 }
 
--- a/core/comparer/scenario.go
+++ b/core/comparer/scenario.go
@@ -27,7 +27,8 @@
 func (OpenFlows) step()       {}
 
 // PublishSettings publishes a new list of targets. DelayedHosts cannot read it from the
-// platform; with a baseline policy they adopt it in the next WaitFor.
+// platform: with Cranberryspan they receive it from other hosts, with a baseline policy they
+// adopt it in the next WaitFor.
 type PublishSettings struct {
 	Targets      []int
 	Draining     []int
--- a/core/driver/settings_tree.go
+++ b/core/driver/settings_tree.go
@@ -13,7 +13,7 @@
 	// HostsPerZone is the number of hosts in each availability zone; hosts are named
 	// "a1", "a2", "b1" and so on.
 	HostsPerZone []int
-	// CellsPerZone is the number of cells in each zone.
+	// CellsPerZone is the number of cells in each zone; zero means one.
 	CellsPerZone int
 	// Services are named "s1", "s2" and so on, with IDs from 1.
 	Services []SettingsService
@@ -24,7 +24,8 @@
 
 // SettingsService is one service of a SettingsTree.
 type SettingsService struct {
-	// TargetNumbers are the numbers of the service's targets, as for TargetAddress.
+	// TargetNumbers are the numbers of the service's targets, as for TargetAddress. Each
+	// target is in the zone with index number modulo the number of zones.
 	TargetNumbers []int
 	// DrainingTargetNumbers are the numbers of the targets in state "draining".
 	DrainingTargetNumbers []int
--- a/core/driver/simulation.go
+++ b/core/driver/simulation.go
@@ -51,14 +51,15 @@
 
 	// Seeds are the seed hosts in the configuration of every host that starts.
 	Seeds []string
-	// Replies and Answers record the hosts' replies and the targets' responses that
-	// reached callers.
+	// Replies records the hosts' own replies, Responses the targets' responses that reached
+	// callers.
 	Replies   []CallerReply
 	Responses []CallerResponse
 	// TargetPackets records every packet that reached a target.
 	TargetPackets []TargetPacket
-	// ControlBytes is the number of control bytes sent by each host, ForwardedPackets the
-	// number of packets forwarded between hosts.
+	// ControlBytes is the number of control bytes sent by each host while
+	// MeasureControlBytes is set, ForwardedPackets the number of packets forwarded between
+	// hosts.
 	ControlBytes     map[string]int
 	ForwardedPackets int
 	// ControlMessages is the number of control messages sent, Probes the number of probes
@@ -191,12 +192,12 @@
 	return ok && h.running && !h.paused
 }
 
-// CutLink cuts the link between two hosts in both directions; HealLink restores it.
+// CutLink makes the simulation drop all messages between two hosts, in both directions.
 func (s *Simulation) CutLink(a, b string) {
 	s.cutLinks[[2]string{a, b}], s.cutLinks[[2]string{b, a}] = true, true
 }
 
-// HealLink restores the link between two hosts.
+// HealLink restores the link between two hosts that CutLink has cut.
 func (s *Simulation) HealLink(a, b string) {
 	delete(s.cutLinks, [2]string{a, b})
 	delete(s.cutLinks, [2]string{b, a})
--- a/core/driver/target.go
+++ b/core/driver/target.go
@@ -22,7 +22,7 @@
 	// Executions counts the executions of each request.
 	Executions map[RequestID]int
 	InFlight   int
-	// ExtraLoad is reported by the target in addition to its requests in flight.
+	// ExtraLoad is added to InFlight in the load that health checks report.
 	ExtraLoad int
 }
 
