--- a/standin/internal/answerer/answerer.go
+++ b/standin/internal/answerer/answerer.go
@@ -48,8 +48,8 @@
 	mu         sync.Mutex
 	executions map[string]int
 	problems   []string
-	// targetByCaller holds the ID of the target at which a flow was opened, by the caller's
-	// address.
+	// targetByCaller holds the ID of the target that received a flow's first data, by the
+	// caller's address and port.
 	targetByCaller map[netip.AddrPort]string
 }
 
@@ -72,7 +72,7 @@
 	return append([]string(nil), r.problems...)
 }
 
-// TargetOf returns the ID of the target of a flow, by the caller's address.
+// TargetOf returns the ID of the target of a flow, by the caller's address and port.
 func (r *Record) TargetOf(caller netip.AddrPort) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -93,7 +93,7 @@
 	// PacketPort is the port at which callers receive packets.
 	PacketPort uint16
 	// DrainLimit is how long a target may still receive new flows after it has begun to drain
-	// or the evacuation of its zone was ordered.
+	// or after the evacuation of its zone was ordered.
 	DrainLimit time.Duration
 	// EvacuatedSince returns when the evacuation of the target's zone was ordered; the zero
 	// time if no order is in force.
@@ -156,7 +156,7 @@
 	}
 	t := &Target{config: config, number: number, record: record, conn: conn, flows: map[flowKey]*flow{}, undisturbed: undisturbed, jobs: make(chan job, 64)}
 	t.http = &http.Server{Handler: http.HandlerFunc(t.handleHealthCheck), ReadHeaderTimeout: time.Second}
-	t.serving.Go(func() { _ = t.http.Serve(listener) }) // Returns when Silence closes the server.
+	t.serving.Go(func() { _ = t.http.Serve(listener) }) // Returns when StopResponding closes the server.
 	t.serving.Go(t.readLoop)
 	go t.tickLoop(ctx)
 	for range config.Entry.Slots {
@@ -185,8 +185,8 @@
 	t.serving.Wait()
 }
 
-// StopResponding makes the target unresponsive. Connections of health checks are refused rather than
-// ignored, since a process cannot make its kernel ignore a TCP handshake.
+// StopResponding makes the target unresponsive. Connections of health checks are refused rather
+// than ignored, since a process cannot make its kernel ignore a TCP handshake.
 func (t *Target) StopResponding() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/standin/internal/asker/asker.go
+++ b/standin/internal/asker/asker.go
@@ -166,6 +166,8 @@
 	f.notify()
 }
 
+// handleReset sets the outcome of a flow that was reset. A reset by the load balancer has no valid
+// checksum, unlike one by the target.
 func (f *Flow) handleReset(p platformtest.Packet) {
 	switch {
 	case !f.opened:
@@ -207,6 +209,8 @@
 	}
 }
 
+// tick retransmits packets and ends the flow after a timeout. In an opening packet, the
+// acknowledgement number holds the number of the retransmission.
 func (f *Flow) tick(now time.Time) {
 	age := now.Sub(f.startedAt)
 	switch {
@@ -252,7 +256,7 @@
 }
 
 // readResponse consumes the response to a request if it is complete, and otherwise returns the
-// outcome of the flow, which is zero while the flow is usable. The caller must hold mu.
+// outcome of the flow, which is zero while the flow is usable. f.caller.mu must be held.
 func (f *Flow) readResponse(id string) Outcome {
 	newline := bytes.IndexByte(f.received, '\n')
 	if newline < 0 {
--- a/standin/internal/router/router.go
+++ b/standin/internal/router/router.go
@@ -17,8 +17,8 @@
 
 const (
 	checkInterval = 500 * time.Millisecond
-	// unhealthyThreshold is the number of consecutive failed checks after which a host is out
-	// of rotation.
+	// unhealthyThreshold is the number of consecutive failed readiness checks after which a
+	// host is out of rotation.
 	unhealthyThreshold = 2
 )
 
@@ -63,7 +63,8 @@
 	return r, nil
 }
 
-// Run checks the hosts until ctx is done. The returned channel then receives the result.
+// Run checks the readiness of the hosts until ctx is done. The returned channel then receives the
+// result.
 func (r *Router) Run(ctx context.Context) <-chan error {
 	done := make(chan error, 1)
 	var checks sync.WaitGroup
--- a/standin/internal/soaker/faults.go
+++ b/standin/internal/soaker/faults.go
@@ -62,8 +62,8 @@
 // evacuationFault is added by Config.ZoneEvacuations.
 var evacuationFault = fault{"evacuateZone", true, evacuateZone}
 
-// zoneEvacuations holds the evacuation order that is in force, if any. It has its own lock since
-// targets read it for each new flow.
+// zoneEvacuations holds the evacuation order that is in force, if any. It has its own lock, mu,
+// since targets read it for each new flow.
 type zoneEvacuations struct {
 	// oneAtATime is held while a zone is evacuated, so that other zones remain in use.
 	oneAtATime sync.Mutex
@@ -199,8 +199,8 @@
 	return fmt.Sprintf("mode %d for %s", mode, duration)
 }
 
-// degradePeerTraffic disturbs the traffic to one host from some of the others, in this direction
-// only.
+// degradePeerTraffic disturbs the datagrams to one host from some of the others, and all
+// connections that are opened to it meanwhile. The datagrams that it sends are not affected.
 func degradePeerTraffic(ctx context.Context, s *soakRun) string {
 	h, duration := s.randomHost(), s.randomDuration(4*time.Second)
 	fault := []ProxyFault{{Drop: true}, {Delay: 400 * time.Millisecond}, {Reset: true}}[s.randomInt(3)]
@@ -361,7 +361,8 @@
 	return fmt.Sprintf("%s %d times", t.Entry().ID, count)
 }
 
-// malformedValues are malformed values of target entries.
+// malformedValues are malformed values of target entries, which are JSON strings in base64. The
+// last two decode to {} and [].
 var malformedValues = []string{`"not base64!"`, `17`, `null`, `""`, `"e30="`, `"W10="`}
 
 // writeMalformedEntry writes a malformed entry, as another program could, in half of the cases
@@ -397,7 +398,7 @@
 }
 
 // restoreStore takes the store down for up to 1 s and restores it from a backup that is up to
-// 5 s old, in half of the cases twice. Lost entries are written again within two seconds.
+// 5 s old, in half of the cases twice. Lost entries are written again within rewriteLimit.
 func restoreStore(ctx context.Context, s *soakRun) string {
 	if !s.restoreLock.TryLock() {
 		return "skipped since another restore is in progress"
--- a/standin/internal/soaker/fleet.go
+++ b/standin/internal/soaker/fleet.go
@@ -18,7 +18,8 @@
 	"cranberryspan.dev/standin/internal/router"
 )
 
-// The ports of every host, which has its own addresses, and of its store.
+// The ports of every host and of its store server. They are the same for all hosts, since each
+// host has its own addresses.
 const (
 	peerPort   = 18166
 	readyPort  = 18167
@@ -61,8 +62,8 @@
 
 func zoneName(zone int) string { return string(rune('a' + zone)) }
 
-// newFleet writes the hosts' settings files and starts their proxies and store servers. It does
-// not start the hosts.
+// newFleet writes the hosts' settings files and starts their proxies and store servers, one of
+// each for every host. It does not start the hosts.
 func newFleet(ctx context.Context, config Config, dir string) (*fleet, error) {
 	f := &fleet{balancerPath: config.BalancerPath, dir: dir, addressBlock: config.AddressBlock, store: platformtest.NewStore()}
 	for zone, count := range config.HostsPerZone {
@@ -203,7 +204,8 @@
 	}
 }
 
-// killAll kills all hosts and releases all addresses for the next run.
+// killAll kills all hosts, stops their proxies and store servers, and releases their addresses
+// for the next run.
 func (f *fleet) killAll() {
 	for _, h := range f.hosts {
 		h.signal(syscall.SIGKILL)
--- a/standin/internal/soaker/proxy.go
+++ b/standin/internal/soaker/proxy.go
@@ -10,18 +10,19 @@
 	"time"
 )
 
-// ProxyFault is a fault that a proxy applies to the traffic from a host.
+// ProxyFault is a fault that a proxy applies to the traffic from a host to its own one.
 type ProxyFault struct {
-	// Drop discards datagrams and leaves connections open without forwarding any data; Delay
-	// delays both.
+	// Drop discards datagrams and leaves new connections open without forwarding any data;
+	// Delay delays datagrams and the start of new connections.
 	Drop  bool
 	Delay time.Duration
-	// Reset closes connections at once.
+	// Reset closes new connections at once.
 	Reset bool
 }
 
-// proxy listens on the advertised address of a host and forwards to its real one. It allows
-// faults in the traffic between hosts, separately for each direction.
+// proxy listens on the advertised address of a host and forwards to its real one, upstream. Each
+// host has one, so that faults can affect the traffic to one host and not its own traffic to
+// others.
 type proxy struct {
 	upstream netip.AddrPort
 	conn     *net.UDPConn
@@ -30,7 +31,7 @@
 
 	mu sync.Mutex
 	// datagramFaults holds the faults of datagrams by the sender's address. connectionFault
-	// applies to all connections, since their source address does not identify the host.
+	// applies to all new connections, since their source address does not identify the host.
 	datagramFaults  map[netip.AddrPort]ProxyFault
 	connectionFault ProxyFault
 }
--- a/standin/internal/soaker/soaker.go
+++ b/standin/internal/soaker/soaker.go
@@ -24,8 +24,9 @@
 const (
 	ledger = "ledger"
 	intake = "intake"
-	// drainLimit and inForceLimit are the documented limits, which are set to 3 s with
-	// drainingWithin and settingsWithin, and 200 ms for scheduling delays of the machine.
+	// drainLimit and inForceLimit are the guaranteed limits, which the hosts' settings
+	// drainingWithin and settingsWithin set to 3 s, plus 200 ms for scheduling delays of
+	// the machine.
 	drainLimit   = 3200 * time.Millisecond
 	inForceLimit = 3200 * time.Millisecond
 	// recoveryTime is the time after a disturbance from which time limits hold again.
@@ -35,7 +36,7 @@
 	// processingTime is the time that a target needs for a request.
 	processingTime = 15 * time.Millisecond
 	slotsPerTarget = 3
-	// latencyObjective is the target latency of the routes that have one.
+	// latencyObjective is the latency objective of the routes that have one.
 	latencyObjective = 100 * time.Millisecond
 )
 
@@ -52,13 +53,13 @@
 	// LedgerTargets is the initial number of targets of the service ledger. The service
 	// intake has a third as many, but at least one per zone.
 	LedgerTargets int
-	// AddressBlock is the second byte of all addresses. Runs at the same time need
-	// different ones.
+	// AddressBlock is the second byte of all addresses. Concurrent runs need different ones.
 	AddressBlock int
 	// OnlyFaults names the faults to inject; all if empty.
 	OnlyFaults []string
-	// SecondFaultSet adds the second fault set. It is optional because more kinds of faults
-	// change the runs of the seeds that were recorded for regression tests without them.
+	// SecondFaultSet adds the second fault set. It is optional since additional kinds of
+	// faults change the faults that a seed yields, and regression tests use seeds of runs
+	// without them.
 	SecondFaultSet bool
 	// ThirdFaultSet adds the second and the third fault set. It is optional for the same
 	// reason.
@@ -70,7 +71,8 @@
 	StoreRestores bool
 	// MeanFaultInterval is the mean time between the starts of two faults.
 	MeanFaultInterval time.Duration
-	// RequireAllAnswered makes every request without a response a problem.
+	// RequireAllAnswered makes every outcome other than OutcomeAnswered a problem, also a
+	// refusal.
 	RequireAllAnswered bool
 }
 
@@ -156,7 +158,7 @@
 	return report, nil
 }
 
-// close releases all addresses for the next run.
+// close stops the hosts, targets and callers, and releases their addresses for the next run.
 func (s *soakRun) close() {
 	s.fleet.killAll()
 	s.mu.Lock()
@@ -356,7 +358,8 @@
 	s.lastDisturbed = time.Now()
 }
 
-// undisturbed reports whether no fault has delayed updates to hosts during recoveryTime.
+// undisturbed reports whether no fault has delayed updates to hosts during the last
+// recoveryTime.
 func (s *soakRun) undisturbed() bool { return s.undisturbedSince(time.Now()) }
 
 // undisturbedSince reports whether no fault has delayed updates to hosts from recoveryTime
@@ -393,7 +396,8 @@
 	}
 }
 
-// singleRequestLoop opens a new flow for each request: three checks, then an upload.
+// singleRequestLoop opens a new flow for each request. Every fourth request is an upload, the
+// others are checks.
 func (s *soakRun) singleRequestLoop(ctx context.Context, c *asker.Caller) {
 	for n := 0; ctx.Err() == nil; n++ {
 		service, route, kind, bytes := ledger, checkRoute, "check", 900
@@ -444,7 +448,7 @@
 
 // checkReset returns the problem with a reset of an open flow by a host, or an empty string if
 // the reset was justified. Targets call undisturbed, which locks s.mu, while they hold their own
-// lock, so s.mu must not be held during calls of their methods.
+// lock; to avoid a deadlock, s.mu must not be held during calls of their methods.
 func (s *soakRun) checkReset(target string, idempotent bool) string {
 	if !idempotent {
 		return "was reset though it may have run"
