--- a/standin/harness_test.go
+++ b/standin/harness_test.go
@@ -121,7 +121,8 @@
 	return fmt.Sprintf("127.0.%d.%d:%d", s.addressBlock, last, port)
 }
 
-// document returns the settings tree, with six targets of ledger and two of intake.
+// document returns the settings tree, with six targets of ledger and two of intake. The targets
+// named by draining are in state "draining".
 func (s *testSystem) document(draining ...string) []byte {
 	var b strings.Builder
 	b.WriteString("version: 1\npeerKeys: [a-key-for-these-tests]\ndefaults: {exchangeLifetime: 9s, slots: 8}\nregions:\n  r:\n    returnPrefix: fd00:1::/64\n    availabilityZones:\n")
--- a/standin/internal/loader/client.go
+++ b/standin/internal/loader/client.go
@@ -17,9 +17,9 @@
 const (
 	maxDatagramBytes = 2048
 	maxOptions       = 16
-	// ackTimeout and maxRetransmit are ACK_TIMEOUT and MAX_RETRANSMIT of RFC 7252. The timeout
-	// is shorter than there: a request is retransmitted after 0.5, 1.5, 3.5 and 7.5 s, and
-	// given up after 15.5 s.
+	// ackTimeout and maxRetransmit are ACK_TIMEOUT and MAX_RETRANSMIT of RFC 7252, with a
+	// shorter timeout than the 2 s of the RFC: a request is retransmitted after 0.5, 1.5, 3.5
+	// and 7.5 s, and given up after 15.5 s.
 	ackTimeout    = 500 * time.Millisecond
 	maxRetransmit = 4
 )
@@ -31,7 +31,8 @@
 	token     uint64
 	// onNotification is called for every notification of the flow's stream.
 	onNotification func(payload string)
-	// retransmissions counts retransmitted datagrams.
+	// retransmissions counts the transmissions of requests that timed out. It includes the last
+	// one of a request that is given up.
 	retransmissions int
 }
 
@@ -147,7 +148,7 @@
 		}
 		if err != nil {
 			time.Sleep(time.Millisecond)
-			continue // The fabric was not listening when an earlier packet was sent.
+			continue // The error reports that an earlier packet was undeliverable.
 		}
 		m := message.Message{Options: make(message.Options, 0, maxOptions)}
 		if _, err := coder.DefaultCoder.Decode(buffer[:n], &m); err != nil {
--- a/standin/internal/loader/loader.go
+++ b/standin/internal/loader/loader.go
@@ -1,5 +1,5 @@
-// Package loader is a small load generator: it runs callers with the four workloads of the users
-// and reports the results. Runs are bounded in the number of flows and in time.
+// Package loader is a small load generator: it runs callers with up to four kinds of workloads and
+// reports the results. Runs are bounded in the number of flows and in time.
 package loader
 
 import (
@@ -50,8 +50,9 @@
 // Config is the configuration of a run.
 type Config struct {
 	Workloads []Workload
-	// NewFlowsPerSecond is the rate of additional flows with one request each, in an open
-	// loop. They use the first workload of checks or presses.
+	// NewFlowsPerSecond is the rate of additional flows with one request each, which are
+	// opened whether or not earlier ones have received responses. They use the first workload
+	// of checks or presses.
 	NewFlowsPerSecond int
 	Duration          time.Duration
 	// ThinkTime is the time between two requests of a flow.
@@ -184,7 +185,7 @@
 	}
 }
 
-// newRequestID returns a unique request ID, from which targets detect repeated executions.
+// newRequestID returns a unique request ID, by which targets detect repeated executions.
 func (l *Loader) newRequestID(service string) string {
 	return fmt.Sprintf("%s/%d-%d", service, l.runID, l.requestCount.Add(1))
 }
--- a/standin/internal/loader/report.go
+++ b/standin/internal/loader/report.go
@@ -31,9 +31,9 @@
 type Tally struct {
 	Started  int `json:"started"`
 	Answered int `json:"answered"`
-	// Refused counts those refused as not run.
+	// Refused counts those that were refused without being executed, according to the reply.
 	Refused int `json:"refused"`
-	// OutcomeUnknown counts those that may have run, according to the reply.
+	// OutcomeUnknown counts those that may have been executed, according to the reply.
 	OutcomeUnknown int `json:"unknown"`
 	// Unanswered counts those without any response.
 	Unanswered int `json:"lost"`
@@ -42,7 +42,7 @@
 	Broken int `json:"broken"`
 	// WrongResponses counts responses that belong to another request.
 	WrongResponses int `json:"wrong"`
-	// Retransmissions counts retransmitted datagrams.
+	// Retransmissions counts the transmissions of requests that timed out.
 	Retransmissions int `json:"repeats"`
 	// MedianUs, P99Us and MaxUs are latencies in microseconds.
 	MedianUs int64 `json:"medianUs"`
--- a/standin/internal/measurer/markdown.go
+++ b/standin/internal/measurer/markdown.go
@@ -17,7 +17,8 @@
 	Requests  []RequestCost
 }
 
-// MeasureAll measures all costs at several sizes. It calls progress before each measurement.
+// MeasureAll measures all costs at several sizes. Before each measurement it calls progress with a
+// description.
 func MeasureAll(progress func(string)) Measurements {
 	var m Measurements
 	for _, size := range [][2]int{{100, 55}, {500, 275}, {1900, 1050}, {PlannedTargets, PlannedServices}} {
--- a/standin/internal/measurer/measurer.go
+++ b/standin/internal/measurer/measurer.go
@@ -232,8 +232,9 @@
 // HandoverCost is the cost of a graceful shutdown.
 type HandoverCost struct {
 	Flows int
-	// Duration is the time from the signal until the host has left, with a link latency of one
-	// millisecond; Bytes is the control traffic sent by the host that shuts down.
+	// Duration is the time from the start of the shutdown until the host has left, with the
+	// link latency driver.MessageLatency; Bytes is the control traffic sent by the host that
+	// shuts down.
 	Duration time.Duration
 	Bytes    int
 }
@@ -269,7 +270,8 @@
 // RequestCost is the control traffic caused by non-idempotent requests.
 type RequestCost struct {
 	RequestsPerSecond int
-	// BytesPerRequest includes the control bytes sent by the owner and by its successor.
+	// BytesPerRequest is the number of control bytes per request that all hosts of the cell
+	// send, beyond those that they send without requests.
 	BytesPerRequest float64
 }
 
--- a/standin/internal/sprayer/sprayer.go
+++ b/standin/internal/sprayer/sprayer.go
@@ -1,8 +1,8 @@
-// Package sprayer emulates the fabric. It sends every packet, in both directions, to a random
-// host among those that announce themselves.
+// Package sprayer emulates the fabric. It sends every packet of a caller or target to a random
+// host among those that announce themselves, and sends the packets of hosts to callers and targets.
 //
 // Targets see a distinct source address for each return address. Since an IPv6 prefix cannot be
-// routed on a single machine, the sprayer maps each return address to its own socket and keeps the
+// routed on a single machine, the fabric maps each return address to its own socket and keeps the
 // mapping while it runs.
 package sprayer
 
@@ -190,8 +190,8 @@
 	return f.receivingHosts[f.random.IntN(len(f.receivingHosts))], true
 }
 
-// updateReceivingHosts updates the list of hosts that receive packets: those with a valid announcement
-// that are not cut off. The caller must hold mu.
+// updateReceivingHosts updates the list of hosts that receive packets: those with a valid
+// announcement that are not disconnected by POST /cut. The caller must hold mu.
 func (f *Fabric) updateReceivingHosts() {
 	now := time.Now()
 	f.receivingHosts = f.receivingHosts[:0]
--- a/standin/main.go
+++ b/standin/main.go
@@ -28,8 +28,8 @@
 	"github.com/urfave/cli/v3"
 )
 
-// exitRunFailed is the exit code of a run that has broken, lost, duplicated or misrouted requests
-// or that has found problems.
+// exitRunFailed is the exit code of a run in which requests were broken, lost, duplicated,
+// misrouted or answered with a wrong response, or of a soak test that has found problems.
 const exitRunFailed = 10
 
 func main() {
--- a/standin/system_e2e_test.go
+++ b/standin/system_e2e_test.go
@@ -88,8 +88,8 @@
 	require.Zero(t, report.Tallies[loader.KindStream].Unanswered)
 }
 
-// Guards against requests that are executed twice when a host resumes: SIGSTOP under load for longer
-// than the failure detection of the other hosts takes, then SIGCONT.
+// Guards against requests that are executed twice when a host resumes: it is paused with SIGSTOP
+// under load, for longer than the other hosts take to detect its failure, and resumed with SIGCONT.
 func TestPausedHostRunsNoRequestTwice(t *testing.T) {
 	t.Parallel()
 	s := startTestSystem(t, 103)
@@ -163,7 +163,7 @@
 	require.Contains(t, s.hosts[0].log.String(), "settingsRejected")
 }
 
-// Guards against streams that break when one host is cut off from the fabric under load and
+// Guards against streams that break when one host is disconnected from the fabric under load and
 // reconnected.
 func TestFabricPartitionOfOneHostBreaksNoStream(t *testing.T) {
 	t.Parallel()
