--- a/core/comparer/policy.go
+++ b/core/comparer/policy.go
@@ -60,8 +60,8 @@
 	BrokenFlows int
 	// FlowsPerTarget is the number of flows placed on each target.
 	FlowsPerTarget map[netip.AddrPort]int
-	// ForwardedPackets is the number of packets forwarded between hosts, Packets the number
-	// of all packets from callers.
+	// ForwardedPackets is the number of packets from callers and targets that were forwarded
+	// between hosts, Packets the number of all packets from callers.
 	ForwardedPackets int
 	Packets          int
 	// ControlBytesPerSecond is the control traffic sent by the busiest host.
--- a/standin/internal/loader/client.go
+++ b/standin/internal/loader/client.go
@@ -148,7 +148,7 @@
 		}
 		if err != nil {
 			time.Sleep(time.Millisecond)
-			continue // The error reports that an earlier packet was undeliverable.
+			continue // An earlier packet was undeliverable, since the fabric was not listening.
 		}
 		m := message.Message{Options: make(message.Options, 0, maxOptions)}
 		if _, err := coder.DefaultCoder.Decode(buffer[:n], &m); err != nil {
--- a/standin/internal/soaker/proxy.go
+++ b/standin/internal/soaker/proxy.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// ProxyFault is a fault that a proxy applies to the traffic from a host to its own one.
+// ProxyFault is a fault that a proxy applies to the traffic that other hosts send to its host.
 type ProxyFault struct {
 	// Drop discards datagrams and leaves new connections open without forwarding any data;
 	// Delay delays datagrams and the start of new connections.
