--- a/core/comparer/balance.go
+++ b/core/comparer/balance.go
@@ -41,12 +41,12 @@
 	balanceTargetCount = 14
 	balanceTargetSlots = 3
 	balanceFlowCount   = 1200
-	// heavyFlowInterval is the interval of heavy flows in a skewed load: every tenth.
+	// heavyFlowInterval makes every tenth flow number a heavy flow in a skewed load.
 	heavyFlowInterval = 10
 )
 
 // MeasureBalance opens flows one after another. Each adds load to its target for the rest of
-// the run: one unit, or ten units for one flow in ten if the load is skewed.
+// the run: one unit, or ten units for about one flow in ten if the load is skewed.
 func MeasureBalance(p PlacementPolicy, skewed bool, seed uint64) Balance {
 	loadOf := func(n int) float64 {
 		if skewed && n%heavyFlowInterval == 0 {
@@ -111,8 +111,9 @@
 	return int(ip[2])<<8 | int(ip[3])
 }
 
-// ForwardedShare returns the fraction of packets that are forwarded between hosts, which is
-// needed whenever the fabric delivers a packet to a host that does not own the flow.
+// ForwardedShare returns how often hosts forward a packet to each other, in relation to the number
+// of packets from callers. A packet is forwarded whenever the fabric delivers it to a host that
+// does not own the flow. The ratio may exceed one, since packets from targets are forwarded too.
 func ForwardedShare(r ScenarioResult) float64 {
 	if r.Packets == 0 {
 		return 0
--- a/core/comparer/policy.go
+++ b/core/comparer/policy.go
@@ -60,8 +60,8 @@
 	BrokenFlows int
 	// FlowsPerTarget is the number of flows placed on each target.
 	FlowsPerTarget map[netip.AddrPort]int
-	// ForwardedPackets is the number of packets forwarded between hosts, Packets the number
-	// of all packets from callers.
+	// ForwardedPackets is the number of packets from callers and targets that were forwarded
+	// between hosts, Packets the number of all packets from callers.
 	ForwardedPackets int
 	Packets          int
 	// ControlBytesPerSecond is the control traffic sent by the busiest host.
@@ -171,8 +171,8 @@
 			}
 		}
 	case PauseHost, ResumeHost, PartitionHosts, HealPartition:
-		// A partition does not affect hosts that do not communicate, and a pause only
-		// delays their packets.
+		// Baseline hosts do not communicate, so that a partition does not affect them. A
+		// pause only delays their packets and does not change the targets.
 	}
 }
 
