--- a/core/comparer/balance.go
+++ b/core/comparer/balance.go
@@ -111,10 +111,10 @@
 	return int(ip[2])<<8 | int(ip[3])
 }
 
-// ForwardedShare returns how often hosts forward a packet to each other, in relation to the number
+// ForwardsPerCallerPacket returns how often hosts forward a packet to each other, in relation to the number
 // of packets from callers. A packet is forwarded whenever the fabric delivers it to a host that
 // does not own the flow. The ratio may exceed one, since packets from targets are forwarded too.
-func ForwardedShare(r ScenarioResult) float64 {
+func ForwardsPerCallerPacket(r ScenarioResult) float64 {
 	if r.Packets == 0 {
 		return 0
 	}
--- a/core/comparer/comparer_test.go
+++ b/core/comparer/comparer_test.go
@@ -18,7 +18,7 @@
 				result := comparer.RunScenario(p, s, 1)
 				broken = append(broken, result.BrokenFlows)
 				if _, ok := p.(comparer.Cranberryspan); ok {
-					t.Logf("%s: broken %d of %d, %.0f control bytes a second, hops %.2f", comparer.PolicyName(p), result.BrokenFlows, result.Flows, result.ControlBytesPerSecond, comparer.ForwardedShare(result))
+					t.Logf("%s: broken %d of %d, %.0f control bytes a second, hops %.2f", comparer.PolicyName(p), result.BrokenFlows, result.Flows, result.ControlBytesPerSecond, comparer.ForwardsPerCallerPacket(result))
 					require.LessOrEqual(t, result.ControlBytesPerSecond, 4096.0)
 				} else {
 					t.Logf("%s: broken %d of %d", comparer.PolicyName(p), result.BrokenFlows, result.Flows)
@@ -28,8 +28,8 @@
 			if s.Planned {
 				require.Zero(t, systemBroken)
 			}
-			for _, baseline := range broken {
-				require.LessOrEqual(t, systemBroken, baseline)
+			for _, policyBroken := range broken {
+				require.LessOrEqual(t, systemBroken, policyBroken)
 			}
 		})
 	}
--- a/core/comparer/policy.go
+++ b/core/comparer/policy.go
@@ -198,8 +198,8 @@
 	case HashModulo:
 		return healthy[hash%uint64(len(healthy))]
 	case PerHostFlowTable:
-		if known, ok := h.flowTable[flow]; ok && slices.Contains(h.listedTargets, known) {
-			return known
+		if storedTarget, ok := h.flowTable[flow]; ok && slices.Contains(h.listedTargets, storedTarget) {
+			return storedTarget
 		}
 	}
 	target := rendezvous(hash, healthy)
--- a/core/comparer/scenario.go
+++ b/core/comparer/scenario.go
@@ -103,29 +103,29 @@
 
 // Scenarios returns all scenarios.
 func Scenarios() []Scenario {
-	all := intRange(1, 14)
+	initialTargets := intRange(1, 14)
 	withTraffic := func(steps ...Step) []Step {
 		steps = append([]Step{OpenFlows{Flows: 1000}, SendTraffic{Rounds: 2}}, steps...)
 		return append(steps, SendTraffic{Rounds: 2}, WaitFor{Duration: settleTime}, SendTraffic{Rounds: 2})
 	}
-	replaceAll := make([]Step, 0, 16)
+	replaceAllHosts := make([]Step, 0, 16)
 	for _, name := range baseSettings().HostNames() {
-		replaceAll = append(replaceAll, StopHost{Host: name}, SendTraffic{Rounds: 1}, StartHost{Host: name}, SendTraffic{Rounds: 1})
+		replaceAllHosts = append(replaceAllHosts, StopHost{Host: name}, SendTraffic{Rounds: 1}, StartHost{Host: name}, SendTraffic{Rounds: 1})
 	}
 	return []Scenario{
 		{"target added", true, withTraffic(PublishSettings{Targets: intRange(1, 15)})},
 		{"four targets added", true, withTraffic(PublishSettings{Targets: intRange(1, 18)})},
-		{"two targets drained", true, withTraffic(PublishSettings{Targets: all, Draining: []int{3, 7}})},
+		{"two targets drained", true, withTraffic(PublishSettings{Targets: initialTargets, Draining: []int{3, 7}})},
 		{"two targets replaced", true, withTraffic(PublishSettings{Targets: intRange(1, 16), Draining: []int{3, 7}})},
-		{"targets drained, hosts a revision apart", true, withTraffic(PublishSettings{Targets: all, Draining: []int{3, 7}, DelayedHosts: []string{"a1", "b1", "c1", "c2"}})},
+		{"targets drained, hosts a revision apart", true, withTraffic(PublishSettings{Targets: initialTargets, Draining: []int{3, 7}, DelayedHosts: []string{"a1", "b1", "c1", "c2"}})},
 		{"host leaves", true, withTraffic(StopHost{Host: "a2"})},
 		{"host leaves and comes back", true, withTraffic(StopHost{Host: "a2"}, SendTraffic{Rounds: 1}, StartHost{Host: "a2"})},
-		{"all hosts replaced", true, withTraffic(replaceAll...)},
-		{"targets replaced, then all hosts", true, withTraffic(append([]Step{PublishSettings{Targets: intRange(1, 16), Draining: []int{3, 7}}, SendTraffic{Rounds: 1}}, replaceAll...)...)},
+		{"all hosts replaced", true, withTraffic(replaceAllHosts...)},
+		{"targets replaced, then all hosts", true, withTraffic(append([]Step{PublishSettings{Targets: intRange(1, 16), Draining: []int{3, 7}}, SendTraffic{Rounds: 1}}, replaceAllHosts...)...)},
 		{"target added while a host leaves", true, withTraffic(PublishSettings{Targets: intRange(1, 15), DelayedHosts: []string{"b2"}}, StopHost{Host: "b1"})},
 		{"host dies", false, withTraffic(KillHost{Host: "a1"})},
 		{"host dies right after a target is added", false, withTraffic(PublishSettings{Targets: intRange(1, 15)}, SendTraffic{Rounds: 1}, KillHost{Host: "a1"})},
-		{"host dies after targets are drained", false, withTraffic(PublishSettings{Targets: all, Draining: []int{3, 7}}, WaitFor{Duration: settleTime}, KillHost{Host: "a1"})},
+		{"host dies after targets are drained", false, withTraffic(PublishSettings{Targets: initialTargets, Draining: []int{3, 7}}, WaitFor{Duration: settleTime}, KillHost{Host: "a1"})},
 		{"three hosts die, targets replaced", false, withTraffic(PublishSettings{Targets: intRange(1, 16), Draining: []int{3, 7}}, WaitFor{Duration: time.Second}, KillHost{Host: "a1"}, KillHost{Host: "b1"}, KillHost{Host: "c1"})},
 		{"flows open while targets are ill, then a host dies", false, []Step{
 			FailTargets{Targets: []int{1, 2, 3}},
@@ -142,6 +142,6 @@
 		}},
 		{"host paused for 10 s", false, withTraffic(PauseHost{Host: "a1"}, SendTraffic{Rounds: 1}, WaitFor{Duration: 10 * time.Second}, PublishSettings{Targets: intRange(1, 15)}, SendTraffic{Rounds: 1}, ResumeHost{Host: "a1"})},
 		{"zone cut off", false, withTraffic(PartitionHosts{Hosts: []string{"a1", "a2", "a3"}}, SendTraffic{Rounds: 1}, WaitFor{Duration: settleTime}, SendTraffic{Rounds: 2}, HealPartition{Hosts: []string{"a1", "a2", "a3"}})},
-		{"zone cut off while targets are drained", false, withTraffic(PartitionHosts{Hosts: []string{"a1", "a2", "a3"}}, PublishSettings{Targets: all, Draining: []int{3, 7}, DelayedHosts: []string{"a1", "a2", "a3"}}, SendTraffic{Rounds: 2}, HealPartition{Hosts: []string{"a1", "a2", "a3"}})},
+		{"zone cut off while targets are drained", false, withTraffic(PartitionHosts{Hosts: []string{"a1", "a2", "a3"}}, PublishSettings{Targets: initialTargets, Draining: []int{3, 7}, DelayedHosts: []string{"a1", "a2", "a3"}}, SendTraffic{Rounds: 2}, HealPartition{Hosts: []string{"a1", "a2", "a3"}})},
 	}
 }
--- a/standin/internal/answerer/answerer.go
+++ b/standin/internal/answerer/answerer.go
@@ -124,11 +124,11 @@
 type flowKey struct{ caller, service netip.AddrPort }
 
 type flow struct {
-	endpoint *transporter.Endpoint
-	key      flowKey
-	echo     uint32
-	received []byte
-	opened   bool
+	endpoint     *transporter.Endpoint
+	key          flowKey
+	echo         uint32
+	received     []byte
+	dataReceived bool
 }
 
 type job struct {
@@ -297,8 +297,8 @@
 
 func (t *Target) handleData(f *flow, p platformtest.Packet) {
 	f.echo = p.Echo
-	if !f.opened {
-		f.opened = true
+	if !f.dataReceived {
+		f.dataReceived = true
 		t.record.mu.Lock()
 		t.record.targetByCaller[f.key.caller] = t.config.Entry.ID
 		t.record.mu.Unlock()
--- a/standin/internal/loader/loader.go
+++ b/standin/internal/loader/loader.go
@@ -194,18 +194,18 @@
 func (l *Loader) sendCheck(ctx context.Context, c *client, workload Workload) {
 	id := l.newRequestID(workload.Service)
 	l.recorder.updateTally(workload.Kind, func(t *Tally) { t.Started++ })
-	began := time.Now()
+	startedAt := time.Now()
 	m, err := c.do(ctx, request{code: codes.POST, path: "/" + string(workload.Kind), payload: []byte(id), observe: observeNone})
 	if err == nil && m.Code == codes.Changed && strings.HasSuffix(string(m.Payload), " "+id) {
-		l.recorder.recordLatency(workload.Kind, time.Since(began))
+		l.recorder.recordLatency(workload.Kind, time.Since(startedAt))
 	} else {
 		l.recorder.addProblem("%s %s: code %v, %q, error %v", workload.Kind, id, m.Code, m.Payload, err)
 	}
-	l.recorder.updateTally(workload.Kind, func(t *Tally) { t.countResponse(m, err, id) })
+	l.recorder.updateTally(workload.Kind, func(t *Tally) { t.countResult(m, err, id) })
 }
 
-// countResponse counts the result of a check or press.
-func (t *Tally) countResponse(m message.Message, err error, id string) {
+// countResult counts the result of a check or press.
+func (t *Tally) countResult(m message.Message, err error, id string) {
 	switch {
 	case err != nil:
 		t.Unanswered++
@@ -223,16 +223,16 @@
 func (l *Loader) sendUpload(ctx context.Context, c *client, service string) {
 	id := l.newRequestID(service)
 	l.recorder.updateTally(KindUpload, func(t *Tally) { t.Started++ })
-	began := time.Now()
+	startedAt := time.Now()
 	var last message.Message
 	var err error
-	sent := 0
+	lastBlock := 0
 	for block := range l.config.UploadBlocks {
 		payload := make([]byte, uploadBlockBytes)
 		if block == 0 {
 			copy(payload, id+"\n")
 		}
-		sent = block
+		lastBlock = block
 		more := block < l.config.UploadBlocks-1
 		last, err = c.do(ctx, request{code: codes.POST, path: "/upload", payload: payload, observe: observeNone, blockwise: true, blockNumber: int64(block), moreBlocks: more})
 		if err != nil || (more && last.Code != codes.Continue) {
@@ -255,16 +255,16 @@
 		}
 	})
 	if broken || (err == nil && last.Code == codes.GatewayTimeout) {
-		l.recorder.addProblem("upload %s: block %d: code %v, %q, error %v", id, sent, last.Code, last.Payload, err)
+		l.recorder.addProblem("upload %s: block %d: code %v, %q, error %v", id, lastBlock, last.Code, last.Payload, err)
 	}
-	l.recorder.recordLatency(KindUpload, time.Since(began))
+	l.recorder.recordLatency(KindUpload, time.Since(startedAt))
 }
 
 // runStream keeps a stream open until the end of the run. The stream is broken if notifications
 // stop or come from another target.
 func (l *Loader) runStream(ctx context.Context, c *client, end time.Time) {
 	l.recorder.updateTally(KindStream, func(t *Tally) { t.Started++ })
-	began := time.Now()
+	startedAt := time.Now()
 	m, err := c.do(ctx, request{code: codes.GET, path: "/stream", observe: 0})
 	if err != nil || m.Code != codes.Content {
 		l.recorder.updateTally(KindStream, func(t *Tally) {
@@ -276,7 +276,7 @@
 		})
 		return
 	}
-	l.recorder.recordLatency(KindStream, time.Since(began))
+	l.recorder.recordLatency(KindStream, time.Since(startedAt))
 	target, broken := string(m.Payload), false
 	last := time.Now()
 	c.onNotification = func(from string) {
--- a/standin/internal/loader/report.go
+++ b/standin/internal/loader/report.go
@@ -186,13 +186,13 @@
 	defer r.mu.Unlock()
 	tallies := map[WorkloadKind]Tally{}
 	for kind, t := range r.tallies {
-		now := *t
+		tally := *t
 		if h, ok := r.histograms[kind]; ok {
-			now.MedianUs = h.ValueAtQuantile(50)
-			now.P99Us = h.ValueAtQuantile(99)
-			now.MaxUs = h.Max()
+			tally.MedianUs = h.ValueAtQuantile(50)
+			tally.P99Us = h.ValueAtQuantile(99)
+			tally.MaxUs = h.Max()
 		}
-		tallies[kind] = now
+		tallies[kind] = tally
 	}
 	return tallies
 }
--- a/standin/internal/measurer/markdown.go
+++ b/standin/internal/measurer/markdown.go
@@ -65,19 +65,19 @@
 	handover := m.Handovers[len(m.Handovers)-1]
 	request := m.Requests[0]
 	const secondsPerDay = 86_400
-	d := HostEstimate{Flows: float64(PlannedFlows) / PlannedHosts, Propagation: fleet.Propagation}
-	d.FlowMemoryBytes = d.Flows * m.Flows[0].BytesPerFlow
-	d.MemoryBytes = d.FlowMemoryBytes + float64(settings.MemoryBytes)
-	d.HeartbeatBytesPerSecond = fleet.MaxBytesPerSecond
+	estimate := HostEstimate{Flows: float64(PlannedFlows) / PlannedHosts, Propagation: fleet.Propagation}
+	estimate.FlowMemoryBytes = estimate.Flows * m.Flows[0].BytesPerFlow
+	estimate.MemoryBytes = estimate.FlowMemoryBytes + float64(settings.MemoryBytes)
+	estimate.HeartbeatBytesPerSecond = fleet.MaxBytesPerSecond
 	// Every new flow is counted as one non-idempotent request.
-	d.WitnessBytesPerSecond = float64(PlannedNewFlowsPerSecond) / PlannedHosts * request.BytesPerRequest
-	d.SettingsBytesPerSecond = float64(settings.CompressedBytes) * PlannedChangesPerDay / secondsPerDay
+	estimate.WitnessBytesPerSecond = float64(PlannedNewFlowsPerSecond) / PlannedHosts * request.BytesPerRequest
+	estimate.SettingsBytesPerSecond = float64(settings.CompressedBytes) * PlannedChangesPerDay / secondsPerDay
 	bytesPerFlow := float64(handover.Bytes) / float64(handover.Flows)
-	d.HandoverBytesPerSecond = bytesPerFlow * d.Flows * PlannedRestartsPerDay / PlannedHosts / secondsPerDay
-	d.ControlBytesPerSecond = d.HeartbeatBytesPerSecond + d.WitnessBytesPerSecond + d.SettingsBytesPerSecond + 2*d.HandoverBytesPerSecond
+	estimate.HandoverBytesPerSecond = bytesPerFlow * estimate.Flows * PlannedRestartsPerDay / PlannedHosts / secondsPerDay
+	estimate.ControlBytesPerSecond = estimate.HeartbeatBytesPerSecond + estimate.WitnessBytesPerSecond + estimate.SettingsBytesPerSecond + 2*estimate.HandoverBytesPerSecond
 	adoptionCPUShare := settings.ChangeTime.Seconds() * PlannedChangesPerDay / secondsPerDay
-	d.ControlCPUShare = fleet.CPUShare + adoptionCPUShare
-	return d
+	estimate.ControlCPUShare = fleet.CPUShare + adoptionCPUShare
+	return estimate
 }
 
 // pageWriter writes one formatted line of the page.
@@ -155,7 +155,7 @@
 }
 
 func (m Measurements) estimateTable(line pageWriter) {
-	d := m.EstimateHost()
+	estimate := m.EstimateHost()
 	verdict := func(met bool) string {
 		if met {
 			return "met"
@@ -163,15 +163,15 @@
 		return "**missed**"
 	}
 	line.tableHead("One host at the two-year size, worked out", "what", "figure", "bound", "")
-	line("| flows | %.0f | | |", d.Flows)
-	line("| memory: flows %.1f MB, settings and tables %.1f MB | %.1f MB | 128 MB | %s |", d.FlowMemoryBytes/(1<<20), (d.MemoryBytes-d.FlowMemoryBytes)/(1<<20), d.MemoryBytes/(1<<20), verdict(d.MemoryBytes < MaxMemoryBytes))
-	line("| heartbeats, busiest host | %.0f B/s | | |", d.HeartbeatBytesPerSecond)
-	line("| identities of %d new flows a second | %.0f B/s | | |", PlannedNewFlowsPerSecond, d.WitnessBytesPerSecond)
-	line("| settings, %d changes a day | %.0f B/s | | |", PlannedChangesPerDay, d.SettingsBytesPerSecond)
-	line("| handovers, %d restarts a day | %.0f B/s | | |", PlannedRestartsPerDay, d.HandoverBytesPerSecond)
-	line("| control in all | %.0f B/s | 14000 B/s | %s |", d.ControlBytesPerSecond, verdict(d.ControlBytesPerSecond < MaxControlBytesPerSecond))
-	line("| processor for control | %.2f%% of a core | 4.8%% | %s |", 100*d.ControlCPUShare, verdict(d.ControlCPUShare < MaxCPUShare))
-	line("| a change in force everywhere | %s | 9 s | %s |", roundDuration(d.Propagation), verdict(d.Propagation < MaxPropagation))
+	line("| flows | %.0f | | |", estimate.Flows)
+	line("| memory: flows %.1f MB, settings and tables %.1f MB | %.1f MB | 128 MB | %s |", estimate.FlowMemoryBytes/(1<<20), (estimate.MemoryBytes-estimate.FlowMemoryBytes)/(1<<20), estimate.MemoryBytes/(1<<20), verdict(estimate.MemoryBytes < MaxMemoryBytes))
+	line("| heartbeats, busiest host | %.0f B/s | | |", estimate.HeartbeatBytesPerSecond)
+	line("| identities of %d new flows a second | %.0f B/s | | |", PlannedNewFlowsPerSecond, estimate.WitnessBytesPerSecond)
+	line("| settings, %d changes a day | %.0f B/s | | |", PlannedChangesPerDay, estimate.SettingsBytesPerSecond)
+	line("| handovers, %d restarts a day | %.0f B/s | | |", PlannedRestartsPerDay, estimate.HandoverBytesPerSecond)
+	line("| control in all | %.0f B/s | 14000 B/s | %s |", estimate.ControlBytesPerSecond, verdict(estimate.ControlBytesPerSecond < MaxControlBytesPerSecond))
+	line("| processor for control | %.2f%% of a core | 4.8%% | %s |", 100*estimate.ControlCPUShare, verdict(estimate.ControlCPUShare < MaxCPUShare))
+	line("| a change in force everywhere | %s | 9 s | %s |", roundDuration(estimate.Propagation), verdict(estimate.Propagation < MaxPropagation))
 }
 
 func roundDuration(d time.Duration) time.Duration {
--- a/standin/internal/measurer/measurer.go
+++ b/standin/internal/measurer/measurer.go
@@ -161,8 +161,8 @@
 	return cost
 }
 
-func perHostPerSecond(n, hosts int, span time.Duration) float64 {
-	return float64(n) / float64(hosts) / span.Seconds()
+func perHostPerSecond(n, hosts int, duration time.Duration) float64 {
+	return float64(n) / float64(hosts) / duration.Seconds()
 }
 
 func inForceEverywhere(simulation *driver.Simulation, revision uint64) bool {
@@ -310,6 +310,6 @@
 }
 
 // String returns a one-line summary.
-func (p FleetCost) String() string {
-	return fmt.Sprintf("%d hosts: %.1f messages and %.0f bytes a second, %s", p.Hosts, p.MessagesPerSecond, p.BytesPerSecond, p.Propagation)
+func (c FleetCost) String() string {
+	return fmt.Sprintf("%d hosts: %.1f messages and %.0f bytes a second, %s", c.Hosts, c.MessagesPerSecond, c.BytesPerSecond, c.Propagation)
 }
--- a/standin/internal/router/router.go
+++ b/standin/internal/router/router.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	checkInterval = 500 * time.Millisecond
+	readinessCheckInterval = 500 * time.Millisecond
 	// unhealthyThreshold is the number of consecutive failed readiness checks after which a
 	// host is out of rotation.
 	unhealthyThreshold = 2
@@ -42,9 +42,9 @@
 	conn   *net.UDPConn
 	client *http.Client
 
-	mu           sync.Mutex
-	failedChecks map[string]int
-	faults       map[string]Fault
+	mu                    sync.Mutex
+	failedReadinessChecks map[string]int
+	faults                map[string]Fault
 }
 
 // New returns a router whose hosts are all out of rotation.
@@ -54,11 +54,11 @@
 		return nil, err
 	}
 	r := &Router{
-		hosts: hosts, conn: conn, failedChecks: map[string]int{}, faults: map[string]Fault{},
-		client: &http.Client{Timeout: checkInterval, Transport: &http.Transport{DisableKeepAlives: true}},
+		hosts: hosts, conn: conn, failedReadinessChecks: map[string]int{}, faults: map[string]Fault{},
+		client: &http.Client{Timeout: readinessCheckInterval, Transport: &http.Transport{DisableKeepAlives: true}},
 	}
 	for _, h := range hosts {
-		r.failedChecks[h.Name] = unhealthyThreshold
+		r.failedReadinessChecks[h.Name] = unhealthyThreshold
 	}
 	return r, nil
 }
@@ -69,7 +69,7 @@
 	done := make(chan error, 1)
 	var checks sync.WaitGroup
 	for _, h := range r.hosts {
-		checks.Go(func() { r.checkLoop(ctx, h) })
+		checks.Go(func() { r.readinessCheckLoop(ctx, h) })
 	}
 	go func() {
 		checks.Wait()
@@ -78,16 +78,16 @@
 	return done
 }
 
-func (r *Router) checkLoop(ctx context.Context, h Host) {
-	ticker := time.NewTicker(checkInterval)
+func (r *Router) readinessCheckLoop(ctx context.Context, h Host) {
+	ticker := time.NewTicker(readinessCheckInterval)
 	defer ticker.Stop()
 	for {
 		ready := r.checkReady(ctx, h)
 		r.mu.Lock()
 		if ready {
-			r.failedChecks[h.Name] = 0
+			r.failedReadinessChecks[h.Name] = 0
 		} else {
-			r.failedChecks[h.Name]++
+			r.failedReadinessChecks[h.Name]++
 		}
 		r.mu.Unlock()
 		select {
@@ -117,7 +117,7 @@
 	defer r.mu.Unlock()
 	var names []string
 	for _, h := range r.hosts {
-		if r.failedChecks[h.Name] < unhealthyThreshold {
+		if r.failedReadinessChecks[h.Name] < unhealthyThreshold {
 			names = append(names, h.Name)
 		}
 	}
@@ -159,7 +159,7 @@
 	defer r.mu.Unlock()
 	var inZone, readyInZone, otherZones []Host
 	for _, h := range r.hosts {
-		inRotation := r.failedChecks[h.Name] < unhealthyThreshold
+		inRotation := r.failedReadinessChecks[h.Name] < unhealthyThreshold
 		if h.Zone == zone {
 			inZone = append(inZone, h)
 			if inRotation {
--- a/standin/internal/soaker/faults.go
+++ b/standin/internal/soaker/faults.go
@@ -73,21 +73,21 @@
 	orderedAt time.Time
 }
 
-func (o *zoneEvacuations) set(zone string, orderedAt time.Time) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.zone, o.orderedAt = zone, orderedAt
+func (e *zoneEvacuations) set(zone string, orderedAt time.Time) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.zone, e.orderedAt = zone, orderedAt
 }
 
 // evacuatedSince returns when the evacuation of a zone was ordered; the zero time if no order
 // for the zone is in force.
-func (o *zoneEvacuations) evacuatedSince(zone string) time.Time {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.zone != zone {
+func (e *zoneEvacuations) evacuatedSince(zone string) time.Time {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.zone != zone {
 		return time.Time{}
 	}
-	return o.orderedAt
+	return e.orderedAt
 }
 
 // evacuateZone orders the evacuation of a zone and later withdraws the order.
--- a/standin/internal/soaker/soaker.go
+++ b/standin/internal/soaker/soaker.go
@@ -340,12 +340,12 @@
 
 func (s *soakRun) inject(ctx context.Context, f fault) {
 	s.recordDisturbance(f, 1)
-	began := time.Now()
+	startedAt := time.Now()
 	details := f.run(ctx, s)
 	s.recordDisturbance(f, -1)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.faults = append(s.faults, fmt.Sprintf("%s %s %s", began.Format("15:04:05.000"), f.name, details))
+	s.faults = append(s.faults, fmt.Sprintf("%s %s %s", startedAt.Format("15:04:05.000"), f.name, details))
 }
 
 func (s *soakRun) recordDisturbance(f fault, change int) {
--- a/standin/internal/sprayer/sprayer.go
+++ b/standin/internal/sprayer/sprayer.go
@@ -137,7 +137,7 @@
 // receive packets.
 func (f *Fabric) controlServer() *http.Server {
 	mux := http.NewServeMux()
-	set := func(cut bool) http.HandlerFunc {
+	setCut := func(cut bool) http.HandlerFunc {
 		return func(_ http.ResponseWriter, request *http.Request) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
@@ -145,8 +145,8 @@
 			f.updateReceivingHosts()
 		}
 	}
-	mux.HandleFunc("POST /cut", set(true))
-	mux.HandleFunc("POST /heal", set(false))
+	mux.HandleFunc("POST /cut", setCut(true))
+	mux.HandleFunc("POST /heal", setCut(false))
 	mux.HandleFunc("GET /hosts", func(w http.ResponseWriter, _ *http.Request) {
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -212,16 +212,16 @@
 		f.handleAnnouncement(a)
 		return
 	}
-	d, err := encoder.DecodeEncapsulatedPacket(data)
+	packet, err := encoder.DecodeEncapsulatedPacket(data)
 	if err != nil || f.isCut(name) {
 		return
 	}
-	if conn, ok := f.serviceConns[d.From]; ok {
-		_, _ = conn.WriteToUDPAddrPort(d.Payload, d.To)
+	if conn, ok := f.serviceConns[packet.From]; ok {
+		_, _ = conn.WriteToUDPAddrPort(packet.Payload, packet.To)
 		return
 	}
-	if conn := f.returnConn(ctx, d.From); conn != nil {
-		_, _ = conn.WriteToUDPAddrPort(d.Payload, d.To)
+	if conn := f.returnConn(ctx, packet.From); conn != nil {
+		_, _ = conn.WriteToUDPAddrPort(packet.Payload, packet.To)
 	}
 }
 
--- a/standin/main.go
+++ b/standin/main.go
@@ -97,11 +97,11 @@
 	if err != nil {
 		return err
 	}
-	p, err := publisher.New(command.String("listen"), document)
+	platform, err := publisher.New(command.String("listen"), document)
 	if err != nil {
 		return err
 	}
-	return <-p.Run(ctx)
+	return <-platform.Run(ctx)
 }
 
 func runFabric(ctx context.Context, command *cli.Command) error {
@@ -117,11 +117,11 @@
 	if err != nil {
 		return err
 	}
-	s, err := sprayer.New(hostListen, control, settings, command.Uint64("seed"))
+	fabric, err := sprayer.New(hostListen, control, settings, command.Uint64("seed"))
 	if err != nil {
 		return err
 	}
-	return <-s.Run(ctx)
+	return <-fabric.Run(ctx)
 }
 
 func runTargets(ctx context.Context, command *cli.Command) error {
--- a/standin/soak_test.go
+++ b/standin/soak_test.go
@@ -34,7 +34,7 @@
 
 // Guards against failed requests and frequent reads of the store in a run whose only fault is the
 // reload of settings.
-func TestAllRequestsAreAnsweredWithoutFaults(t *testing.T) {
+func TestSettingsReloadsFailNoRequest(t *testing.T) {
 	t.Parallel()
 	report := requireSoakPasses(t, soaker.Config{Seed: 1, AddressBlock: 60, Duration: time.Second, OnlyFaults: []string{"reload"}, RequireAllAnswered: true})
 	require.Less(t, report.StoreReads, 80, "two reads about every second, and two at each host's start")
