--- a/core/limiter/limiter.go
+++ b/core/limiter/limiter.go
@@ -302,7 +302,7 @@
 	}
 }
 
-// adjustReporters adds a host to the reporters, or removes it.
+// adjustReporters adds a host to the reporters if delta is 1, and removes it if delta is -1.
 func (l *Limiter) adjustReporters(h *remoteHost, delta int) {
 	switch {
 	case !h.sameZone || h.timedOut:
@@ -407,16 +407,16 @@
 	delete(l.hosts, name)
 }
 
-// EstimateFlows returns this host's estimate of the flows at a target. The parameter bound is the
-// connection limit of the target.
+// EstimateFlows returns this host's estimate of the flows at a target. The parameter maxFlows is
+// the connection limit of the target.
 func (l *Limiter) EstimateFlows(t *TargetFlows, maxFlows int, estimate UnreportedEstimate, now timekeeper.Instant) FlowEstimate {
 	b := FlowEstimate{Local: t.local, Reported: t.reported}
 	reporters := l.Reporters(t)
 	unreported := estimate.PerHost*float64(max(l.peerCount()-reporters, 0)) + estimate.Growth*float64(reporters)
 	b.Estimated = l.estimateForgotten(t, now) + int(unreported+0.5)
 	b.Estimated = max(b.Estimated, estimate.Min-b.Local-b.Reported)
-	// No target exceeds its connection limit, so flows reported since then replace unaccounted
-	// ones.
+	// No target exceeds its connection limit, so flows that are reported after the target has
+	// turned out to be full replace unaccounted ones.
 	unaccounted := min(l.remaining(t.unaccounted, t.unaccountedSince, now), max(maxFlows-b.Total(), 0))
 	if unaccounted == 0 {
 		t.unaccounted = 0
@@ -450,7 +450,7 @@
 // second, about as many hosts as there are free connections may open one flow each. Without this,
 // all hosts of a zone compete for the last free connections and most of them meet a full target,
 // since each host's data on the others is a second old, which shows as opening packets that wait
-// at targets with an estimated one connection left. A connection freed by a local flow is
+// at targets estimated to have one connection left. A connection freed by a local flow is
 // available to this host for one second: no other host knows that it is free.
 func (l *Limiter) Evaluate(t *TargetFlows, tag uint32, b FlowLimit, estimate UnreportedEstimate, now timekeeper.Instant) (flows int, admits bool) {
 	flows = l.EstimateFlows(t, b.MaxFlows, estimate, now).Total()
@@ -491,7 +491,7 @@
 	t.unaccounted = max(maxFlows-l.EstimateFlows(t, maxFlows, estimate, now).Total(), 0)
 }
 
-// UsedTargets returns the given targets at which this host has, or has had, flows.
+// UsedTargets returns those of the given targets at which this host has, or has had, flows.
 func (l *Limiter) UsedTargets(tags []uint32) []uint32 {
 	var used []uint32
 	for _, tag := range tags {
--- a/core/limiter/limiter_test.go
+++ b/core/limiter/limiter_test.go
@@ -169,8 +169,7 @@
 	incarnations []uint64
 	targets      int
 	// lossRate is the fraction of reports that are lost.
-	lossRate float64
-	// flows are the open flows.
+	lossRate      float64
 	flows         []simFlow
 	flowsByTarget []int
 	// attempts counts new flows, fullTargetHits how often one was sent to a full target,
@@ -213,7 +212,7 @@
 	return tags
 }
 
-// report sends a host's report to three others, as happens every quarter of a second.
+// report sends a host's report to up to three others, as happens every quarter of a second.
 func (s *simulation) report(from int) {
 	for range 3 {
 		to := s.random.IntN(len(s.hosts))
@@ -304,7 +303,7 @@
 	}
 }
 
-// restart restarts a host without any state.
+// restart restarts a host, which loses all its state.
 func (s *simulation) restart(host int) {
 	s.incarnations[host]++
 	s.hosts[host] = limiter.New(fmt.Sprint(host), s.now, idle)
@@ -365,7 +364,8 @@
 }
 
 // Guards against many opening packets to full targets in a thundering herd: when flows for twice
-// the number of all connections arrive within two seconds, before any host has reported.
+// the number of all connections arrive within two seconds, and no host has reported any flows when
+// they begin to arrive.
 func TestThunderingHerdRarelyHitsFullTargets(t *testing.T) {
 	s := newSimulation(2, 12, 40, 40, 0)
 	s.run(2, 1600)
@@ -401,8 +401,9 @@
 }
 
 // Property over numbers of hosts and targets, lost reports and restarts, with more new flows than
-// connections: hardly any flow is sent only to full targets, no reported flow counts twice or
-// below zero, and connections don't stay unused.
+// connections: hardly any flow is sent only to full targets, the number of reported flows is never
+// negative, no host counts more local flows than a target accepts, and connections don't stay
+// unused.
 func TestLimitHoldsUnderLossAndRestarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := rapid.IntRange(2, 12).Draw(t, "hosts")
@@ -439,8 +440,9 @@
 	require.Equal(t, 1, l.Reporters(l.Target(1)))
 }
 
-// Guards against two hosts being counted for one: when a host ends and another replaces it, and
-// both count as hosts until the idle timeout.
+// Guards against flows that are left out of the estimate: when a host ends and another, which has
+// sent no report, replaces it. If the ended host counted as a reporter until the idle timeout, the
+// other host would seem to have reported.
 func TestDeadHostsAreNotCountedAsReporters(t *testing.T) {
 	l := limiter.New("a0", start, 10*time.Minute)
 	l.ApplyReport("a1", limiter.Report{Incarnation: 1, SameZone: true, Flows: map[uint32]uint16{1: 10}}, start)
--- a/core/throttler/fairness_test.go
+++ b/core/throttler/fairness_test.go
@@ -21,9 +21,10 @@
 // simulation is one host and one service that sustains perSecond new flows per second. Flows beyond
 // that are refused in order of arrival.
 type simulation struct {
-	throttler  *throttler.Throttler
-	now        timekeeper.Instant
-	perSecond  float64
+	throttler *throttler.Throttler
+	now       timekeeper.Instant
+	perSecond float64
+	// capacity is how many flows the service can start now.
 	capacity   float64
 	overloaded bool
 	groups     []*callerGroup
@@ -177,8 +178,8 @@
 	require.Zero(t, loop.throttled+others.throttled)
 }
 
-// Guards against a host that runs out of memory: when callers come from a million addresses, and
-// the host keeps a record of each.
+// Guards against a host that runs out of memory: when callers come from very many addresses, here
+// 150,000, and the host keeps a record of each.
 func TestCallerTablesAreBounded(t *testing.T) {
 	th := throttler.New(nil)
 	for n := range 150_000 {
--- a/core/throttler/quota.go
+++ b/core/throttler/quota.go
@@ -140,7 +140,8 @@
 	}
 }
 
-// ExceededQuota returns a quota that a caller's new flow on a route would exceed.
+// ExceededQuota returns a quota that a caller's new flow on a route would exceed; false if there is
+// none.
 func (t *Throttler) ExceededQuota(caller netip.Addr, route string, now timekeeper.Instant) (Quota, bool) {
 	for _, b := range t.quotas {
 		if b.quota.Matches(caller, route) && b.limiter.TokensAt(limiterTime(now)) < 1 {
--- a/core/throttler/table.go
+++ b/core/throttler/table.go
@@ -21,7 +21,7 @@
 	// of a larger fleet sees only a fraction of each caller's flows.
 	minWeight = 0.02
 	// guaranteedRate is the rate that each caller is entitled to whatever its fair share, in new
-	// flows per second: as much as a person who keeps retrying.
+	// flows per second: as many as a person requests who keeps retrying.
 	guaranteedRate = 2
 	// excessFactor is the multiple of the others' demand per weight above which a caller requests
 	// much more than they do. A caller that sends two or three times as many requests as
@@ -114,7 +114,7 @@
 	// total is the demand of all callers, newcomers that of callers without a history.
 	total     demand
 	newcomers demand
-	// sharePerWeight is the fair share of weight one, in new flows per second.
+	// sharePerWeight is the fair share per unit of weight, in new flows per second.
 	sharePerWeight float64
 	// newcomerWeight and newcomerGuaranteedRate are the weight and the guaranteed rate of a
 	// prefix without a history.
@@ -184,7 +184,7 @@
 	return other.rate*d.weight > excessFactor*d.rate*other.weight
 }
 
-// maxMinSharePerWeight returns the fair share of weight one if capacity is divided by max-min
+// maxMinSharePerWeight returns the fair share per unit of weight if capacity is divided by max-min
 // fairness; infinite if the capacity suffices for all demands.
 func maxMinSharePerWeight(demands []demand, capacity float64) float64 {
 	weights := 0.0
--- a/core/throttler/throttler.go
+++ b/core/throttler/throttler.go
@@ -16,9 +16,10 @@
 // people have many, while a program that sends its next request when it has the response to the
 // last one has at most one. No weight grows during an overload.
 //
-// Addresses first seen during an overload are charged together, to their prefix, which weighs as
-// much as all its flows under normal load, or as other prefixes on average: a change of address
-// gains nothing, and known addresses of the prefix are not charged for it.
+// Addresses first seen during an overload are charged together, to their prefix. Its weight is the
+// mean number of all its open flows under normal load or, if it had none, at most the mean weight
+// of other prefixes: a change of address gains nothing, and known addresses of the prefix are not
+// charged for it.
 //
 // The package does no network I/O and reads no clock. A Throttler has a single owner and is changed
 // in place, since every new flow updates it.
@@ -35,7 +36,7 @@
 
 const (
 	// maxAddresses and maxPrefixes limit the callers that are kept per service, and so the
-	// memory that an attacker can fill. A caller beyond them is evicted, which refuses nobody.
+	// memory that an attacker can fill. Eviction of a caller causes no refusal.
 	maxAddresses = 512
 	maxPrefixes  = 128
 	// maxServices limits the services that are kept.
@@ -119,8 +120,9 @@
 	return decision
 }
 
-// callerFor returns the address or prefix that is charged for a request from an address. Under
-// normal load that is the address itself, from then on.
+// callerFor returns the address or prefix that is charged for a request from an address. Each
+// address seen under normal load is charged itself, then and later; all others are charged to
+// their prefixes.
 func (s *service) callerFor(address netip.Addr, now timekeeper.Instant) *caller {
 	key, prefix := keysOf(address)
 	if s.learningWeights(now) {
