--- a/core/admitter/admitter.go
+++ b/core/admitter/admitter.go
@@ -90,14 +90,14 @@
 // ServiceState is a host's view of a service, except for its demand.
 type ServiceState struct {
 	// Capacity is the number of slots of the live targets, in slots of baseline speed. It is 0
-	// if no target appears to be live: a request that is admitted anyway costs its caller
-	// nothing then.
+	// if no target appears to be live. All requests are admitted then, which costs their callers
+	// nothing.
 	Capacity float64
 	// ZoneHosts is the number of live hosts in the local zone, this one included.
 	ZoneHosts int
 	// HasPeerReports says that another host of the local zone has reported recently, or a host
-	// of another zone if the local zone has no other host. A host without peers sees all demand
-	// of its callers in its own window.
+	// of another zone if the local zone has no other host. A host without peers needs no
+	// reports: its own window (package pacer) covers the whole demand.
 	HasPeerReports bool
 }
 
--- a/core/admitter/simulation_test.go
+++ b/core/admitter/simulation_test.go
@@ -212,7 +212,7 @@
 	require.InDelta(t, 33.0/98, other, ratioTolerance)
 }
 
-// Guards against unused capacity when the demand of low priority grows to six times and the total
+// Guards against unused capacity when the demand of low priority grows to seven times and the total
 // is 300 of 240 slots.
 func TestSurgeOfLowPriorityFillsCapacity(t *testing.T) {
 	f := newFleet(240, 3, 8)
@@ -266,7 +266,7 @@
 }
 
 // Guards against refusals while targets are idle: when requests take half as long as hosts
-// estimate, a load peak exceeds only the estimated capacity, and no response corrects it.
+// estimate, a load peak may exceed the estimated capacity although no admitted request waits.
 func TestIdleTargetsAdmitAll(t *testing.T) {
 	a := admitter.New()
 	now := timekeeper.Instant(0)
--- a/core/pacer/pacer.go
+++ b/core/pacer/pacer.go
@@ -23,19 +23,20 @@
 import "time"
 
 const (
-	// pressureSmoothing is the weight of each response in the moving average of pressure: a mean
-	// over about 20 responses. A host sees 50 or more per second under a load worth pacing, so
-	// that a load peak is detected within half a second.
+	// pressureSmoothing is the weight of each response in the mean wait: a mean over about 20
+	// responses. A host sees 50 or more per second under a load that causes congestion, so that
+	// a load peak is detected within half a second.
 	pressureSmoothing = 0.05
-	// congestionOnThreshold is the pressure at which congestion begins and requests are queued.
-	// Waits spread about as much as their mean, so that one response in thirty is late at this
-	// pressure, and soon more. Normal load stays below 0.1.
+	// congestionOnThreshold is the mean wait, as a fraction of the callers' slack, at which
+	// congestion begins and requests are queued. Waits spread about as much as their mean, so
+	// that one response in thirty is late at this mean, and soon more. Under normal load it
+	// stays below 0.1.
 	congestionOnThreshold = 0.3
-	// congestionOffThreshold is the pressure at which congestion ends; the difference between
+	// congestionOffThreshold is the mean wait at which congestion ends; the difference between
 	// the thresholds is the hysteresis that prevents alternation.
 	congestionOffThreshold = 0.2
-	// maxPressure limits the pressure that one response counts for, so that a few stalled
-	// requests don't affect the average for long.
+	// maxPressure limits the wait that one response counts for, so that a few stalled requests
+	// don't affect the average for long.
 	maxPressure = 4
 	// slowdownSmoothing is the weight of each response in the moving average of slowdown.
 	slowdownSmoothing = 0.1
--- a/core/pacer/queue.go
+++ b/core/pacer/queue.go
@@ -69,8 +69,8 @@
 
 // Next returns the request to forward next: the oldest request past its aging deadline, or else,
 // among those that can be on time, the oldest of the highest priority. If all will be late, it
-// returns one only if the target has free slots: the request would take the slot of another one
-// that is about to arrive and can be on time.
+// returns the oldest, but only if the target has free slots: otherwise a late request would take
+// the slot of one that is about to arrive and can be on time.
 func (q *Queue[T]) Next(now timekeeper.Instant, hasFreeSlots bool) (T, bool) {
 	best := -1
 	for i := range q.requests {
