--- a/core/diagnoser/diagnoser.go
+++ b/core/diagnoser/diagnoser.go
@@ -109,8 +109,8 @@
 	}
 }
 
-// ResponseTimeout returns how long a target of a zone may take to respond to a handshake before
-// it counts as unresponsive.
+// ResponseTimeout returns how long a target of a zone may take to respond to an opening packet
+// or to the handshake of a probe before it counts as unresponsive.
 func (d *Diagnoser) ResponseTimeout(name string, now timekeeper.Instant) time.Duration {
 	z := d.zone(name)
 	if z.rttSamples == 0 {
@@ -134,7 +134,8 @@
 }
 
 // ZoneUnresponsive reports whether no target of a zone has shown activity since the given time,
-// for longer than the mean gap between two activities of the zone.
+// for longer than the mean gap between two activities of the zone. It is false while the mean
+// is based on fewer than minGaps gaps.
 //
 // Without the comparison with the mean gap, a host with one flow a second would take any lost
 // packet for a zone that is unresponsive.
--- a/core/estimator/estimator.go
+++ b/core/estimator/estimator.go
@@ -20,8 +20,8 @@
 // its response arrives, since a target that hangs sends no responses.
 //
 // A target that is estimated to be slow still gets occasional trial requests, so that a target
-// that has recovered can be told from one that just gets no requests. TrialLimiter and the
-// schedule of each Target bound their rate.
+// that has recovered can be distinguished from one that just gets no requests. TrialLimiter
+// and the schedule of each Target limit their rate.
 //
 // The package does no I/O and reads no clock: the current time is passed in.
 package estimator
--- a/core/estimator/simulation_test.go
+++ b/core/estimator/simulation_test.go
@@ -63,7 +63,8 @@
 }
 
 // result holds the latencies of callers while targets are slow, and the distribution of
-// requests.
+// requests. Requests from the time in which hosts detect the slow targets are left out: half a
+// second for latencies, one second for the distribution.
 type result struct {
 	latencies []time.Duration
 	// slowRequests and fastRequests count the requests to slow and fast targets while some are
@@ -78,8 +79,8 @@
 	return o.latencies[int(q*float64(len(o.latencies)-1))]
 }
 
-// simulate runs the scenario. counts holds the numbers of requests in flight that rankers
-// share.
+// simulate runs the scenario with the strategy that newRanker returns. The counts given to
+// newRanker are the numbers of requests in flight that all strategies have access to.
 func (l scenario) simulate(newRanker func(l scenario, counts *inFlightCounts, random *rand.Rand) ranker) result {
 	random := rand.New(rand.NewPCG(7, 7))
 	c := newInFlightCounts(l.hosts, l.targets)
--- a/core/messenger/message.go
+++ b/core/messenger/message.go
@@ -99,7 +99,7 @@
 	Phase       Phase    `cbor:"phase"`
 }
 
-// Heartbeat is part of every Ping, Ack and related message, in both directions.
+// Heartbeat is part of every Ping, Ack, PingRequest and IndirectAck.
 type Heartbeat struct {
 	Incarnation uint64 `cbor:"inc"`
 	Refutations uint64 `cbor:"ref,omitempty"`
@@ -137,8 +137,8 @@
 	Heartbeat Heartbeat `cbor:"n"`
 }
 
-// Ack answers a Ping. It is also a vote: the sender promises not to declare the receiver dead
-// for the duration of the grant.
+// Ack answers a Ping. It also grants the receiver a vote: the sender promises not to declare the
+// receiver dead as long as the vote is valid.
 type Ack struct {
 	Sequence  uint64    `cbor:"seq"`
 	Heartbeat Heartbeat `cbor:"n"`
--- a/core/messenger/report.go
+++ b/core/messenger/report.go
@@ -96,8 +96,8 @@
 type ServiceDemand struct {
 	_       struct{} `cbor:",toarray"`
 	Service string
-	// OpenFlows is the number of open flows of the service's targets; for a zone, the mean
-	// number of each of its targets.
+	// OpenFlows is, in Report.ZoneDemands, the mean number of open flows per target of the
+	// sender's zone if the service's targets may run out of connections, and 0 otherwise.
 	OpenFlows uint32
 	// ByPriority is the demand of the requests of each priority.
 	ByPriority []PriorityDemand
--- a/core/placer/lookup_table.go
+++ b/core/placer/lookup_table.go
@@ -21,7 +21,7 @@
 // tenth at 1,024 entries. So each target is the first candidate of at most its exact fraction
 // of the entries: an entry whose best candidate has reached that limit goes to the next one. A
 // change of the candidates moves somewhat more entries than the minimum, which costs nothing,
-// since established flows stay on their targets (see reducer).
+// since established flows stay on their targets (see package reducer).
 type LookupTable struct {
 	// entries holds, for each entry, the indexes of its candidates; -1 means none.
 	entries [][CandidatesPerEntry]int16
--- a/core/warmer/simulation_test.go
+++ b/core/warmer/simulation_test.go
@@ -82,7 +82,8 @@
 	w.placements[target] = append(w.placements[target], placement{host, now})
 }
 
-// scenario describes the hosts and cold targets of a zone, and which hosts know each other.
+// scenario describes the hosts and cold targets of a zone, and which hosts have learned of each
+// other.
 type scenario struct {
 	hosts, targets int
 	limitPerSecond float64
@@ -168,7 +169,7 @@
 	}
 }
 
-// Guards against overloading cold targets, where one request in a hundred then fails: when the
+// Guards against overloading cold targets, which then fail one request in a hundred: when the
 // targets of a zone return cold and idle, all hosts of the zone place their flows on them, and
 // no host sees what the others place.
 //
--- a/core/warmer/warmer.go
+++ b/core/warmer/warmer.go
@@ -33,9 +33,9 @@
 	// holder, a single failed host leaves the target idle while it is cold; with many, each has
 	// to wait so long between two flows that most tickets are unused.
 	maxHolders = 4
-	// flowsPerHolder is the rate, in flows per second, that a target has to sustain for each
-	// holder: one flow at any time, another for an interval that ends within the same second,
-	// and both again for a second set of holders.
+	// flowsPerHolder is the number of new flows in one second that a target has to sustain for
+	// each holder: two for the holder, whose interval between two flows may end within the
+	// second, and two for a holder of a second set.
 	flowsPerHolder = 4
 	// holderSets is the number of sets of holders that together must not exceed the rate that a
 	// target sustains.
