--- a/core/admitter/admitter.go
+++ b/core/admitter/admitter.go
@@ -96,8 +96,9 @@
 	// ZoneHosts is the number of live hosts in the local zone, this one included.
 	ZoneHosts int
 	// HasPeerReports says that another host of the local zone has reported recently, or a host
-	// of another zone if the local zone has no other host. A host without peers needs no
-	// reports: its own window (package pacer) covers the whole demand.
+	// of another zone if the local zone has no other host: the only host of a zone sees all
+	// demand of its callers. A host without such reports doesn't know the full demand and
+	// decides by the latency that it observes (package pacer).
 	HasPeerReports bool
 }
 
