--- a/core/admitter/simulation_test.go
+++ b/core/admitter/simulation_test.go
@@ -172,17 +172,17 @@
 func (f *fleet) report() {
 	for _, z := range f.zones {
 		for i, a := range z.hosts {
-			local, total := a.LocalDemand(f.now), a.ZoneDemand(f.now)
+			localDemand, zoneDemand := a.LocalDemand(f.now), a.ZoneDemand(f.now)
 			name := z.name + string(rune('0'+i))
 			for _, at := range f.random.Perm(len(z.hosts))[:f.reportFanout(z)] {
 				if to := z.hosts[at]; to != a {
-					f.send(func(now timekeeper.Instant) { to.ApplyHostReport(name, local, now) })
+					f.send(func(now timekeeper.Instant) { to.ApplyHostReport(name, localDemand, now) })
 				}
 			}
 			for _, other := range f.zones {
 				if other != z && !z.partitioned && !other.partitioned {
 					to := other.hosts[f.random.IntN(len(other.hosts))]
-					f.send(func(now timekeeper.Instant) { to.ApplyZoneReport(z.name, total, now) })
+					f.send(func(now timekeeper.Instant) { to.ApplyZoneReport(z.name, zoneDemand, now) })
 				}
 			}
 		}
--- a/core/estimator/estimator_test.go
+++ b/core/estimator/estimator_test.go
@@ -56,12 +56,12 @@
 	random := rand.New(rand.NewPCG(1, 1))
 	slow, checks := 0, 0
 	for range 150 {
-		var one estimator.Target
+		var target estimator.Target
 		callAtRate(start, 12, 10*time.Second, func(now timekeeper.Instant) {
-			one.Observe(clampLogSlowdown(randomLogSlowdown(random)), now)
-			one.Refresh(now)
+			target.Observe(clampLogSlowdown(randomLogSlowdown(random)), now)
+			target.Refresh(now)
 			checks++
-			if one.Slow() {
+			if target.Slow() {
 				slow++
 			}
 		})
@@ -98,14 +98,14 @@
 // Guards against a slowdown that grows with each report: when a host sends the same samples in
 // each of its reports, adding them up makes the target look slower and slower.
 func TestRepeatedReportIsCountedOnce(t *testing.T) {
-	var one estimator.Target
+	var target estimator.Target
 	report := estimator.SlowdownReport{LogSlowdownEighths: 16, Samples: 2}
-	callAtRate(start, 4, 2*time.Second, func(now timekeeper.Instant) { one.ApplyReport("a", report, now) })
-	one.Refresh(start.Add(2 * time.Second))
-	require.False(t, one.Slow())
-	all, own := one.Samples()
+	callAtRate(start, 4, 2*time.Second, func(now timekeeper.Instant) { target.ApplyReport("a", report, now) })
+	target.Refresh(start.Add(2 * time.Second))
+	require.False(t, target.Slow())
+	all, local := target.Samples()
 	require.LessOrEqual(t, all, 2.0)
-	require.Zero(t, own)
+	require.Zero(t, local)
 }
 
 // Guards against blaming targets for a slow host or for requests that have become more
@@ -118,9 +118,9 @@
 	targets := make([]estimator.Target, 20)
 	turn, reported, checks := 0, 0, 0
 	callAtRate(start, 40, 5*time.Second, func(now timekeeper.Instant) {
-		one := &targets[turn%len(targets)]
+		target := &targets[turn%len(targets)]
 		turn++
-		one.Observe(zone.Observe(clampLogSlowdown(0.6*randomLogSlowdown(random)+math.Log2(3)), now), now)
+		target.Observe(zone.Observe(clampLogSlowdown(0.6*randomLogSlowdown(random)+math.Log2(3)), now), now)
 		if turn < 2*len(targets) {
 			return
 		}
@@ -173,49 +173,49 @@
 // Guards against callers waiting until their deadlines at a target that hangs: when it sends no
 // responses any more, an estimate that only counts responses does not change.
 func TestPendingRequestsCountBeforeTheirResponses(t *testing.T) {
-	var one estimator.Target
+	var target estimator.Target
 	var zone estimator.Zone
 	for range 3 {
-		one.Observe(zone.Observe(1.6, start), start)
+		target.Observe(zone.Observe(1.6, start), start)
 	}
-	one.Refresh(start)
-	require.False(t, one.Slow())
+	target.Refresh(start)
+	require.False(t, target.Slow())
 	for range 3 {
-		one.ReplaceSample(1.6, 2.6, start.Add(100*time.Millisecond))
+		target.ReplaceSample(1.6, 2.6, start.Add(100*time.Millisecond))
 	}
-	one.Refresh(start.Add(100 * time.Millisecond))
-	require.True(t, one.Slow())
-	all, _ := one.Samples()
+	target.Refresh(start.Add(100 * time.Millisecond))
+	require.True(t, target.Slow())
+	all, _ := target.Samples()
 	require.Less(t, all, 3.0, "a request counts once")
 }
 
 // Guards against a recovered target that stays idle for many seconds: when a slow target has no
 // open flows left, only the trial requests of the zone's hosts can show that it has recovered.
 func TestTrialsDetectRecoveredTarget(t *testing.T) {
-	var one estimator.Target
+	var target estimator.Target
 	random := rand.New(rand.NewPCG(6, 6))
 	now := callAtRate(start, 12, 2*time.Second, func(now timekeeper.Instant) {
-		one.Observe(clampLogSlowdown(randomLogSlowdown(random)+math.Log2(5)), now)
-		one.Refresh(now)
+		target.Observe(clampLogSlowdown(randomLogSlowdown(random)+math.Log2(5)), now)
+		target.Refresh(now)
 	})
-	require.True(t, one.Slow())
-	one.ScheduleTrial(1, 0.5, now)
+	require.True(t, target.Slow())
+	target.ScheduleTrial(1, 0.5, now)
 	trials := 0
 	runTrial := func(logSlowdown float64) func(now timekeeper.Instant) {
 		return func(now timekeeper.Instant) {
-			if one.TrialDue(now) {
+			if target.TrialDue(now) {
 				trials++
-				one.ScheduleTrial(1, 0.5, now)
-				one.Observe(logSlowdown, now)
+				target.ScheduleTrial(1, 0.5, now)
+				target.Observe(logSlowdown, now)
 			}
-			one.Refresh(now)
+			target.Refresh(now)
 		}
 	}
 	now = callAtRate(now, 20, 10*time.Second, runTrial(math.Log2(5)))
-	require.True(t, one.Slow(), "trials keep what was learned")
+	require.True(t, target.Slow(), "trials keep what was learned")
 	require.LessOrEqual(t, trials, 21)
 	callAtRate(now, 20, 2*time.Second, runTrial(0))
-	require.False(t, one.Slow())
+	require.False(t, target.Slow())
 }
 
 // Guards against a queue of trial requests at a slow target: when all hosts of a large zone
--- a/core/estimator/simulation_test.go
+++ b/core/estimator/simulation_test.go
@@ -221,8 +221,8 @@
 
 // expire drops reported counts that are older than countTTL.
 func (c *inFlightCounts) expire(host int, now timekeeper.Instant) {
-	for from, one := range c.reported[host] {
-		if now.Since(one.at) > countTTL {
+	for from, reported := range c.reported[host] {
+		if now.Since(reported.at) > countTTL {
 			c.drop(from, host)
 		}
 	}
@@ -256,8 +256,8 @@
 	trackPeaks bool
 }
 
-func newLatencyEWMA(l scenario, c *inFlightCounts, peak bool) *latencyEWMA {
-	r := &latencyEWMA{leastRequests: leastRequests{c, l.slots}, trackPeaks: peak}
+func newLatencyEWMA(l scenario, c *inFlightCounts, trackPeaks bool) *latencyEWMA {
+	r := &latencyEWMA{leastRequests: leastRequests{c, l.slots}, trackPeaks: trackPeaks}
 	for range l.hosts {
 		r.mean = append(r.mean, make([]float64, l.targets))
 		r.last = append(r.last, make([]timekeeper.Instant, l.targets))
@@ -312,8 +312,8 @@
 		}
 		slices.Sort(loads)
 		r.hotThreshold = loads[len(loads)*3/4]
-		for _, one := range r.random.Perm(len(r.local[h]))[:3] {
-			r.sampled[one] = true
+		for _, target := range r.random.Perm(len(r.local[h]))[:3] {
+			r.sampled[target] = true
 		}
 	}
 	load := r.perSlot(h, t, r.slots)
@@ -348,16 +348,16 @@
 }
 
 func (r *slowdownRanker) rank(h, t int) float64 {
-	one := &r.targets[h][t]
-	if r.trialAllowed && one.TrialDue(r.now) {
+	target := &r.targets[h][t]
+	if r.trialAllowed && target.TrialDue(r.now) {
 		return -1
 	}
-	return estimator.Slowdown(one.LogSlowdown()) * (1 + r.perSlot(h, t, r.slots))
+	return estimator.Slowdown(target.LogSlowdown()) * (1 + r.perSlot(h, t, r.slots))
 }
 
 func (r *slowdownRanker) onPlaced(h, t int) {
-	if one := &r.targets[h][t]; r.trialAllowed && one.TrialDue(r.now) {
-		one.ScheduleTrial(len(r.targets), r.random.Float64(), r.now)
+	if target := &r.targets[h][t]; r.trialAllowed && target.TrialDue(r.now) {
+		target.ScheduleTrial(len(r.targets), r.random.Float64(), r.now)
 	}
 	r.trialAllowed = r.trials[h].Allow()
 }
@@ -365,14 +365,14 @@
 func (r *slowdownRanker) onResponse(h, t, inFlight int, elapsed time.Duration, now timekeeper.Instant) {
 	r.now = now
 	logSlowdown := estimator.LogSlowdown(elapsed, serviceTime, estimator.QueueingFactor(inFlight, r.slots))
-	one := &r.targets[h][t]
-	one.Observe(r.zones[h].Observe(logSlowdown, now), now)
-	r.refresh(one)
+	target := &r.targets[h][t]
+	target.Observe(r.zones[h].Observe(logSlowdown, now), now)
+	r.refresh(target)
 }
 
-func (r *slowdownRanker) refresh(one *estimator.Target) {
-	if one.Refresh(r.now) && one.Slow() {
-		one.ScheduleTrial(len(r.targets), r.random.Float64(), r.now)
+func (r *slowdownRanker) refresh(target *estimator.Target) {
+	if target.Refresh(r.now) && target.Slow() {
+		target.ScheduleTrial(len(r.targets), r.random.Float64(), r.now)
 	}
 }
 
@@ -424,15 +424,15 @@
 		l := halfSlow(hosts)
 		for _, strategy := range strategies {
 			o := l.simulate(strategy.make)
-			share := float64(o.slowRequests) / float64(o.fastRequests)
-			back := float64(o.recoveredRequests) / float64(o.requestsAfterRecovery)
+			slowToFastRatio := float64(o.slowRequests) / float64(o.fastRequests)
+			recoveredRatio := float64(o.recoveredRequests) / float64(o.requestsAfterRecovery)
 			t.Logf("%d hosts, %s: median %v, 99%% %v, a slow target gets %.2f of what a quick one gets, %.2f of all two seconds after it is quick again",
-				hosts, strategy.name, o.quantile(0.5).Round(time.Millisecond), o.quantile(0.99).Round(time.Millisecond), share, back)
+				hosts, strategy.name, o.quantile(0.5).Round(time.Millisecond), o.quantile(0.99).Round(time.Millisecond), slowToFastRatio, recoveredRatio)
 			if strategy.name != "estimate times queue" {
 				continue
 			}
-			require.Less(t, share, 0.25)
-			require.Greater(t, back, 0.4, "of the half that is due")
+			require.Less(t, slowToFastRatio, 0.25)
+			require.Greater(t, recoveredRatio, 0.4, "of the half that is due")
 			require.Less(t, o.quantile(0.9), 400*time.Millisecond)
 		}
 	}
@@ -445,7 +445,7 @@
 	l := halfSlow(35)
 	l.requestsPerSecond *= 1.7
 	o := l.simulate(func(l scenario, c *inFlightCounts, random *rand.Rand) ranker { return newSlowdownRanker(l, c, random) })
-	share := float64(o.slowRequests) / float64(o.fastRequests)
-	t.Logf("a slow target gets %.2f of what a quick one gets, median %v, 99%% %v", share, o.quantile(0.5), o.quantile(0.99))
-	require.InDelta(t, 0.2, share, 0.08)
+	slowToFastRatio := float64(o.slowRequests) / float64(o.fastRequests)
+	t.Logf("a slow target gets %.2f of what a quick one gets, median %v, 99%% %v", slowToFastRatio, o.quantile(0.5), o.quantile(0.99))
+	require.InDelta(t, 0.2, slowToFastRatio, 0.08)
 }
--- a/core/estimator/zone.go
+++ b/core/estimator/zone.go
@@ -29,9 +29,9 @@
 	nextIndex int
 	// logSlowdown, known and noData are the results of LogSlowdown, HasEnoughSamples and
 	// NoData. Refresh sets them.
-	logSlowdown float64
-	known       bool
-	noData      bool
+	logSlowdown      float64
+	hasEnoughSamples bool
+	noData           bool
 }
 
 // zoneSample is a log slowdown and when it was observed; at is 0 in an unused entry.
@@ -71,9 +71,9 @@
 		}
 	}
 	z.logSlowdown = 0
-	z.known = count >= minZoneSamples
+	z.hasEnoughSamples = count >= minZoneSamples
 	z.noData = count == 0
-	if !z.known {
+	if !z.hasEnoughSamples {
 		return
 	}
 	slices.Sort(recent[:count])
@@ -89,4 +89,4 @@
 
 // HasEnoughSamples reports whether there were at least minZoneSamples recent samples as of the
 // last Refresh.
-func (z *Zone) HasEnoughSamples() bool { return z.known }
+func (z *Zone) HasEnoughSamples() bool { return z.hasEnoughSamples }
--- a/core/evacuator/evacuator.go
+++ b/core/evacuator/evacuator.go
@@ -40,7 +40,7 @@
 
 // WithoutZone returns the orders after the order for zone was withdrawn at a later revision.
 func (o Orders) WithoutZone(zone string, revision uint64) Orders {
-	zones := slices.DeleteFunc(slices.Clone(o.Zones), func(one string) bool { return one == zone })
+	zones := slices.DeleteFunc(slices.Clone(o.Zones), func(name string) bool { return name == zone })
 	return Orders{Position: o.Position.WithRevision(revision), Zones: zones}
 }
 
@@ -98,8 +98,8 @@
 
 // Evacuates reports whether a zone is evacuated.
 func (e *Evacuator) Evacuates(zone string) bool {
-	_, held := e.retained[zone]
-	return held || e.orders.Includes(zone)
+	_, retained := e.retained[zone]
+	return retained || e.orders.Includes(zone)
 }
 
 // PossiblyStale reports whether the order for a zone came back with a restore that lost another
--- a/core/evacuator/evacuator_test.go
+++ b/core/evacuator/evacuator_test.go
@@ -17,9 +17,9 @@
 
 func ExampleEvacuator() {
 	e := evacuator.New()
-	given := evacuator.Orders{Position: sequencer.At(0, 10)}.WithZone("pa-hall", 12)
-	fmt.Println(e.Apply(given, start), e.Evacuates("pa-hall"))
-	fmt.Println(e.Apply(given.WithoutZone("pa-hall", 15), start), e.Evacuates("pa-hall"))
+	issued := evacuator.Orders{Position: sequencer.At(0, 10)}.WithZone("pa-hall", 12)
+	fmt.Println(e.Apply(issued, start), e.Evacuates("pa-hall"))
+	fmt.Println(e.Apply(issued.WithoutZone("pa-hall", 15), start), e.Evacuates("pa-hall"))
 	// Output:
 	// [{pa-hall true}] true
 	// [{pa-hall false}] false
@@ -33,8 +33,8 @@
 	e := evacuator.New()
 	issued := evacuator.Orders{}.WithZone("a", 5)
 	withdrawn := issued.WithoutZone("a", 8)
-	again := withdrawn.WithZone("a", 9)
-	for _, orders := range []evacuator.Orders{issued, again, withdrawn, issued, {Position: sequencer.At(0, 2)}} {
+	reissued := withdrawn.WithZone("a", 9)
+	for _, orders := range []evacuator.Orders{issued, reissued, withdrawn, issued, {Position: sequencer.At(0, 2)}} {
 		e.Apply(orders, start)
 	}
 	require.True(t, e.Evacuates("a"))
@@ -44,15 +44,15 @@
 
 func TestEndOfOrderIsRecorded(t *testing.T) {
 	e := evacuator.New()
-	given := evacuator.Orders{}.WithZone("a", 5).WithZone("b", 6)
-	require.Equal(t, []evacuator.Change{{Zone: "a", Active: true}, {Zone: "b", Active: true}}, e.Apply(given, start))
-	require.Equal(t, []evacuator.Change{{Zone: "a"}}, e.Apply(given.WithoutZone("a", 7), start.Add(time.Second)))
+	issued := evacuator.Orders{}.WithZone("a", 5).WithZone("b", 6)
+	require.Equal(t, []evacuator.Change{{Zone: "a", Active: true}, {Zone: "b", Active: true}}, e.Apply(issued, start))
+	require.Equal(t, []evacuator.Change{{Zone: "a"}}, e.Apply(issued.WithoutZone("a", 7), start.Add(time.Second)))
 	at, ok := e.EndedAt("a")
 	require.True(t, ok)
 	require.Equal(t, start.Add(time.Second), at)
 	_, ok = e.EndedAt("b")
 	require.False(t, ok)
-	e.Apply(given.WithZone("a", 9), start)
+	e.Apply(issued.WithZone("a", 9), start)
 	_, ok = e.EndedAt("a")
 	require.False(t, ok, "an order that is given again ends the memory of the one before")
 }
@@ -95,8 +95,8 @@
 // operators have not withdrawn it.
 func TestOrdersLostInRestoreAreRetainedForGracePeriod(t *testing.T) {
 	e := evacuator.New()
-	given := evacuator.Orders{Position: sequencer.At(3, 500)}.WithZone("a", 501).WithZone("b", 502)
-	e.Apply(given, start)
+	issued := evacuator.Orders{Position: sequencer.At(3, 500)}.WithZone("a", 501).WithZone("b", 502)
+	e.Apply(issued, start)
 	restored := evacuator.Orders{Position: sequencer.At(4, 460)}
 	require.Empty(t, e.Apply(restored, start))
 	require.Equal(t, []string{"a", "b"}, e.Zones())
@@ -104,10 +104,10 @@
 	require.Empty(t, e.Expire(start.Add(sequencer.RewriteGracePeriod/2)))
 	require.Equal(t, []evacuator.Change{{Zone: "b"}}, e.Expire(start.Add(sequencer.RewriteGracePeriod)))
 	require.Equal(t, []string{"a"}, e.Zones())
-	require.Empty(t, e.Apply(given, start), "the ended era convinces nobody")
+	require.Empty(t, e.Apply(issued, start), "the ended era convinces nobody")
 	require.Equal(t, []evacuator.Change{{Zone: "a"}}, e.Apply(restored.WithRevision(470), start), "one that is taken back ends at once")
-	_, lifted := e.EndedAt("b")
-	require.True(t, lifted)
+	_, ended := e.EndedAt("b")
+	require.True(t, ended)
 }
 
 // Guards against ending an order that the operators have not withdrawn: when a host receives
@@ -115,10 +115,10 @@
 // revisions of the earlier.
 func TestOrdersWithoutRevisionAreIgnored(t *testing.T) {
 	e := evacuator.New()
-	given := evacuator.Orders{Position: sequencer.At(3, 500)}.WithZone("a", 501)
-	e.Apply(given, start)
+	issued := evacuator.Orders{Position: sequencer.At(3, 500)}.WithZone("a", 501)
+	e.Apply(issued, start)
 	require.Empty(t, e.Apply(evacuator.Orders{Position: sequencer.At(4, 0)}, start))
-	require.Equal(t, given, e.Orders())
+	require.Equal(t, issued, e.Orders())
 }
 
 // Guards against ending an order before operators could reissue it: when a second restore
--- a/core/limiter/limiter.go
+++ b/core/limiter/limiter.go
@@ -84,7 +84,7 @@
 }
 
 // Total returns the number of all flows at the target.
-func (b FlowEstimate) Total() int { return b.Local + b.Reported + b.Estimated }
+func (e FlowEstimate) Total() int { return e.Local + e.Reported + e.Estimated }
 
 // Report is the report of another host on its flows.
 type Report struct {
@@ -410,19 +410,19 @@
 // EstimateFlows returns this host's estimate of the flows at a target. The parameter maxFlows is
 // the connection limit of the target.
 func (l *Limiter) EstimateFlows(t *TargetFlows, maxFlows int, estimate UnreportedEstimate, now timekeeper.Instant) FlowEstimate {
-	b := FlowEstimate{Local: t.local, Reported: t.reported}
+	flows := FlowEstimate{Local: t.local, Reported: t.reported}
 	reporters := l.Reporters(t)
 	unreported := estimate.PerHost*float64(max(l.peerCount()-reporters, 0)) + estimate.Growth*float64(reporters)
-	b.Estimated = l.estimateForgotten(t, now) + int(unreported+0.5)
-	b.Estimated = max(b.Estimated, estimate.Min-b.Local-b.Reported)
+	flows.Estimated = l.estimateForgotten(t, now) + int(unreported+0.5)
+	flows.Estimated = max(flows.Estimated, estimate.Min-flows.Local-flows.Reported)
 	// No target exceeds its connection limit, so flows that are reported after the target has
 	// turned out to be full replace unaccounted ones.
-	unaccounted := min(l.remaining(t.unaccounted, t.unaccountedSince, now), max(maxFlows-b.Total(), 0))
+	unaccounted := min(l.remaining(t.unaccounted, t.unaccountedSince, now), max(maxFlows-flows.Total(), 0))
 	if unaccounted == 0 {
 		t.unaccounted = 0
 	}
-	b.Estimated += unaccounted
-	return b
+	flows.Estimated += unaccounted
+	return flows
 }
 
 // estimateForgotten estimates how many open flows go through this host that it has not seen since
@@ -436,12 +436,12 @@
 }
 
 // Available returns how many more flows this host may open to a target; 0 if none.
-func (l *Limiter) Available(t *TargetFlows, b FlowLimit, estimate UnreportedEstimate, now timekeeper.Instant) int {
-	return b.available(l.EstimateFlows(t, b.MaxFlows, estimate, now).Total())
+func (l *Limiter) Available(t *TargetFlows, limit FlowLimit, estimate UnreportedEstimate, now timekeeper.Instant) int {
+	return limit.available(l.EstimateFlows(t, limit.MaxFlows, estimate, now).Total())
 }
 
 // available returns how many more flows the limit allows beside the given number of flows.
-func (b FlowLimit) available(flows int) int { return max(b.MaxFlows-b.Reserved-flows, 0) }
+func (limit FlowLimit) available(flows int) int { return max(limit.MaxFlows-limit.Reserved-flows, 0) }
 
 // Evaluate returns the estimated number of flows at a target, and whether this host may open one
 // more. Target selection calls it for each target.
@@ -452,9 +452,9 @@
 // since each host's data on the others is a second old, which shows as opening packets that wait
 // at targets estimated to have one connection left. A connection freed by a local flow is
 // available to this host for one second: no other host knows that it is free.
-func (l *Limiter) Evaluate(t *TargetFlows, tag uint32, b FlowLimit, estimate UnreportedEstimate, now timekeeper.Instant) (flows int, admits bool) {
-	flows = l.EstimateFlows(t, b.MaxFlows, estimate, now).Total()
-	return flows, l.admits(t, tag, b.available(flows), b.ShortLived, now)
+func (l *Limiter) Evaluate(t *TargetFlows, tag uint32, limit FlowLimit, estimate UnreportedEstimate, now timekeeper.Instant) (flows int, admits bool) {
+	flows = l.EstimateFlows(t, limit.MaxFlows, estimate, now).Total()
+	return flows, l.admits(t, tag, limit.available(flows), limit.ShortLived, now)
 }
 
 // admits reports whether this host may open one more flow, given how many connections are
--- a/core/limiter/limiter_test.go
+++ b/core/limiter/limiter_test.go
@@ -33,8 +33,8 @@
 }
 
 // admits reports whether a host may open one more flow to a target.
-func admits(l *limiter.Limiter, t *limiter.TargetFlows, tag uint32, b limiter.FlowLimit, g limiter.UnreportedEstimate, now timekeeper.Instant) bool {
-	_, admits := l.Evaluate(t, tag, b, g, now)
+func admits(l *limiter.Limiter, t *limiter.TargetFlows, tag uint32, limit limiter.FlowLimit, estimate limiter.UnreportedEstimate, now timekeeper.Instant) bool {
+	_, admits := l.Evaluate(t, tag, limit, estimate, now)
 	return admits
 }
 
@@ -58,17 +58,17 @@
 // takes the targets for empty.
 func TestRestartedHostEstimatesForgottenFlows(t *testing.T) {
 	l := limiter.New("a0", start, idle)
-	one := l.Target(1)
-	require.Zero(t, l.EstimateFlows(one, 40, limiter.UnreportedEstimate{}, start).Total())
+	target := l.Target(1)
+	require.Zero(t, l.EstimateFlows(target, 40, limiter.UnreportedEstimate{}, start).Total())
 	for n := range 4 {
 		l.ApplyReport(fmt.Sprintf("a%d", n), limiter.Report{Incarnation: 1, SameZone: true, Flows: map[uint32]uint16{1: 8}}, start)
 	}
-	require.Equal(t, limiter.FlowEstimate{Reported: 32, Estimated: 8}, l.EstimateFlows(one, 60, limiter.UnreportedEstimate{}, start), "as many as another host has")
+	require.Equal(t, limiter.FlowEstimate{Reported: 32, Estimated: 8}, l.EstimateFlows(target, 60, limiter.UnreportedEstimate{}, start), "as many as another host has")
 	for range 6 {
-		one.AddDiscovered() // Open flows are discovered one by one as they send packets.
+		target.AddDiscovered() // Open flows are discovered one by one as they send packets.
 	}
-	require.Equal(t, 40, l.EstimateFlows(one, 60, limiter.UnreportedEstimate{}, start).Total(), "and counted once")
-	require.Equal(t, 38, l.EstimateFlows(one, 60, limiter.UnreportedEstimate{}, start.Add(idle)).Total(), "after the idle time it has seen all")
+	require.Equal(t, 40, l.EstimateFlows(target, 60, limiter.UnreportedEstimate{}, start).Total(), "and counted once")
+	require.Equal(t, 38, l.EstimateFlows(target, 60, limiter.UnreportedEstimate{}, start.Add(idle)).Total(), "after the idle time it has seen all")
 }
 
 // Guards against many opening packets to full targets after another host of the zone has
@@ -76,15 +76,15 @@
 // targets.
 func TestFlowsForgottenByRestartedPeerStillCount(t *testing.T) {
 	l := limiter.New("a0", start, idle)
-	one := l.Target(1)
+	target := l.Target(1)
 	now := start.Add(idle)
 	l.ApplyReport("a1", limiter.Report{Incarnation: 1, SameZone: true, Flows: map[uint32]uint16{1: 10}}, now)
 	l.ApplyReport("a1", limiter.Report{Incarnation: 2, SameZone: true, Flows: map[uint32]uint16{1: 0}}, now)
-	require.Equal(t, 10, l.EstimateFlows(one, 40, limiter.UnreportedEstimate{}, now).Total())
+	require.Equal(t, 10, l.EstimateFlows(target, 40, limiter.UnreportedEstimate{}, now).Total())
 	l.Sweep(now.Add(idle / 2))
-	require.Equal(t, 5, l.EstimateFlows(one, 40, limiter.UnreportedEstimate{}, now.Add(idle/2)).Total(), "half of them have ended or shown up")
+	require.Equal(t, 5, l.EstimateFlows(target, 40, limiter.UnreportedEstimate{}, now.Add(idle/2)).Total(), "half of them have ended or shown up")
 	l.ApplyReport("a1", limiter.Report{Incarnation: 2, SameZone: true, Flows: map[uint32]uint16{1: 7}}, now.Add(idle/2))
-	require.Equal(t, 7, l.EstimateFlows(one, 40, limiter.UnreportedEstimate{}, now.Add(idle/2)).Total())
+	require.Equal(t, 7, l.EstimateFlows(target, 40, limiter.UnreportedEstimate{}, now.Add(idle/2)).Total())
 }
 
 // Guards against connections that stay reserved for a host that has ended: when a host dies, the
@@ -92,13 +92,13 @@
 // host counts forever.
 func TestFlowsOfDeadHostExpire(t *testing.T) {
 	l := limiter.New("a0", start, idle)
-	one := l.Target(1)
+	target := l.Target(1)
 	l.ApplyReport("a1", limiter.Report{Incarnation: 1, SameZone: true, Flows: map[uint32]uint16{1: 10}}, start)
 	l.ApplyReport("b1", limiter.Report{Incarnation: 1, Flows: map[uint32]uint16{1: 5}}, start)
 	for now := start; now < start.Add(idle+2*time.Second); now = now.Add(time.Second) {
 		l.Sweep(now)
 	}
-	require.Zero(t, l.EstimateFlows(one, 40, limiter.UnreportedEstimate{}, start.Add(idle+2*time.Second)).Total())
+	require.Zero(t, l.EstimateFlows(target, 40, limiter.UnreportedEstimate{}, start.Add(idle+2*time.Second)).Total())
 }
 
 // Guards against repeated attempts at the same full target: when hosts receive no reports of each
@@ -106,31 +106,31 @@
 // each new flow there.
 func TestFullTargetStaysFullUntilFlowsEnd(t *testing.T) {
 	l := limiter.New("a0", start, idle)
-	one := l.Target(1)
+	target := l.Target(1)
 	for range 15 {
-		one.AddOpened(start)
+		target.AddOpened(start)
 	}
 	limit := limiter.FlowLimit{MaxFlows: 40}
-	require.Equal(t, 25, l.Available(one, limit, limiter.UnreportedEstimate{}, start))
-	l.MarkFull(one, limit.MaxFlows, limiter.UnreportedEstimate{}, start)
-	require.Zero(t, l.Available(one, limit, limiter.UnreportedEstimate{}, start))
-	one.RemoveOpened(start)
-	require.Equal(t, 1, l.Available(one, limit, limiter.UnreportedEstimate{}, start), "a flow that ends leaves a place")
-	require.Equal(t, 11, l.Available(one, limit, limiter.UnreportedEstimate{}, start.Add(idle*2/5)), "those unseen end, too")
+	require.Equal(t, 25, l.Available(target, limit, limiter.UnreportedEstimate{}, start))
+	l.MarkFull(target, limit.MaxFlows, limiter.UnreportedEstimate{}, start)
+	require.Zero(t, l.Available(target, limit, limiter.UnreportedEstimate{}, start))
+	target.RemoveOpened(start)
+	require.Equal(t, 1, l.Available(target, limit, limiter.UnreportedEstimate{}, start), "a flow that ends leaves a place")
+	require.Equal(t, 11, l.Available(target, limit, limiter.UnreportedEstimate{}, start.Add(idle*2/5)), "those unseen end, too")
 }
 
 func TestSilentPeersAreEstimatedFromReporters(t *testing.T) {
 	l := limiter.New("a0", start, idle)
-	one := l.Target(1)
-	one.AddOpened(start)
-	one.AddOpened(start)
+	target := l.Target(1)
+	target.AddOpened(start)
+	target.AddOpened(start)
 	l.SetLivePeers(4)
 	estimate := limiter.UnreportedEstimate{PerHost: l.PerHost(20, 0, 10, 0)}
-	require.Equal(t, limiter.FlowEstimate{Local: 2, Estimated: 8}, l.EstimateFlows(one, 40, estimate, start.Add(idle)))
+	require.Equal(t, limiter.FlowEstimate{Local: 2, Estimated: 8}, l.EstimateFlows(target, 40, estimate, start.Add(idle)))
 	l.ApplyReport("a1", limiter.Report{Incarnation: 1, SameZone: true, Flows: map[uint32]uint16{1: 1}}, start.Add(idle))
 	l.SetLivePeers(4)
 	estimate.PerHost = l.PerHost(20, 15, 10, 10)
-	require.Equal(t, limiter.FlowEstimate{Local: 2, Reported: 1, Estimated: 5}, l.EstimateFlows(one, 40, estimate, start.Add(idle)))
+	require.Equal(t, limiter.FlowEstimate{Local: 2, Reported: 1, Estimated: 5}, l.EstimateFlows(target, 40, estimate, start.Add(idle)))
 }
 
 // Guards against delays of flows that end within milliseconds: when a target has one free
@@ -138,25 +138,25 @@
 func TestShortLivedFlowsBypassTurns(t *testing.T) {
 	l := limiter.New("a0", start, idle)
 	l.SetLivePeers(50)
-	one := l.Target(1)
+	target := l.Target(1)
 	limit := limiter.FlowLimit{MaxFlows: 5, ShortLived: true}
 	for range 4 {
-		one.AddDiscovered()
+		target.AddDiscovered()
 	}
 	longLived, shortLived := 0, 0
 	for n := range 100 {
 		now := start.Add(time.Duration(n) * time.Second)
-		if admits(l, one, 1, limiter.FlowLimit{MaxFlows: 5}, limiter.UnreportedEstimate{}, now) {
+		if admits(l, target, 1, limiter.FlowLimit{MaxFlows: 5}, limiter.UnreportedEstimate{}, now) {
 			longLived++
 		}
-		if admits(l, one, 1, limit, limiter.UnreportedEstimate{}, now) {
+		if admits(l, target, 1, limit, limiter.UnreportedEstimate{}, now) {
 			shortLived++
 		}
 	}
 	require.Equal(t, 100, shortLived)
 	require.Less(t, longLived, 10, "one host of 51 has its turn")
-	one.AddOpened(start)
-	require.False(t, admits(l, one, 1, limit, limiter.UnreportedEstimate{}, start))
+	target.AddOpened(start)
+	require.False(t, admits(l, target, 1, limit, limiter.UnreportedEstimate{}, start))
 }
 
 // simulation is the hosts of a zone and some targets with a connection limit. Reports may be lost,
@@ -183,8 +183,8 @@
 	growth    map[*limiter.Limiter]float64
 }
 
-// maxRetries is the maximum number of redispatches of an opening packet.
-const maxRetries = 8
+// maxRedispatches is the maximum number of redispatches of an opening packet.
+const maxRedispatches = 8
 
 type simFlow struct {
 	host, target int
@@ -231,21 +231,21 @@
 // packet is then redispatched, a few times at most, before its caller gives up.
 func (s *simulation) openFlow(host int) {
 	s.attempts++
-	for range 1 + maxRetries {
+	for range 1 + maxRedispatches {
 		target := s.chooseTarget(host)
 		if target < 0 {
 			return // Refused immediately.
 		}
 		l := s.hosts[host]
-		one := l.Target(uint32(target + 1))
+		flows := l.Target(uint32(target + 1))
 		if s.flowsByTarget[target] < s.maxFlows {
-			one.AddOpened(s.now)
+			flows.AddOpened(s.now)
 			s.flowsByTarget[target]++
 			s.flows = append(s.flows, simFlow{host: host, target: target, incarnation: s.incarnations[host]})
 			return
 		}
 		s.fullTargetHits++
-		l.MarkFull(one, s.maxFlows, s.unreportedEstimate(l), s.now)
+		l.MarkFull(flows, s.maxFlows, s.unreportedEstimate(l), s.now)
 	}
 	s.exhausted++
 }
@@ -285,16 +285,16 @@
 	if f.incarnation != s.incarnations[f.host] {
 		return
 	}
-	one := s.hosts[f.host].Target(uint32(f.target + 1))
+	target := s.hosts[f.host].Target(uint32(f.target + 1))
 	if f.discovered {
-		one.RemoveDiscovered(s.now)
+		target.RemoveDiscovered(s.now)
 	} else {
-		one.RemoveOpened(s.now)
+		target.RemoveOpened(s.now)
 	}
 }
 
-// redispatchFlow sends a packet of a flow, so that its host counts it again after a restart.
-func (s *simulation) redispatchFlow(at int) {
+// sendPacket sends a packet of a flow, so that its host counts it again after a restart.
+func (s *simulation) sendPacket(at int) {
 	f := &s.flows[at]
 	if f.incarnation != s.incarnations[f.host] {
 		f.incarnation = s.incarnations[f.host]
@@ -327,7 +327,7 @@
 			case p < 1.0/60:
 				s.endFlow(at)
 			case p < 1.0/12:
-				s.redispatchFlow(at)
+				s.sendPacket(at)
 			}
 		}
 	}
@@ -449,8 +449,8 @@
 	now := start.Add(30 * time.Second)
 	l.Sweep(now)
 	l.SetLivePeers(1) // a2 is live and has sent no report; a1 has ended.
-	b := l.EstimateFlows(l.Target(2), 100, limiter.UnreportedEstimate{PerHost: 10}, now)
-	require.Equal(t, 10, b.Estimated, "a2 holds about as many as others")
+	estimate := l.EstimateFlows(l.Target(2), 100, limiter.UnreportedEstimate{PerHost: 10}, now)
+	require.Equal(t, 10, estimate.Estimated, "a2 holds about as many as others")
 }
 
 // Guards against flows that count as none because their host has reported other targets: a zone
@@ -468,8 +468,8 @@
 	l.SetLivePeers(99)
 	reported, reporters := l.Target(1).Reported()*120, l.Reporters(l.Target(1))*120
 	require.Zero(t, l.Reporters(l.Target(600)))
-	b := l.EstimateFlows(l.Target(600), 400, limiter.UnreportedEstimate{PerHost: l.PerHost(0, reported, 1200, reporters)}, start)
-	require.Greater(t, b.Total(), 100, "some 200 are there")
+	estimate := l.EstimateFlows(l.Target(600), 400, limiter.UnreportedEstimate{PerHost: l.PerHost(0, reported, 1200, reporters)}, start)
+	require.Greater(t, estimate.Total(), 100, "some 200 are there")
 }
 
 // Guards against time-outs between reports in a large zone: a host in a zone of 100 receives a
@@ -525,37 +525,37 @@
 func TestCanceledFlowsFreeNoCapacity(t *testing.T) {
 	l := limiter.New("a0", start, idle)
 	l.SetLivePeers(9)
-	one := l.Target(1)
+	target := l.Target(1)
 	for range 5 {
-		one.AddOpened(start)
+		target.AddOpened(start)
 	}
 	for range 5 {
-		one.CancelOpened()
+		target.CancelOpened()
 	}
-	l.MarkFull(one, 100, limiter.UnreportedEstimate{}, start)
+	l.MarkFull(target, 100, limiter.UnreportedEstimate{}, start)
 	now := start.Add(900 * time.Millisecond)
 	limit, admitted := limiter.FlowLimit{MaxFlows: 100}, 0
-	require.Greater(t, l.Available(one, limit, limiter.UnreportedEstimate{}, now), 4)
-	for admitted < 9 && admits(l, one, 1, limit, limiter.UnreportedEstimate{}, now) {
-		one.AddOpened(now)
+	require.Greater(t, l.Available(target, limit, limiter.UnreportedEstimate{}, now), 4)
+	for admitted < 9 && admits(l, target, 1, limit, limiter.UnreportedEstimate{}, now) {
+		target.AddOpened(now)
 		admitted++
 	}
 	require.LessOrEqual(t, admitted, 1, "one each turn at most")
-	require.Equal(t, admitted, one.NetOpened())
+	require.Equal(t, admitted, target.NetOpened())
 }
 
 // Guards against a surge that goes undetected: when flows that a host discovered end while it opens
 // others, the ended ones are subtracted from those that it has opened.
 func TestDiscoveredFlowsDoNotCountAsGrowth(t *testing.T) {
-	one := limiter.New("a0", start, idle).Target(1)
-	one.AddDiscovered()
-	one.AddDiscovered()
-	one.AddOpened(start)
-	one.RemoveDiscovered(start)
-	require.Equal(t, 1, one.NetOpened())
-	require.Equal(t, 2, one.Local())
-	one.RemoveOpened(start)
-	require.Zero(t, one.NetOpened())
+	target := limiter.New("a0", start, idle).Target(1)
+	target.AddDiscovered()
+	target.AddDiscovered()
+	target.AddOpened(start)
+	target.RemoveDiscovered(start)
+	require.Equal(t, 1, target.NetOpened())
+	require.Equal(t, 2, target.Local())
+	target.RemoveOpened(start)
+	require.Zero(t, target.NetOpened())
 }
 
 // Guards against a race for the last free connections: when twenty hosts estimate the same five
@@ -571,10 +571,10 @@
 			l := limiter.New(fmt.Sprint("a", host), start, idle)
 			l.SetLivePeers(hosts - 1)
 			l.ApplyReport("other", limiter.Report{Incarnation: 1, SameZone: true, Flows: map[uint32]uint16{1: 15}}, now)
-			one := l.Target(1)
-			one.AddDiscovered()
-			for admits(l, one, 1, limiter.FlowLimit{MaxFlows: 16 + free}, limiter.UnreportedEstimate{}, now.Add(idle)) {
-				one.AddOpened(now.Add(idle))
+			target := l.Target(1)
+			target.AddDiscovered()
+			for admits(l, target, 1, limiter.FlowLimit{MaxFlows: 16 + free}, limiter.UnreportedEstimate{}, now.Add(idle)) {
+				target.AddOpened(now.Add(idle))
 				admitted++
 				turns[host]++
 			}
--- a/core/pacer/pacer.go
+++ b/core/pacer/pacer.go
@@ -23,10 +23,10 @@
 import "time"
 
 const (
-	// pressureSmoothing is the weight of each response in the mean wait: a mean over about 20
+	// waitSmoothing is the weight of each response in the mean wait: a mean over about 20
 	// responses. A host sees 50 or more per second under a load that causes congestion, so that
 	// a load peak is detected within half a second.
-	pressureSmoothing = 0.05
+	waitSmoothing = 0.05
 	// congestionOnThreshold is the mean wait, as a fraction of the callers' slack, at which
 	// congestion begins and requests are queued. Waits spread about as much as their mean, so
 	// that one response in thirty is late at this mean, and soon more. Under normal load it
@@ -35,9 +35,9 @@
 	// congestionOffThreshold is the mean wait at which congestion ends; the difference between
 	// the thresholds is the hysteresis that prevents alternation.
 	congestionOffThreshold = 0.2
-	// maxPressure limits the wait that one response counts for, so that a few stalled requests
+	// maxWait limits the wait that one response counts for, so that a few stalled requests
 	// don't affect the average for long.
-	maxPressure = 4
+	maxWait = 4
 	// slowdownSmoothing is the weight of each response in the moving average of slowdown.
 	slowdownSmoothing = 0.1
 	// maxSlowdown limits the slowdown that one response counts for.
@@ -74,9 +74,9 @@
 
 // Load tracks the load of a service as one host sees it. The zero Load is not congested.
 type Load struct {
-	// pressure is the moving average of the time that requests wait, as a fraction of the
+	// meanWait is the moving average of the time that requests wait, as a fraction of the
 	// callers' slack (objective minus baseline latency).
-	pressure float64
+	meanWait float64
 	// slowdown is the moving average of latency as a multiple of the baseline latency.
 	slowdown  float64
 	congested bool
@@ -86,8 +86,8 @@
 // Congested reports whether the service is congested, so that requests may have to wait.
 func (l *Load) Congested() bool { return l.congested }
 
-// Pressure returns the mean wait as a fraction of the callers' slack, for operators.
-func (l *Load) Pressure() float64 { return l.pressure }
+// MeanWait returns the mean wait as a fraction of the callers' slack, for operators.
+func (l *Load) MeanWait() float64 { return l.meanWait }
 
 // Window returns how many requests the host may have in flight while the service is congested.
 func (l *Load) Window() float64 { return l.window }
@@ -105,14 +105,14 @@
 	if r.BaselineLatency <= 0 || slack <= 0 {
 		return false
 	}
-	waited := float64(r.Latency+r.QueueDelay-r.BaselineLatency) / float64(slack)
-	l.pressure += pressureSmoothing * (min(max(waited, 0), maxPressure) - l.pressure)
+	wait := float64(r.Latency+r.QueueDelay-r.BaselineLatency) / float64(slack)
+	l.meanWait += waitSmoothing * (min(max(wait, 0), maxWait) - l.meanWait)
 	if l.slowdown == 0 {
 		l.slowdown = 1
 	}
 	l.slowdown += slowdownSmoothing * (min(float64(r.Latency)/float64(r.BaselineLatency), maxSlowdown) - l.slowdown)
 	before := l.congested
-	l.congested = l.pressure > congestionOnThreshold || (before && l.pressure > congestionOffThreshold)
+	l.congested = l.meanWait > congestionOnThreshold || (before && l.meanWait > congestionOffThreshold)
 	if l.congested && !before {
 		l.window = max(float64(r.InFlight), minWindow)
 	}
--- a/core/pacer/queue_test.go
+++ b/core/pacer/queue_test.go
@@ -121,9 +121,9 @@
 
 func BenchmarkRecordResponse(b *testing.B) {
 	var load pacer.Load
-	a := pacer.Response{Latency: 100 * millis, BaselineLatency: 60 * millis, Objective: 250 * millis, InFlight: 10}
+	response := pacer.Response{Latency: 100 * millis, BaselineLatency: 60 * millis, Objective: 250 * millis, InFlight: 10}
 	for b.Loop() {
-		load.RecordResponse(a)
+		load.RecordResponse(response)
 	}
 }
 
--- a/core/pacer/simulation_test.go
+++ b/core/pacer/simulation_test.go
@@ -30,10 +30,10 @@
 }
 
 type simHost struct {
-	load     pacer.Load
-	queues   [4]pacer.Queue[*job]
-	inFlight int
-	busy     [4]int
+	load             pacer.Load
+	queues           [4]pacer.Queue[*job]
+	inFlight         int
+	inFlightByTarget [4]int
 	// idleFlowTargets lists the targets of the open flows that carry no request.
 	idleFlowTargets []int
 }
@@ -90,7 +90,7 @@
 		}
 		for range s.poisson(checkRate / 1000) {
 			host := s.random.IntN(len(s.hosts))
-			s.request(checks, host, s.leastBusy(host))
+			s.request(checks, host, s.leastLoaded(host))
 		}
 		for _, t := range s.targets {
 			s.stepTarget(t)
@@ -109,10 +109,10 @@
 	return n
 }
 
-func (s *simulation) leastBusy(host int) int {
+func (s *simulation) leastLoaded(host int) int {
 	best := 0
-	for i, busy := range s.hosts[host].busy {
-		if busy < s.hosts[host].busy[best] {
+	for i, inFlight := range s.hosts[host].inFlightByTarget {
+		if inFlight < s.hosts[host].inFlightByTarget[best] {
 			best = i
 		}
 	}
@@ -138,7 +138,7 @@
 		s.refused++
 		return
 	}
-	s.request(feeds, host, s.leastBusy(host))
+	s.request(feeds, host, s.leastLoaded(host))
 }
 
 func (s *simulation) request(k kind, host, target int) {
@@ -160,7 +160,7 @@
 		return // Shed by the target.
 	}
 	h.inFlight++
-	h.busy[j.target]++
+	h.inFlightByTarget[j.target]++
 	t.queue = append(t.queue, j)
 }
 
@@ -193,7 +193,7 @@
 		Latency: s.now.Since(j.forwardedAt), QueueDelay: j.forwardedAt.Since(j.arrivedAt), BaselineLatency: j.kind.meanWork, Objective: j.kind.objective, InFlight: h.inFlight,
 	})
 	h.inFlight--
-	h.busy[j.target]--
+	h.inFlightByTarget[j.target]--
 	if j.kind.persistentFlow {
 		h.idleFlowTargets = append(h.idleFlowTargets, j.target)
 	}
@@ -204,7 +204,7 @@
 	for {
 		forwarded := false
 		for i := range h.queues {
-			if j, ok := h.queues[i].Next(s.now, h.busy[i] < 1); ok && h.load.HasCapacity(h.inFlight) {
+			if j, ok := h.queues[i].Next(s.now, h.inFlightByTarget[i] < 1); ok && h.load.HasCapacity(h.inFlight) {
 				h.queues[i].Remove(j)
 				s.forward(j)
 				forwarded = true
@@ -247,21 +247,21 @@
 // The slots suffice for all checks on time, and for half of the feeds.
 func TestPacingKeepsUrgentRequestsOnTimeInSurge(t *testing.T) {
 	for seed := range uint64(5) {
-		before, after := newSimulation(seed, false), newSimulation(seed, true)
-		for _, s := range []*simulation{before, after} {
+		unpaced, paced := newSimulation(seed, false), newSimulation(seed, true)
+		for _, s := range []*simulation{unpaced, paced} {
 			s.run(3*time.Second, normalFeedRate, normalCheckRate)
 			clear(s.requested)
 			clear(s.onTime)
 			s.run(6*time.Second, 3*normalFeedRate, 3*normalCheckRate)
 		}
 		t.Logf("seed %d: checks in time %.2f without, %.2f with; feeds %.2f, %.2f; longest wait %s",
-			seed, before.onTimeRatio(checks), after.onTimeRatio(checks), before.onTimeRatio(feeds), after.onTimeRatio(feeds), after.maxQueueDelay)
-		require.Less(t, before.onTimeRatio(checks), 0.5)
-		require.Greater(t, after.onTimeRatio(checks), 0.8)
-		require.Greater(t, after.onTimeRatio(feeds), before.onTimeRatio(feeds))
-		require.Greater(t, 2*after.onTimeRatio(checks)+after.onTimeRatio(feeds), 1.5*(2*before.onTimeRatio(checks)+before.onTimeRatio(feeds)))
-		require.NotZero(t, after.refused)
-		require.Less(t, after.maxQueueDelay, feeds.timeout/2, "less than half of the time that callers have")
+			seed, unpaced.onTimeRatio(checks), paced.onTimeRatio(checks), unpaced.onTimeRatio(feeds), paced.onTimeRatio(feeds), paced.maxQueueDelay)
+		require.Less(t, unpaced.onTimeRatio(checks), 0.5)
+		require.Greater(t, paced.onTimeRatio(checks), 0.8)
+		require.Greater(t, paced.onTimeRatio(feeds), unpaced.onTimeRatio(feeds))
+		require.Greater(t, 2*paced.onTimeRatio(checks)+paced.onTimeRatio(feeds), 1.5*(2*unpaced.onTimeRatio(checks)+unpaced.onTimeRatio(feeds)))
+		require.NotZero(t, paced.refused)
+		require.Less(t, paced.maxQueueDelay, feeds.timeout/2, "less than half of the time that callers have")
 	}
 }
 
--- a/core/placer/placer_test.go
+++ b/core/placer/placer_test.go
@@ -19,8 +19,8 @@
 
 func firstCandidates(t *placer.LookupTable) []int16 {
 	var list []int16
-	for slot := range t.Size() {
-		list = append(list, t.Lookup(uint64(slot))[0])
+	for entry := range t.Size() {
+		list = append(list, t.Lookup(uint64(entry))[0])
 	}
 	return list
 }
@@ -46,8 +46,8 @@
 func TestAddedTargetMovesFewEntries(t *testing.T) {
 	before, after := firstCandidates(placer.NewLookupTable(candidates(14))), firstCandidates(placer.NewLookupTable(candidates(15)))
 	moved := 0
-	for slot := range before {
-		if before[slot] != after[slot] {
+	for entry := range before {
+		if before[entry] != after[entry] {
 			moved++
 		}
 	}
@@ -56,9 +56,9 @@
 
 func TestEntryCandidatesAreDistinct(t *testing.T) {
 	table := placer.NewLookupTable(candidates(5))
-	for slot := range table.Size() {
+	for entry := range table.Size() {
 		seen := map[int16]bool{}
-		for _, c := range table.Lookup(uint64(slot)) {
+		for _, c := range table.Lookup(uint64(entry)) {
 			require.False(t, seen[c])
 			seen[c] = true
 		}
--- a/core/steerer/queueing.go
+++ b/core/steerer/queueing.go
@@ -101,7 +101,7 @@
 	f.queuedFor = s.now.Since(r.queuedAt)
 	s.log("requestPaced", field("flow", r.key.caller.String()), field("route", f.route.Name), field("target", f.target.ID),
 		field("heldMillis", formatMillis(f.queuedFor)), field("reason", reason), field("underWay", formatInt(r.service.inFlight)),
-		field("window", fmt.Sprintf("%.1f", r.service.load.Window())), field("pressure", fmt.Sprintf("%.2f", r.service.load.Pressure())))
+		field("window", fmt.Sprintf("%.1f", r.service.load.Window())), field("pressure", fmt.Sprintf("%.2f", r.service.load.MeanWait())))
 	s.beginRequest(r.key, f, r.packets[0])
 	for _, data := range r.packets {
 		s.forward(f.target, 0, data)
--- a/core/steerer/service_load.go
+++ b/core/steerer/service_load.go
@@ -100,7 +100,7 @@
 		if v.load.Congested() {
 			event = "servicePressed"
 		}
-		s.log(event, field("service", v.name), field("pressure", fmt.Sprintf("%.2f", v.load.Pressure())),
+		s.log(event, field("service", v.name), field("pressure", fmt.Sprintf("%.2f", v.load.MeanWait())),
 			field("underWay", formatInt(v.inFlight)), field("paced", formatInt(v.queued)), field("tookMillis", formatMillis(took)), field("usualMillis", formatMillis(baseline.median)))
 	}
 }
--- a/core/throttler/fairness_test.go
+++ b/core/throttler/fairness_test.go
@@ -100,8 +100,8 @@
 
 // singleAddress returns callers behind one address: many people, or one program that retries.
 func singleAddress(address string, perSecond float64) *callerGroup {
-	one := netip.MustParseAddr(address)
-	return &callerGroup{perSecond: perSecond, address: func(int) netip.Addr { return one }}
+	addr := netip.MustParseAddr(address)
+	return &callerGroup{perSecond: perSecond, address: func(int) netip.Addr { return addr }}
 }
 
 // Guards against the refusal of nearly all callers when half of the targets fail, and one program
--- a/core/throttler/quota.go
+++ b/core/throttler/quota.go
@@ -59,7 +59,7 @@
 			return nil, &Error{Op: "check quotas", Kind: KindInvalid, Err: fmt.Errorf("quotas[%d]: %w", i, err)}
 		}
 		scope := Quota{Prefix: q.Prefix, Route: q.Route}
-		if first, taken := seen[scope]; taken {
+		if first, exists := seen[scope]; exists {
 			return nil, &Error{Op: "check quotas", Kind: KindInvalid, Err: fmt.Errorf("quotas[%d]: %s already has a quota in quotas[%d]; keep only one of them", i, q, first)}
 		}
 		seen[scope] = i
--- a/core/throttler/quota_test.go
+++ b/core/throttler/quota_test.go
@@ -13,20 +13,20 @@
 // countAdmitted returns how many requests are admitted out of perSecond requests per second over
 // some seconds.
 func countAdmitted(th *throttler.Throttler, caller, route string, perSecond, seconds int) int {
-	passed := 0
+	admitted := 0
 	address := netip.MustParseAddr(caller)
 	for n := range perSecond * seconds {
 		now := timekeeper.Instant(time.Second).Add(time.Duration(n) * time.Second / time.Duration(perSecond))
 		if _, exceeded := th.ExceededQuota(address, route, now); !exceeded {
 			th.Charge(address, route, now)
-			passed++
+			admitted++
 		}
 	}
-	return passed
+	return admitted
 }
 
-func parse(t *testing.T, texts ...throttler.QuotaSpec) []throttler.Quota {
-	quotas, err := throttler.ParseQuotas(texts)
+func parseQuotas(t *testing.T, specs ...throttler.QuotaSpec) []throttler.Quota {
+	quotas, err := throttler.ParseQuotas(specs)
 	require.NoError(t, err)
 	return quotas
 }
@@ -35,7 +35,7 @@
 // when each caller sends a hundred requests per second, and a quota counts requests that don't
 // match it.
 func TestQuotasLimitOnlyMatchingRequests(t *testing.T) {
-	quotas := parse(t, throttler.QuotaSpec{Prefix: "203.0.113.0/24", RequestsPerSecond: 10}, throttler.QuotaSpec{Route: "read", RequestsPerSecond: 30})
+	quotas := parseQuotas(t, throttler.QuotaSpec{Prefix: "203.0.113.0/24", RequestsPerSecond: 10}, throttler.QuotaSpec{Route: "read", RequestsPerSecond: 30})
 	for _, c := range []struct {
 		caller, route string
 		want          int
@@ -45,15 +45,15 @@
 		{"198.51.100.7", "read", 330},
 		{"198.51.100.7", "check", 1000},
 	} {
-		passed := countAdmitted(throttler.New(quotas), c.caller, c.route, 100, 10)
-		require.InDelta(t, c.want, passed, 12, c.caller+" "+c.route)
+		admitted := countAdmitted(throttler.New(quotas), c.caller, c.route, 100, 10)
+		require.InDelta(t, c.want, admitted, 12, c.caller+" "+c.route)
 	}
 }
 
 // Guards against ten times the quota in a zone of ten hosts: when the fabric spreads a caller's
 // flows over all hosts, and each of them applies the full quota.
 func TestQuotaIsDividedAmongZoneHosts(t *testing.T) {
-	th := throttler.New(parse(t, throttler.QuotaSpec{Prefix: "203.0.113.0/24", RequestsPerSecond: 100}))
+	th := throttler.New(parseQuotas(t, throttler.QuotaSpec{Prefix: "203.0.113.0/24", RequestsPerSecond: 100}))
 	th.DivideQuotas(10, timekeeper.Instant(time.Second))
 	require.InDelta(t, 110, countAdmitted(th, "203.0.113.9", "read", 100, 10), 5)
 }
@@ -61,7 +61,7 @@
 // Guards against refusals long after a caller has stopped sending: when its open flows bring a
 // thousand requests per second, which can't be refused, and the debt is not limited.
 func TestQuotaDebtOfOpenFlowsIsBounded(t *testing.T) {
-	th := throttler.New(parse(t, throttler.QuotaSpec{Prefix: "203.0.113.9", RequestsPerSecond: 10}))
+	th := throttler.New(parseQuotas(t, throttler.QuotaSpec{Prefix: "203.0.113.9", RequestsPerSecond: 10}))
 	caller, now := netip.MustParseAddr("203.0.113.9"), timekeeper.Instant(time.Second)
 	for range 1000 {
 		th.Charge(caller, "read", now)
--- a/core/warmer/simulation_test.go
+++ b/core/warmer/simulation_test.go
@@ -48,8 +48,8 @@
 }
 
 func (w *equalShares) placed(host, target int, now timekeeper.Instant) {
-	pause := float64(time.Second) * float64(w.knownHosts[host]) / w.limit.PerSecond
-	w.nextFlowAt[[2]int{host, target}] = now.Add(time.Duration(pause))
+	interval := float64(time.Second) * float64(w.knownHosts[host]) / w.limit.PerSecond
+	w.nextFlowAt[[2]int{host, target}] = now.Add(time.Duration(interval))
 }
 
 // reportedCounts has each host add up the placements that the others have reported.
@@ -69,9 +69,9 @@
 
 func (w *reportedCounts) admits(host, target int, now timekeeper.Instant) bool {
 	count := 0
-	for _, one := range w.placements[target] {
-		heard := one.host == host || (w.receivesReportsOf(host, one.host) && one.at.Add(w.reportDelay) <= now)
-		if heard && now.Since(one.at) < time.Second {
+	for _, p := range w.placements[target] {
+		visible := p.host == host || (w.receivesReportsOf(host, p.host) && p.at.Add(w.reportDelay) <= now)
+		if visible && now.Since(p.at) < time.Second {
 			count++
 		}
 	}
--- a/core/warmer/warmer.go
+++ b/core/warmer/warmer.go
@@ -59,11 +59,11 @@
 }
 
 // Limited reports whether there is a rate limit.
-func (b RateLimit) Limited() bool { return b.PerSecond > 0 }
+func (limit RateLimit) Limited() bool { return limit.PerSecond > 0 }
 
 // maxInOneSecond returns the maximum number of new flows in any one second.
-func (b RateLimit) maxInOneSecond() float64 {
-	return b.PerSecond*max(b.BurstFactor, 1) + b.BurstAllowance
+func (limit RateLimit) maxInOneSecond() float64 {
+	return limit.PerSecond*max(limit.BurstFactor, 1) + limit.BurstAllowance
 }
 
 // Allocation is how the rate limit of a target is divided among hosts.
@@ -88,8 +88,8 @@
 // Warmer manages the tickets of one host. It is not safe for concurrent use.
 type Warmer struct {
 	self string
-	// discoveredAt is when this host may hold its first ticket.
-	discoveredAt timekeeper.Instant
+	// discoveryDeadline is when this host may hold its first ticket.
+	discoveryDeadline timekeeper.Instant
 	// hosts are those of the zone including this one, sorted. hostsVersion counts the changes
 	// of the list.
 	hosts        []string
@@ -107,7 +107,7 @@
 
 // New returns the Warmer of a host that started at the given time.
 func New(self string, start timekeeper.Instant) *Warmer {
-	return &Warmer{self: self, discoveredAt: start.Add(discoveryPeriod), hosts: []string{self}, tickets: map[string]*ticket{}}
+	return &Warmer{self: self, discoveryDeadline: start.Add(discoveryPeriod), hosts: []string{self}, tickets: map[string]*ticket{}}
 }
 
 // SetHosts replaces the list of other hosts of the zone, alive or not, that may hold tickets.
@@ -126,7 +126,7 @@
 	if !limit.Limited() {
 		return true
 	}
-	if !w.discoveredAt.Passed(now) {
+	if !w.discoveryDeadline.Passed(now) {
 		return false
 	}
 	t := w.ticket(target, limit)
--- a/core/warmer/warmer_test.go
+++ b/core/warmer/warmer_test.go
@@ -25,15 +25,15 @@
 // within it in any second, and one set stays within the sustained rate.
 func TestTwoSetsOfHoldersStayWithinRateLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := warmer.RateLimit{
+		limit := warmer.RateLimit{
 			PerSecond:      rapid.Float64Range(0.2, 200).Draw(t, "perSecond"),
 			BurstFactor:    rapid.Float64Range(1, 3).Draw(t, "overage"),
 			BurstAllowance: rapid.Float64Range(2, 10).Draw(t, "allowance"),
 		}
-		allocation := warmer.Allocate(b)
+		allocation := warmer.Allocate(limit)
 		maxInOneSecond := 1 + int((time.Second-1)/allocation.Interval)
-		require.LessOrEqual(t, float64(2*allocation.Holders*maxInOneSecond), b.PerSecond*b.BurstFactor+b.BurstAllowance+1e-9)
-		require.LessOrEqual(t, float64(allocation.Holders)/allocation.Interval.Seconds(), b.PerSecond*1.0001)
+		require.LessOrEqual(t, float64(2*allocation.Holders*maxInOneSecond), limit.PerSecond*limit.BurstFactor+limit.BurstAllowance+1e-9)
+		require.LessOrEqual(t, float64(allocation.Holders)/allocation.Interval.Seconds(), limit.PerSecond*1.0001)
 	})
 }
 
@@ -50,24 +50,24 @@
 // only host.
 func TestHostHoldsNoTicketsDuringDiscoveryPeriod(t *testing.T) {
 	w := warmer.New("a1", start)
-	b := warmer.RateLimit{PerSecond: 12, BurstFactor: 1.5, BurstAllowance: 5}
-	require.False(t, w.Admits("i-1", b, start.Add(time.Second)))
-	require.True(t, w.Admits("i-1", b, start.Add(4*time.Second)), "alone in its zone, it holds all")
+	limit := warmer.RateLimit{PerSecond: 12, BurstFactor: 1.5, BurstAllowance: 5}
+	require.False(t, w.Admits("i-1", limit, start.Add(time.Second)))
+	require.True(t, w.Admits("i-1", limit, start.Add(4*time.Second)), "alone in its zone, it holds all")
 }
 
 func TestHolderWaitsBetweenFlows(t *testing.T) {
 	w := warmer.New("a1", start)
-	b := warmer.RateLimit{PerSecond: 2, BurstFactor: 1.5, BurstAllowance: 5}
+	limit := warmer.RateLimit{PerSecond: 2, BurstFactor: 1.5, BurstAllowance: 5}
 	now := start.Add(10 * time.Second)
-	require.True(t, w.Admits("i-1", b, now))
-	w.RecordPlacement("i-1", b, now)
-	require.False(t, w.Admits("i-1", b, now.Add(900*time.Millisecond)))
-	require.True(t, w.Admits("i-1", b, now.Add(time.Second)))
-	require.True(t, w.Admits("i-2", b, now), "another target's ticket is another")
+	require.True(t, w.Admits("i-1", limit, now))
+	w.RecordPlacement("i-1", limit, now)
+	require.False(t, w.Admits("i-1", limit, now.Add(900*time.Millisecond)))
+	require.True(t, w.Admits("i-1", limit, now.Add(time.Second)))
+	require.True(t, w.Admits("i-2", limit, now), "another target's ticket is another")
 }
 
 func TestHolderCountFollowsZoneHosts(t *testing.T) {
-	b := warmer.RateLimit{PerSecond: 2, BurstFactor: 1.5, BurstAllowance: 5}
+	limit := warmer.RateLimit{PerSecond: 2, BurstFactor: 1.5, BurstAllowance: 5}
 	names := []string{"a1", "a2", "a3", "a4", "a5", "a6"}
 	now := start.Add(10 * time.Second)
 	countHolders := func(hosts []string) int {
@@ -75,7 +75,7 @@
 		for _, name := range hosts {
 			w := warmer.New(name, start)
 			w.SetHosts(without(hosts, name))
-			if w.Admits("i-1", b, now) {
+			if w.Admits("i-1", limit, now) {
 				count++
 			}
 		}
--- a/scripts/red.sh
+++ b/scripts/red.sh
@@ -226,7 +226,7 @@
 without "what is usual to be heard" diagnoser/diagnoser.go '&& now.Since(since) > z.meanGap' '' TestZoneWithLittleTrafficIsNotSuspect
 
 package=warmer
-without "hosts that wait to hear of others" warmer/warmer.go 'if !w.discoveredAt.Passed(now) {' 'if false {' TestHostHoldsNoTicketsDuringDiscoveryPeriod
+without "hosts that wait to hear of others" warmer/warmer.go 'if !w.discoveryDeadline.Passed(now) {' 'if false {' TestHostHoldsNoTicketsDuringDiscoveryPeriod
 without "pauses between flows" warmer/warmer.go 't.held && t.nextFlowAt.Passed(now)' 't.held' 'TestHolderWaitsBetweenFlows|TestOnlyTicketsStayWithinColdTargetRateLimit'
 without "few holders" warmer/warmer.go 'slices.Contains(holdersOf(target, w.hosts, Allocate(limit).Holders), w.self)' 'true' 'TestHolderCountFollowsZoneHosts|TestOnlyTicketsStayWithinColdTargetRateLimit'
 without "room for a second set of holders" warmer/warmer.go 'holderSets = 2' 'holderSets = 1' TestTwoSetsOfHoldersStayWithinRateLimit
@@ -235,7 +235,7 @@
 without "the gradient of the window" pacer/pacer.go 'next := l.window*gradient + windowHeadroom' 'next := l.window + windowHeadroom + 0*gradient' TestPacingKeepsUrgentRequestsOnTimeInSurge
 without "room for those that can be in time" pacer/queue.go 'onTime := !r.onTimeDeadline.Passed(now)' 'onTime := true' 'TestPacingKeepsUrgentRequestsOnTimeInSurge|TestLateRequestsYieldToOnTimeRequests'
 without "the turn of those that will be late" pacer/queue.go 'if r.agingDeadline.Passed(now) {' 'if false {' TestQueueDelayIsBounded
-without "the end of pacing" pacer/pacer.go '(before && l.pressure > congestionOffThreshold)' 'before' TestNormalLoadIsNotQueued
+without "the end of pacing" pacer/pacer.go '(before && l.meanWait > congestionOffThreshold)' 'before' TestNormalLoadIsNotQueued
 
 package=encoder
 without "targets in the shape of the release before" messenger/report.go 'Malformed bool' 'Malformed bool; Era uint64' TestTargetsAreCompatibleWithPreviousRelease
@@ -299,7 +299,7 @@
 without "usual times that leave out slow targets" steerer/estimates.go 'congested || s.targetOrZoneSlow(f.target)' 'congested' TestBaselineIgnoresSlowTargets
 without "speed that ends with a life" steerer/target_restart.go 't.slowdownEstimate = estimator.Target{}' '' TestRestartedTargetIsNotSlow
 package=limiter
-without "what a host has forgotten since it started" limiter/limiter.go 'b.Estimated = l.estimateForgotten(t, now) + int(unreported+0.5)' 'b.Estimated = int(unreported + 0.5)' TestRestartedHostEstimatesForgottenFlows
+without "what a host has forgotten since it started" limiter/limiter.go 'flows.Estimated = l.estimateForgotten(t, now) + int(unreported+0.5)' 'flows.Estimated = int(unreported + 0.5)' TestRestartedHostEstimatesForgottenFlows
 without "what a host told before it started again" limiter/limiter.go 'n := max(reported, l.remaining(int(h.previousFlows[tag]), h.previousSince, now))' 'n := reported' TestFlowsForgottenByRestartedPeerStillCount
 without "flows unseen at full targets" limiter/limiter.go 't.unaccounted = max(maxFlows-' 't.unaccounted = 0 * max(maxFlows-' 'TestFullTargetStaysFullUntilFlowsEnd|TestPartitionedHostsStayWithinLimit'
 without "growth since others were heard" limiter/limiter.go '+ estimate.Growth*float64(reporters)' '+ 0*estimate.Growth' TestThunderingHerdRarelyHitsFullTargets
