--- a/core/detector/detector.go
+++ b/core/detector/detector.go
@@ -233,9 +233,9 @@
 //
 // Without this, a host that was paused for longer than DeadAfter finds at its first
 // tick that no host has answered for that long, and declares every host of the cell
-// dead although all are alive, which shows as a burst of "host dead" lines from one
-// host. A resumed host therefore first gives the others time to answer. Its own
-// leases have expired by themselves.
+// dead although all are alive, which shows as a host that reports every peer of its
+// cell as dead. A resumed host therefore first gives the others time to answer. Its
+// own leases have expired by themselves.
 func (d *Detector) RecordPause(now timekeeper.Instant) {
 	d.now = now
 	clear(d.pings)
@@ -317,8 +317,9 @@
 	}
 }
 
-// nextRemotePeer returns the hosts outside the cell in random order, each one once
-// before any is repeated, which bounds the time until a failure is detected.
+// nextRemotePeer returns the next host outside the cell to ping. The order is random,
+// but each host comes once before any is repeated, which bounds the time until a
+// failure is detected.
 func (d *Detector) nextRemotePeer() (string, bool) {
 	if len(d.pingOrder) == 0 {
 		for _, name := range d.names {
@@ -376,8 +377,9 @@
 	}
 }
 
-// ackPing answers a ping and records how long the vote in the answer is valid. A
-// host that was declared dead gets an Ack, which tells it so, but no vote.
+// ackPing answers a ping and records how long the vote in the Ack binds this host. A
+// host that was declared dead gets an Ack, which reports this state to it, but no
+// vote.
 func (d *Detector) ackPing(m *member, sequence uint64, now timekeeper.Instant) {
 	if m.liveness != messenger.LivenessDead {
 		m.grantDeadline = now.Add(d.timing.Grant)
@@ -494,9 +496,9 @@
 	}
 }
 
-// adoptDeadState lets a host that has not joined yet adopt a cell peer's report
-// that a host is dead: it has cast no vote in this incarnation, and has no record
-// of votes cast by an earlier one.
+// adoptDeadState adopts a cell peer's report that a host is dead if the local host
+// has not joined yet. It need not wait for a vote of its own to expire, since it has
+// cast none in this incarnation, and has no record of votes cast by an earlier one.
 func (d *Detector) adoptDeadState(m *member, now timekeeper.Instant) {
 	if canVote(d.phase) || m.liveness == messenger.LivenessDead {
 		return
--- a/core/detector/member.go
+++ b/core/detector/member.go
@@ -15,7 +15,10 @@
 	liveness    messenger.Liveness
 	phase       messenger.Phase
 	revision    uint64
-	// lastHeardAt is when the host last answered a ping.
+	// lastHeardAt is when the host last answered a ping or, for a host outside the
+	// cell, last sent a heartbeat or had its state updated by gossip. It is also set
+	// when the host is first listed, when a new incarnation of it is recorded, and when
+	// the local host resumes from a pause, so that timeouts start from then.
 	lastHeardAt timekeeper.Instant
 	// suspectDeadline is when a suspect host outside the cell is declared dead.
 	suspectDeadline timekeeper.Instant
@@ -41,7 +44,8 @@
 	heldQuorum bool
 	// declaredDeadBy names the cell members that declared this incarnation dead.
 	declaredDeadBy map[string]bool
-	// left is set if the host shut down gracefully and has not restarted.
+	// left is set if the host shut down gracefully and has not become ready again
+	// since.
 	left bool
 	// leftAt is when the local host learned of the shutdown.
 	leftAt timekeeper.Instant
@@ -49,8 +53,8 @@
 	pingDeadline timekeeper.Instant
 }
 
-// startIncarnation records a new incarnation of the host and discards all state of
-// the earlier one.
+// startIncarnation records a new incarnation of the host and discards the votes,
+// leases and declarations of death of the earlier one.
 func (m *member) startIncarnation(incarnation uint64, now timekeeper.Instant) {
 	if m.incarnation != 0 && !m.left {
 		m.stateLostAt = now
--- a/core/detector/quorum.go
+++ b/core/detector/quorum.go
@@ -18,10 +18,10 @@
 // Without this, a change of membership allows two disjoint quorums. Cell {x, y, z}
 // becomes {x, y}. x has the new revision, y and z do not. x alone is half of the
 // new cell and its tiebreaker, hence a quorum; {y, z} is a quorum of the old cell;
-// both act, which shows as a request that runs twice right after a change of hosts.
-// So x needs a quorum of both memberships until a quorum of the old one has the new
-// revision or, if the old hosts are gone permanently, until deadline. The deadline
-// is safe only if the operator has stopped the removed hosts.
+// both act as owners, which shows as a request that runs twice right after a change
+// of hosts. So x needs a quorum of both memberships until a quorum of the old one has
+// the new revision or, if the old hosts never return, until deadline. The deadline is
+// safe only if the operator has stopped the removed hosts.
 type priorMembership struct {
 	cellMembership
 	requiredRevision uint64
@@ -164,10 +164,11 @@
 	return false
 }
 
-// CanBootstrapCell reports whether every host of the cell is responsive or has
-// left, and none is still joining: each responsive one is ready, or has waited out
-// the longest exchange lifetime since its start. Such a cell can start without
-// handovers, as after a failure of the whole zone.
+// CanBootstrapCell reports whether every other host of the cell is responsive or has
+// transferred its vote to a responsive host, and none is still joining: each
+// responsive one is ready, or has waited out the longest exchange lifetime since its
+// start. Such a cell can start without handovers, as after a failure of the whole
+// zone.
 func (d *Detector) CanBootstrapCell(now timekeeper.Instant) bool {
 	for _, name := range d.membership.names {
 		if name == d.self {
