--- a/core/reducer/dispatch.go
+++ b/core/reducer/dispatch.go
@@ -9,8 +9,9 @@
 	"cranberryspan.dev/core/timekeeper"
 )
 
-// dispatch starts a request, queues it while its target has no free slot, or
-// refuses it at once if the queue is full or the wait would exceed the deadline.
+// dispatch starts a request or, if its target has no free slot, queues it. It
+// refuses the request at once if its tenant has too many requests queued and in
+// flight, if the queue is full, or if the wait would exceed the deadline.
 func (r *Reducer) dispatch(q *request) {
 	policy := &q.service.settings.Policy
 	tenant := q.service.settings.Tenant
@@ -52,8 +53,8 @@
 	return t.serviceTime * time.Duration(len(t.queue)+1) / time.Duration(t.concurrencyLimit(now))
 }
 
-// updateServiceTime adds the service time of one request to the target's moving
-// average, which covers about 8 requests.
+// updateServiceTime adds the service time of one request to the target's
+// exponential moving average, which covers about 8 requests.
 func (t *target) updateServiceTime(elapsed time.Duration) {
 	const weight = 8
 	if t.serviceTime == 0 {
@@ -95,8 +96,8 @@
 	r.sendTarget(e)
 }
 
-// releaseSlot frees a request's slot or queue entry at its target, and starts the
-// next queued request.
+// releaseSlot frees a request's slot or queue entry at its target, stops counting it
+// for its tenant, and starts the next queued request.
 func (r *Reducer) releaseSlot(q *request) {
 	if q.countedForTenant {
 		q.countedForTenant = false
@@ -125,8 +126,8 @@
 	}
 }
 
-// advanceRequests handles deadlines, removes finished requests and starts queued
-// ones.
+// advanceRequests handles deadlines, starts queued requests, and removes finished
+// ones: idempotent requests at once, others once callers no longer retransmit them.
 func (r *Reducer) advanceRequests() {
 	kept := r.active[:0]
 	// Requests that are added during the loop are appended afterwards.
--- a/core/reducer/exceptions.go
+++ b/core/reducer/exceptions.go
@@ -90,6 +90,8 @@
 	return timekeeper.Instant(time.Duration(f.lastSeen) * time.Second).Add(timeout).Passed(r.now)
 }
 
+// markExceptionInSweep calls markException and restores dirtyShards, which
+// markException sets so that all shards are swept again.
 func (r *Reducer) markExceptionInSweep(s *service, hash uint64, f *flow) {
 	dirty := r.dirtyShards
 	r.markException(s, hash, f)
--- a/core/reducer/flow_table.go
+++ b/core/reducer/flow_table.go
@@ -42,9 +42,9 @@
 // flowShards is the number of shards, of which each sweep visits one.
 const flowShards = 256
 
-// flowTable holds the records of flows. It is the only mutable store of the system,
-// because copying an immutable map for each packet would cost far more than the
-// lookup itself (BenchmarkKnownFlow), and only its reducer accesses it.
+// flowTable holds the records of flows. It is updated in place, because copying an
+// immutable map for each packet would cost far more than the lookup itself
+// (BenchmarkKnownFlow), and only its reducer accesses it.
 //
 // A shard holds the flows whose buckets have the same low byte.
 type flowTable struct {
@@ -77,8 +77,8 @@
 
 func seconds(now timekeeper.Instant) uint32 { return uint32(time.Duration(now) / time.Second) }
 
-// each calls visit for every flow of a shard; visit returns the flow to keep
-// and whether to keep it.
+// each calls visit for every flow of a shard. visit returns the flow's new record,
+// and whether to keep the flow.
 func (t *flowTable) each(shard int, visit func(key resolver.FlowKey, f flow) (flow, bool)) {
 	flows := t.shards[shard]
 	for key, f := range flows {
--- a/core/reducer/handover.go
+++ b/core/reducer/handover.go
@@ -196,7 +196,7 @@
 	chunk.Done = true
 	chunk.Quorum = r.detector.HasQuorum(r.now)
 	chunk.Unsent = r.takeUnsentRequests(to)
-	// Add what has run or was refused since the snapshot.
+	// Add the requests that have run or were refused since startHandover.
 	chunk.Identities = append(slices.Clone(chunk.Identities), r.knownIdentities()...)
 	chunk.Requests = r.takeRunningRequests(to)
 	chunk.IdentitiesIncompleteFor = max(0, r.outcomesUncertainUntil().Until(r.now))
@@ -283,7 +283,8 @@
 	q.service.retained = slices.DeleteFunc(q.service.retained, func(other *request) bool { return other == q })
 }
 
-// handleHandover imports the records of a chunk and acknowledges it.
+// handleHandover imports the records of a chunk and acknowledges it. If this host is
+// itself shutting down, it refuses the chunk of another host that is.
 func (r *Reducer) handleHandover(from string, body *messenger.Handover) {
 	if r.settings == nil {
 		return
@@ -360,7 +361,7 @@
 	}
 	handover := handoverID{incarnation: r.detector.State(from).Incarnation, session: body.Session}
 	if r.votesAcceptedFrom[from] != handover {
-		// The chunk is resent if its acknowledgment was lost, by which time the
+		// The chunk is resent if its acknowledgement was lost, by which time the
 		// votes may already have been transferred further.
 		r.votesAcceptedFrom[from] = handover
 		r.detector.AcceptVotes(body.Votes, body.DeniedRecipients, r.now)
--- a/core/reducer/health.go
+++ b/core/reducer/health.go
@@ -15,8 +15,8 @@
 // hosts of each zone probe a target, selected by a ranking per target that spreads
 // the work, and a host sends at most maxProbesPerSecond. Probers report failing
 // targets to the hosts of their zone. A prober that is wrong or partitioned can
-// eject at most the service's MaxEjectedShare of the targets, and none that responds
-// to requests.
+// eject at most the service's MaxEjectedFraction of the targets, and none that
+// responds to requests.
 const (
 	probersPerZone             = 2
 	maxProbesPerSecond         = 20
--- a/core/reducer/isolation.go
+++ b/core/reducer/isolation.go
@@ -10,13 +10,14 @@
 	// pauseThreshold is the gap between two events from which a host concludes that
 	// it was paused; ticks alone are far more frequent.
 	pauseThreshold = time.Second
-	// peerContactTTL is how long an answer from a peer is taken as evidence that
-	// this host would have received a new revision.
+	// peerContactTTL is how long an acknowledged ping counts as evidence that this
+	// host would have received a new revision.
 	peerContactTTL = 2 * time.Second
-	// platformContactTTL is the same for the platform, which is read less often.
+	// platformContactTTL is the same for a read of the platform, which is less
+	// frequent.
 	platformContactTTL = 8 * time.Second
-	// isolationTimeout is how long a host without contact accepts no new work.
-	// After that it may be the last host that callers can reach.
+	// isolationTimeout is how long a host without contact to peers and platform
+	// accepts no new work. After that it may be the last host that callers can reach.
 	isolationTimeout = time.Minute
 )
 
@@ -24,18 +25,21 @@
 // longer in force.
 //
 // Without this, a host is paused, a target is drained, and the resumed host assigns
-// new work from its queued packets to that target; or a host is partitioned from
-// everything but the fabric. This shows as new flows on a target that left long
-// ago. So a host accepts new work only while a peer or the platform has answered it
-// recently, and waits for an answer first when it detects that it was paused.
+// new work from its queued packets to that target; or the host is partitioned from
+// everything but the fabric while the target is drained. This shows as new flows on a
+// target that was drained long ago. So a host accepts new work only if a peer or the
+// platform has responded to it recently. When it detects that it was paused, it waits
+// for such a response first.
 type isolation struct {
+	// platformDeadline is when the latest contact with the platform expires.
 	platformDeadline timekeeper.Instant
 	// lostContactSince is when the last contact expired; Never while there is
 	// contact.
 	lostContactSince timekeeper.Instant
 }
 
-// detectPause is called for every event, before the event is handled.
+// detectPause discards this host's contacts if the gap between two events shows that
+// it was paused. It is called for every event, before the event is handled.
 func (r *Reducer) detectPause(before, now timekeeper.Instant) {
 	if before.Add(pauseThreshold) < now {
 		r.isolation.platformDeadline = 0
@@ -65,7 +69,8 @@
 	}
 }
 
-// acceptsNewWork reports whether this host may accept new work.
+// acceptsNewWork reports whether this host may accept new work: it has contact, or
+// has had none for isolationTimeout.
 func (r *Reducer) acceptsNewWork() bool {
 	if r.inContact() {
 		return true
--- a/core/reducer/joining.go
+++ b/core/reducer/joining.go
@@ -15,10 +15,11 @@
 	recordsFrom map[string]timekeeper.Instant
 	// recordsLackQuorum is set if some of these hosts had no quorum.
 	recordsLackQuorum bool
-	// expectedPeers holds the hosts that were alive according to others.
+	// expectedPeers holds the hosts that acted as owners according to the hosts that
+	// have handed over.
 	expectedPeers map[string]bool
-	// ready is set once the host is ready, at readyAt; it may act from actDeadline
-	// on.
+	// ready is set once the host is ready, at readyAt. It may act as an owner only
+	// after actDeadline.
 	ready       bool
 	readyAt     timekeeper.Instant
 	actDeadline timekeeper.Instant
--- a/core/reducer/reducer.go
+++ b/core/reducer/reducer.go
@@ -6,10 +6,10 @@
 // The state is divided by file: the settings in force (settings.go), flow
 // ownership (route.go), target selection (target.go, flow_table.go, pinning.go,
 // exceptions.go, health.go), outstanding requests (request.go, dispatch.go,
-// answer.go, refusal.go, hold.go), the request identities that guarantee
-// at-most-once execution (witness.go, permission.go, isolation.go), and joining
-// and graceful shutdown (joining.go, handover.go, leaving.go). Package detector
-// manages the leases.
+// response.go, refusal.go, held_packets.go), the request identities that guarantee
+// at-most-once execution (witness.go, permission.go, isolation.go), and joining and
+// graceful shutdown (joining.go, handover.go, shutdown.go). Package detector manages
+// the leases.
 package reducer
 
 import (
@@ -77,7 +77,9 @@
 	// listedShuttingDown is the set of hosts that the platform lists as shutting down.
 	listedShuttingDown map[string]bool
 
-	flows       *flowTable
+	flows *flowTable
+	// dirtyShards is the number of shards whose flowException flags may be out of date;
+	// sweepFlows updates one shard per tick.
 	dirtyShards int
 
 	requests     map[uint64]*request
@@ -107,10 +109,12 @@
 	watching            bool
 	nextSettingsRequest timekeeper.Instant
 	prober              prober
-	copyTokens          float64
-	noQuorumSince       timekeeper.Instant
-	isolation           isolation
-	nextLoadReport      map[string]timekeeper.Instant
+	// copyTokens is the number of bytes that may be spent at present on copying
+	// exceptions to successors; see copyBytesPerSecond.
+	copyTokens     float64
+	noQuorumSince  timekeeper.Instant
+	isolation      isolation
+	nextLoadReport map[string]timekeeper.Instant
 
 	counts      [numReasons]uint64
 	effects     []Effect
@@ -286,7 +290,7 @@
 }
 
 // recordQuorumLoss records since when this host has lacked a quorum, so that a request
-// that needs one is refused at once when waiting is futile.
+// that needs one is refused at once after futileWaitAfter.
 func (r *Reducer) recordQuorumLoss() {
 	if r.detector.HasQuorum(r.now) {
 		r.noQuorumSince = timekeeper.Never
--- a/core/reducer/refusal.go
+++ b/core/reducer/refusal.go
@@ -12,8 +12,8 @@
 // permission to run it, and only after the successor, if there is one, has stored
 // its identity. Without this, when this host reports that a request did not run and
 // then dies, a late retransmission reaches the next owner, which has no record of
-// the request and runs it. This shows as a booked commitment whose order was
-// withdrawn.
+// the request and runs it. This shows as a request that takes effect although its
+// caller has given it up or replaced it, because it was reported as not run.
 func (r *Reducer) refuse(q *request, outcome Outcome, reason Reason) {
 	r.releaseSlot(q)
 	q.outcome, q.reason = outcome, reason
@@ -52,9 +52,9 @@
 	})
 }
 
-// retryAfter returns how long a caller should wait before it retries: about as long
-// as the target's current queue takes, with jitter, so that callers don't all retry
-// at the same time.
+// retryAfter returns how long a caller should wait before it retries: one second and
+// about as long as the target's current queue takes at 100 ms a request, and up to
+// twice that by jitter, so that callers don't all retry at the same time.
 func (r *Reducer) retryAfter(q *request) time.Duration {
 	wait := time.Second
 	if q.target != noTarget {
--- a/core/reducer/request.go
+++ b/core/reducer/request.go
@@ -36,7 +36,7 @@
 	sendValidity = 100 * time.Millisecond
 )
 
-// requestState is a request's state of processing.
+// requestState is the processing state of a request.
 type requestState uint8
 
 const (
@@ -52,7 +52,9 @@
 	// soon as the successor has stored the identity, so that no late retransmission
 	// runs there either.
 	stateRefusing
-	// stateAnswered requests received their target's response.
+	// stateAnswered requests need no more work on this host: the target's response has
+	// arrived, the request was handed over to another host, or it was a stream's
+	// registration whose deadline has passed.
 	stateAnswered
 	// stateRefused requests received a final Reply from this host.
 	stateRefused
@@ -75,10 +77,11 @@
 	inFlight       bool
 	// countedForTenant is set while the request counts in tenantInFlight.
 	countedForTenant bool
-	active           bool
-	sentAt           timekeeper.Instant
-	receivedAt       timekeeper.Instant
-	deadline         timekeeper.Instant
+	// active is set while the request is listed in Reducer.active.
+	active     bool
+	sentAt     timekeeper.Instant
+	receivedAt timekeeper.Instant
+	deadline   timekeeper.Instant
 	// attemptDeadline is when an idempotent request is retried at another target.
 	attemptDeadline timekeeper.Instant
 	retainDeadline  timekeeper.Instant
--- a/core/reducer/response.go
+++ b/core/reducer/response.go
@@ -6,7 +6,8 @@
 
 // handleResponse handles a target's response on the host responsible for its flow.
 // If this host tracks a request with the response's token, it delivers the response
-// only if that matches the request, and drops it otherwise.
+// only if the response belongs to that request or to an earlier one with the same
+// token, and drops it otherwise.
 func (r *Reducer) handleResponse(in *inbound) {
 	q, ok := r.byToken[tokenOf(in.key, in.packet.Exchange)]
 	if !ok {
--- a/core/reducer/route.go
+++ b/core/reducer/route.go
@@ -46,7 +46,7 @@
 // Without this, when a host is paused for longer than callers retransmit their
 // requests, a datagram that waited in its socket is read after every host has
 // dropped the request's identity, and the request runs again. This shows as a
-// commitment that is booked a second time when a host resumes.
+// non-idempotent request that runs a second time when a host resumes.
 const staleAfter = time.Second
 
 func (r *Reducer) isStale(arrived timekeeper.Instant) bool {
@@ -207,6 +207,10 @@
 // The owner is the first host of the bucket's home cell, in rank order, that acts as
 // an owner. ownerOnly is set for requests that only the owner may run; for other
 // requests a suspect host is skipped at once.
+//
+// If no host acts as an owner, this host is the fallback. For a request that only the
+// owner may run, a host of the home cell that has not stepped down or left is the
+// owner instead, and holds the request until it has permission.
 func (r *Reducer) ownerOf(bucket placer.Bucket, ownerOnly bool) (string, role) {
 	order := r.rankers[r.cells.Home(bucket)].Rank(bucket)
 	for i, name := range order.Names() {
--- a/core/reducer/settings.go
+++ b/core/reducer/settings.go
@@ -136,8 +136,8 @@
 }
 
 // compressedSettings returns the document in force, gzipped. The result is cached
-// for all peers: at the size expected in two years the document has nearly a
-// megabyte, and every change goes to every host.
+// for all peers, because the document of a large fleet has nearly a megabyte and
+// every change goes to every host.
 func (r *Reducer) compressedSettings() []byte {
 	if r.compressedRevision == r.Revision() {
 		return r.compressedDocument
@@ -176,6 +176,9 @@
 // number of zones, not of hosts.
 const watchersPerZone = 2
 
+// updateWatching starts or stops this host's watch on the platform: the first
+// watchersPerZone hosts of a zone that are alive and not shutting down watch, in the
+// order of the settings. A host that the settings do not list watches too.
 func (r *Reducer) updateWatching() {
 	self, ok := r.settings.HostByName(r.self)
 	watchersAhead := 0
--- a/core/reducer/shutdown.go
+++ b/core/reducer/shutdown.go
@@ -8,8 +8,8 @@
 
 // A graceful shutdown has four steps, each of which can be repeated:
 //
-//  1. The host streams its flows and identities to the hosts of its cell that stay,
-//     while it continues to act on them.
+//  1. The host sends its flows and identities in chunks to the hosts of its cell that
+//     stay, while it continues to act on them.
 //  2. When all have received them, it stops acting on all flows at one instant, and
 //     sends each host its last chunk: what has changed since, the requests that are
 //     running at targets, and to one of them its votes.
@@ -17,9 +17,9 @@
 //     forwardAfterLeaveDuration, for hosts that do not know yet that it has left.
 //  4. The process ends.
 //
-// It must not stop flow by flow. A host that has received its last chunk would
-// consider the host that is shutting down as left, and act on flows that the latter
-// still owns until another host has received its last chunk.
+// The host must not stop acting on flows one by one. A host that receives its last
+// chunk considers the sender as left. It would act on flows that the sender still
+// owns until other hosts have received their last chunks.
 
 // beginShutdown starts a graceful shutdown: the host hands over all flows while it
 // still acts on them.
--- a/core/reducer/target.go
+++ b/core/reducer/target.go
@@ -86,9 +86,9 @@
 	return t.listed && t.policy.State == resolver.TargetActive && t.quarantineDeadline.Passed(now)
 }
 
-// load estimates the number of requests at the target: this host's own plus those
-// that peers reported recently, or the number that the target reports if that is
-// higher.
+// load estimates the number of requests at the target: those of this host, queued
+// ones included, plus those that peers reported recently, or the number that the
+// target reports if that is higher.
 func (t *target) load(now timekeeper.Instant) int {
 	sum := t.inFlight + len(t.queue)
 	for _, p := range t.peerLoads {
@@ -142,7 +142,9 @@
 	table           *placer.LookupTable
 	candidates      []placer.Candidate
 	registryIndexes []uint16
-	deadline        timekeeper.Instant
+	// deadline is when previousTarget stops using a table that was replaced; Never for
+	// the current one.
+	deadline timekeeper.Instant
 }
 
 func (t placementTable) firstChoice(hash uint64) (uint16, bool) {
@@ -273,10 +275,10 @@
 }
 
 // ejectedTargets returns, by registry index, which targets are ejected. Failed
-// probes eject at most MaxEjectedShare of the listed targets, so that health
+// probes eject at most MaxEjectedFraction of the listed targets, so that health
 // endpoints that fail together can't leave a service without targets. Targets that
-// do not respond to requests are ejected without that limit, because a partition
-// may cut off all of them.
+// do not respond to requests are ejected without that limit, because a partition may
+// cut off all of them.
 func (s *service) ejectedTargets(now timekeeper.Instant) []bool {
 	const updateInterval = 100 * time.Millisecond
 	if !s.nextEjectUpdate.Passed(now) {
--- a/core/reducer/witness.go
+++ b/core/reducer/witness.go
@@ -35,7 +35,7 @@
 
 // remove deletes the identity of a request that is known not to have run.
 func (s *identitySet) remove(id uint64) {
-	// expire removes its entry in order.
+	// expire removes the identity from s.order.
 	delete(s.deadlines, id)
 }
 
@@ -198,7 +198,7 @@
 }
 
 // relayTo returns a host of the cell through which to reach a peer that does not
-// answer this host although no quorum has declared it dead. It returns the empty
+// respond to this host although no quorum has declared it dead. It returns the empty
 // string if the direct link works or no other host is available.
 //
 // Without this, when one link inside a cell breaks, the owner waits for a successor
@@ -218,7 +218,8 @@
 	return ""
 }
 
-// handleWitness stores request identities for another owner.
+// handleWitness stores request identities for another owner, or relays the request
+// to the host that is to store them.
 func (r *Reducer) handleWitness(from string, body *messenger.WitnessRequest) {
 	if body.Recipient != "" && body.Recipient != r.self {
 		r.sendPeer(body.Recipient, body)
