--- a/core/reducer/at_most_once_test.go
+++ b/core/reducer/at_most_once_test.go
@@ -179,8 +179,8 @@
 
 // Guards against a request that runs twice after two hosts were shut down together:
 // two hosts of a cell leave at once, while the link between two of its hosts is cut
-// for a moment. Each of the two handed flows over to the other, and one considered
-// the other as left when it had received only its own share of the flows.
+// for a moment. Each of the two hands flows over to the other, and one considers the
+// other as left when it has received only its own part of the flows.
 func TestTwoHostsOfCellLeaveTogether(t *testing.T) {
 	type variant struct {
 		cut   [2]string
@@ -232,8 +232,8 @@
 // Guards against a non-idempotent request that runs twice while a whole zone is
 // shut down: the hosts of a cell leave one right after another, and the second
 // finds that the third leaves too, so that no host takes its records. The third
-// still has requests to finish, learns that the second has left, and acts on its
-// flows, although a host that has left need not have handed over to this one.
+// still has requests to finish, learns that the second has left, and acts on the
+// second's flows, although the second has not handed them over to it.
 func TestLastHostDoesNotActOnUnreceivedRecords(t *testing.T) {
 	orders := [][]string{{"a1", "a2", "a3"}, {"a1", "a3", "a2"}, {"a2", "a1", "a3"}, {"a2", "a3", "a1"}, {"a3", "a1", "a2"}, {"a3", "a2", "a1"}}
 	for _, order := range orders {
--- a/core/reducer/services_test.go
+++ b/core/reducer/services_test.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// lastCaller is the number of the last caller used, so that each request of these
-// tests has a caller of its own and opens a new flow.
+// lastCaller is the number of the last caller that sendNewFlows used. It uses each
+// caller once, so that every request opens a new flow.
 var lastCaller = 1000
 
 // sendNewFlows sends requests of new flows to both services.
@@ -76,10 +76,10 @@
 }
 
 // requireNoCrossServicePackets checks that every packet is of the service to which
-// its target's address belongs: until span after the publication the service that
-// listed the address before the change, if any, and otherwise the one that lists it
-// after the change. While an address that moved is in quarantine, it gets no packets
-// of either service.
+// its target's address belongs: until oldServiceWindow after the publication, the
+// service that listed the address before the change, if any, and otherwise the one
+// that lists it after the change. While an address that moved is in quarantine, it
+// gets no packets of either service.
 func requireNoCrossServicePackets(t *testing.T, f *driver.Simulation, before, after driver.SettingsTree, published timekeeper.Instant, oldServiceWindow time.Duration) {
 	t.Helper()
 	serviceBefore, serviceAfter := serviceOf(before), serviceOf(after)
--- a/core/reducer/shutdown_test.go
+++ b/core/reducer/shutdown_test.go
@@ -9,12 +9,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against new work for a target that leaves, which is aborted when the
-// target stops: a target is set to draining while the platform is unreachable for
-// some hosts, a host is partitioned or paused, or only one host has read the
-// change. New work keeps arriving at every host, and a paused host resumes with a
-// full queue. A host that continues under settings no longer in force would assign
-// it to the target.
+// Guards against new work for a draining target, which is aborted when the target
+// stops: a target is set to draining while the platform is unreachable for some
+// hosts, a host is partitioned or paused, or only one host has read the change. New
+// work keeps arriving at every host, and a paused host resumes with a full queue. A
+// host that continues under settings no longer in force would assign it to the
+// target.
 func TestDrainingTargetGetsNoNewWork(t *testing.T) {
 	const after = 5 * time.Second
 	drained := threeZoneTree()
@@ -212,11 +212,11 @@
 	require.Empty(t, f.Replies)
 }
 
-// Guards against the failure of TestHostWithoutPeersReleasesTargetSlots by way of
-// responses: a host starts and gets responses before it has received a heartbeat
-// from any other host, acts as if it were the only one and delivers them. The
-// owners of the flows never receive these responses, and keep the slots taken until
-// the deadline of their requests.
+// Guards against the failure of TestHostWithoutPeersReleasesTargetSlots when it comes
+// about through responses: a host starts and gets responses before it has received a
+// heartbeat from any other host, acts as if it were the only one and delivers them.
+// The owners of the flows never receive these responses, and keep the slots taken
+// until the deadline of their requests.
 func TestStartingHostAcceptsNoPacketsBeforePeerDiscovery(t *testing.T) {
 	tree := threeZoneTree()
 	tree.Defaults = []string{"exchangeLifetime: 10s", "flowMemory: 5m", "slots: 2"}
@@ -248,12 +248,13 @@
 	require.True(t, f.Reducer("a1").Accepting())
 }
 
-// Guards against one request in some 100,000 that is answered with "outcome
-// unknown" after 5 s during a rolling replacement: an owner has its successor store
-// a request's identity as a witness, and hands the unsent request over to a joining
-// host before the successor confirms; then the successor hands its records over to
-// the same host, the request's identity among them. The joining host would assume
-// that the request may have run, and wait for a response that no host gives.
+// Guards against single requests, about one in 100,000, that are answered with
+// "outcome unknown" after 5 s during a rolling replacement: an owner has its
+// successor store a request's identity as a witness, and hands the unsent request
+// over to a joining host before the successor confirms; then the successor hands its
+// records over to the same host, the request's identity among them. The joining host
+// would assume that the request may have run, and wait for a response that no host
+// gives.
 func TestUnsentRequestRunsDespiteWitnessedIdentity(t *testing.T) {
 	tree := threeZoneTree()
 	tree.HostsPerZone = []int{3}
