--- a/core/reducer/at_most_once_test.go
+++ b/core/reducer/at_most_once_test.go
@@ -61,7 +61,7 @@
 // Guards against a non-idempotent request that runs twice after a host was paused:
 // the owner is paused with datagrams queued, another host takes over its flows and
 // runs the callers' retransmissions, and the owner resumes. An owner that does not
-// detect its pause would continue.
+// detect its pause would run the queued datagrams as well.
 func TestResumedOwnerRunsNothingTwice(t *testing.T) {
 	for _, pause := range []time.Duration{500 * time.Millisecond, 1500 * time.Millisecond, 2600 * time.Millisecond, 5 * time.Second, 30 * time.Second} {
 		t.Run(pause.String(), func(t *testing.T) {
--- a/core/reducer/permission.go
+++ b/core/reducer/permission.go
@@ -28,11 +28,11 @@
 // hosts, and both act as the owner because one of them was paused, is partitioned
 // or is new, which shows as a non-idempotent request that runs twice. Four
 // conditions together prevent it. The bucket's home cell depends on published
-// settings alone. Within the cell, this host holds the votes of a quorum. Every
-// host that ranks higher has left, was declared dead by a quorum, or is joining and
-// has not been handed this host's records. And this host has the identities of all
-// requests that ran within the time in which callers retransmit them; if it does
-// not, it replies that the outcome is unknown.
+// settings alone, and this host knows of no newer revision. Within the cell, this host
+// holds the votes of a quorum. Every host that ranks higher has left, was declared
+// dead by a quorum, or is joining and has not been handed this host's records. And
+// this host has the identities of all requests that ran within the time in which
+// callers retransmit them; if it does not, it replies that the outcome is unknown.
 func (r *Reducer) checkPermission(bucket placer.Bucket, s *service) permission {
 	if r.cells.Home(bucket) != r.localCell || !r.joining.mayAct(r.now) || r.steppedDown {
 		return permissionWait
--- a/core/reducer/pinning.go
+++ b/core/reducer/pinning.go
@@ -5,7 +5,12 @@
 	"cranberryspan.dev/core/resolver"
 )
 
-// targetFor returns the target of a request and updates the flow's record.
+// targetFor returns the target of a request and updates the flow's record. Requests
+// that continue the flow go to the flow's target while the settings list it. New
+// requests go there too, unless it drains or is ejected: then they go to otherTarget,
+// which is chosen when first needed. The later blocks of a transfer that began at
+// otherTarget go there as well. A flow without streams and uploads moves to the new
+// target altogether.
 func (r *Reducer) targetFor(in *inbound) (uint16, bool) {
 	f, known := r.flows.get(in.key, in.hash)
 	if !known {
--- a/core/reducer/reducer.go
+++ b/core/reducer/reducer.go
@@ -98,10 +98,19 @@
 	joining             joinState
 	handovers           map[string]*outgoingHandover
 	lastHandoverSession uint64
-	handedOverTo        map[string]uint64
-	leaveHandoverFrom   map[string]uint64
-	handoverRefusedBy   map[string]uint64
-	votesAcceptedFrom   map[string]handoverID
+	// handedOverTo holds the incarnations of the joining hosts to which this host has
+	// handed over its records.
+	handedOverTo map[string]uint64
+	// leaveHandoverFrom holds the incarnations of the hosts that have handed over to
+	// this host in their graceful shutdown.
+	leaveHandoverFrom map[string]uint64
+	// handoverRefusedBy holds the incarnations of the hosts that have refused a
+	// handover because they are shutting down themselves.
+	handoverRefusedBy map[string]uint64
+	// votesAcceptedFrom holds each peer's latest handover whose votes were accepted.
+	votesAcceptedFrom map[string]handoverID
+	// steppedDown is set once this host no longer acts on flows in its graceful
+	// shutdown.
 	steppedDown         bool
 	shuttingDown        bool
 	lingerDeadline      timekeeper.Instant
--- a/core/reducer/snapshot.go
+++ b/core/reducer/snapshot.go
@@ -126,7 +126,8 @@
 	Owner     string `json:"owner"`
 }
 
-// Flows lists at most limit flows, sorted by key.
+// Flows lists at most limit flows, sorted by key. If there are more, it lists flows of
+// the first shards.
 func (r *Reducer) Flows(limit int) []FlowStatus {
 	type entry struct {
 		key  resolver.FlowKey
--- a/core/reducer/target.go
+++ b/core/reducer/target.go
@@ -54,7 +54,9 @@
 	reportedLoad             int
 	loadReportDeadline       timekeeper.Instant
 	inFlight                 int
-	serviceTime              time.Duration
+	// serviceTime is the average time from sending a request to its response; zero
+	// before the first response.
+	serviceTime time.Duration
 	// peerLoads holds the number of requests that each other host has in flight at
 	// the target.
 	peerLoads map[string]peerLoad
--- a/core/reducer/witness.go
+++ b/core/reducer/witness.go
@@ -104,9 +104,9 @@
 	return groups
 }
 
-// witnessLink is the stream of identities to one successor. At most one message is
-// unacknowledged; identities that arrive meanwhile go into the next one, so that
-// batches grow with the load and a single request is sent without delay.
+// witnessLink is the state of sending identities to one successor. At most one
+// message is unacknowledged; identities that are added meanwhile go into the next one,
+// so that batches grow with the load and a single request is sent without delay.
 type witnessLink struct {
 	sequence       uint64
 	unacked        []*request
