--- a/core/reducer/isolation.go
+++ b/core/reducer/isolation.go
@@ -16,7 +16,7 @@
 	// platformContactTTL is the same for a read of the platform, which is less
 	// frequent.
 	platformContactTTL = 8 * time.Second
-	// isolationTimeout is how long a host without contact to peers and platform
+	// isolationTimeout is how long a host without contact with peers or the platform
 	// accepts no new work. After that it may be the last host that callers can reach.
 	isolationTimeout = time.Minute
 )
--- a/core/reducer/reducer.go
+++ b/core/reducer/reducer.go
@@ -120,7 +120,8 @@
 	prober              prober
 	// copyTokens is the number of bytes that may be spent at present on copying
 	// exceptions to successors; see copyBytesPerSecond.
-	copyTokens     float64
+	copyTokens float64
+	// noQuorumSince is since when this host has lacked a quorum; Never while it has one.
 	noQuorumSince  timekeeper.Instant
 	isolation      isolation
 	nextLoadReport map[string]timekeeper.Instant
