--- a/core/reducer/at_most_once_test.go
+++ b/core/reducer/at_most_once_test.go
@@ -61,7 +61,7 @@
 // Guards against a non-idempotent request that runs twice after a host was paused:
 // the owner is paused with datagrams queued, another host takes over its flows and
 // runs the callers' retransmissions, and the owner resumes. An owner that does not
-// detect its pause would continue.
+// detect its pause would run the queued datagrams as well.
 func TestResumedOwnerRunsNothingTwice(t *testing.T) {
 	for _, pause := range []time.Duration{500 * time.Millisecond, 1500 * time.Millisecond, 2600 * time.Millisecond, 5 * time.Second, 30 * time.Second} {
 		t.Run(pause.String(), func(t *testing.T) {
@@ -179,8 +179,8 @@
 
 // Guards against a request that runs twice after two hosts were shut down together:
 // two hosts of a cell leave at once, while the link between two of its hosts is cut
-// for a moment. Each of the two handed flows over to the other, and one considered
-// the other as left when it had received only its own share of the flows.
+// for a moment. Each of the two hands flows over to the other, and one considers the
+// other as left when it has received only its own part of the flows.
 func TestTwoHostsOfCellLeaveTogether(t *testing.T) {
 	type variant struct {
 		cut   [2]string
@@ -232,8 +232,8 @@
 // Guards against a non-idempotent request that runs twice while a whole zone is
 // shut down: the hosts of a cell leave one right after another, and the second
 // finds that the third leaves too, so that no host takes its records. The third
-// still has requests to finish, learns that the second has left, and acts on its
-// flows, although a host that has left need not have handed over to this one.
+// still has requests to finish, learns that the second has left, and acts on the
+// second's flows, although the second has not handed them over to it.
 func TestLastHostDoesNotActOnUnreceivedRecords(t *testing.T) {
 	orders := [][]string{{"a1", "a2", "a3"}, {"a1", "a3", "a2"}, {"a2", "a1", "a3"}, {"a2", "a3", "a1"}, {"a3", "a1", "a2"}, {"a3", "a2", "a1"}}
 	for _, order := range orders {
