--- a/balancer/internal/prober/prober.go
+++ b/balancer/internal/prober/prober.go
@@ -149,7 +149,7 @@
 	if json.Unmarshal(payload, &report) != nil {
 		report.InFlight = 0
 	}
-	p.emit(ctx, &reducer.ProbeAnswered{Target: from, Healthy: healthy, InFlight: report.InFlight})
+	p.emit(ctx, &reducer.ProbeCompleted{Target: from, Healthy: healthy, InFlight: report.InFlight})
 }
 
 func (p *Prober) sweep(ctx context.Context) {
@@ -161,7 +161,7 @@
 			return
 		case now := <-ticker.C:
 			for _, target := range p.removeExpired(now) {
-				p.emit(ctx, &reducer.ProbeAnswered{Target: target})
+				p.emit(ctx, &reducer.ProbeCompleted{Target: target})
 			}
 		}
 	}
--- a/balancer/internal/watcher/watcher.go
+++ b/balancer/internal/watcher/watcher.go
@@ -194,7 +194,7 @@
 	event := &reducer.HostsPublished{}
 	for _, h := range hosts {
 		if h.State == "leaving" {
-			event.Leaving = append(event.Leaving, h.Name)
+			event.ShuttingDown = append(event.ShuttingDown, h.Name)
 		}
 	}
 	w.emit(ctx, event)
--- a/core/detector/detector.go
+++ b/core/detector/detector.go
@@ -54,15 +54,15 @@
 	outgoing         []Outgoing
 	indirectPings    []indirectPing
 
-	lastAckedPingAt  timekeeper.Instant
-	now              timekeeper.Instant
-	startedAt        timekeeper.Instant
-	nextPingRound    timekeeper.Instant
-	pingOrder        []string
-	extraPayload     func(peer string) messenger.Heartbeat
-	rejoined         bool
-	heldQuorum       bool
-	initialPingsSent bool
+	lastAckedPingAt      timekeeper.Instant
+	now                  timekeeper.Instant
+	startedAt            timekeeper.Instant
+	nextPingRound        timekeeper.Instant
+	pingOrder            []string
+	extraHeartbeatFields func(peer string) messenger.Heartbeat
+	rejoined             bool
+	heldQuorum           bool
+	initialPingsSent     bool
 }
 
 type sentPing struct {
@@ -75,21 +75,21 @@
 
 // New returns the detector of a host. incarnation must be higher than at any
 // earlier start of the same host; seed makes the choice of hosts to ping
-// reproducible. extraPayload returns the heartbeat fields that other parts of the
+// reproducible. extraHeartbeatFields returns the heartbeat fields that other parts of the
 // host send to a peer.
-func New(self string, incarnation, seed uint64, timing Timing, start timekeeper.Instant, extraPayload func(peer string) messenger.Heartbeat) *Detector {
+func New(self string, incarnation, seed uint64, timing Timing, start timekeeper.Instant, extraHeartbeatFields func(peer string) messenger.Heartbeat) *Detector {
 	return &Detector{
-		self:         self,
-		timing:       timing,
-		random:       rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
-		incarnation:  incarnation,
-		phase:        messenger.PhaseJoining,
-		members:      map[string]*member{},
-		pings:        map[uint64]sentPing{},
-		heldVotes:    map[string]heldVote{},
-		extraPayload: extraPayload,
-		now:          start,
-		startedAt:    start,
+		self:                 self,
+		timing:               timing,
+		random:               rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
+		incarnation:          incarnation,
+		phase:                messenger.PhaseJoining,
+		members:              map[string]*member{},
+		pings:                map[uint64]sentPing{},
+		heldVotes:            map[string]heldVote{},
+		extraHeartbeatFields: extraHeartbeatFields,
+		now:                  start,
+		startedAt:            start,
 	}
 }
 
@@ -415,15 +415,15 @@
 		m.liveness = messenger.LivenessAlive
 		d.queueUpdate(m.host.Name)
 	}
-	if canVote(ack.Heartbeat.Phase) && !declaresSelfDead(ack.Heartbeat.CellMembers, d.self, d.incarnation) {
+	if canVote(ack.Heartbeat.Phase) && !declaresDead(ack.Heartbeat.CellMembers, d.self, d.incarnation) {
 		m.leaseVotes = ack.Heartbeat.Votes
 		m.leaseDeadline = max(m.leaseDeadline, sent.sentAt.Add(d.timing.Lease))
 	}
 }
 
-func declaresSelfDead(cell []messenger.MemberState, self string, incarnation uint64) bool {
-	for _, r := range cell {
-		if r.Host == self && r.Incarnation == incarnation && r.Liveness == messenger.LivenessDead {
+func declaresDead(cell []messenger.MemberState, self string, incarnation uint64) bool {
+	for _, state := range cell {
+		if state.Host == self && state.Incarnation == incarnation && state.Liveness == messenger.LivenessDead {
 			return true
 		}
 	}
@@ -460,39 +460,39 @@
 			d.queueUpdate(m.host.Name)
 		}
 	}
-	for _, r := range heartbeat.CellMembers {
-		d.applyCellUpdate(m, r, now)
+	for _, state := range heartbeat.CellMembers {
+		d.applyCellUpdate(m, state, now)
 	}
-	for _, r := range heartbeat.MemberUpdates {
-		d.applyMemberState(r, now)
+	for _, state := range heartbeat.MemberUpdates {
+		d.applyMemberState(state, now)
 	}
 }
 
 // applyCellUpdate applies a cell peer's report about another cell member.
-func (d *Detector) applyCellUpdate(from *member, r messenger.MemberState, now timekeeper.Instant) {
+func (d *Detector) applyCellUpdate(from *member, state messenger.MemberState, now timekeeper.Instant) {
 	if !from.inCell {
 		return
 	}
-	if r.Host == d.self {
-		d.handleDeclaredDead(r, now)
+	if state.Host == d.self {
+		d.handleDeclaredDead(state, now)
 		return
 	}
-	m, ok := d.members[r.Host]
-	if !ok || r.Incarnation < m.incarnation {
+	m, ok := d.members[state.Host]
+	if !ok || state.Incarnation < m.incarnation {
 		return
 	}
-	if r.Incarnation > m.incarnation {
-		m.startIncarnation(r.Incarnation, now)
-		m.setPhase(r.Phase, now)
+	if state.Incarnation > m.incarnation {
+		m.startIncarnation(state.Incarnation, now)
+		m.setPhase(state.Phase, now)
 		m.liveness = messenger.LivenessSuspect
 		m.lastHeardAt = now
 	}
-	if r.Liveness == messenger.LivenessDead {
+	if state.Liveness == messenger.LivenessDead {
 		m.declaredDeadBy[from.host.Name] = true
 		d.adoptDeadState(m, now)
 	}
-	if r.Phase > m.phase {
-		m.setPhase(r.Phase, now)
+	if state.Phase > m.phase {
+		m.setPhase(state.Phase, now)
 	}
 }
 
@@ -513,12 +513,12 @@
 // A host must not start a new incarnation for any other reason: its peers would
 // discard the fact that they declared it dead, and it would continue with outdated
 // records.
-func (d *Detector) handleDeclaredDead(r messenger.MemberState, now timekeeper.Instant) {
-	if r.Liveness != messenger.LivenessDead || r.Incarnation < d.incarnation {
+func (d *Detector) handleDeclaredDead(state messenger.MemberState, now timekeeper.Instant) {
+	if state.Liveness != messenger.LivenessDead || state.Incarnation < d.incarnation {
 		return
 	}
 	hadQuorum := d.HasQuorum(now)
-	d.incarnation = r.Incarnation + 1
+	d.incarnation = state.Incarnation + 1
 	d.refutations = 0
 	d.queueUpdate(d.self)
 	if canVote(d.phase) && !hadQuorum {
--- a/core/detector/gossip.go
+++ b/core/detector/gossip.go
@@ -42,69 +42,69 @@
 // it has answered.
 func (d *Detector) sendIndirectAcks(m *member, now timekeeper.Instant) {
 	kept := d.indirectPings[:0]
-	for _, r := range d.indirectPings {
+	for _, pending := range d.indirectPings {
 		switch {
-		case r.subject == m.host.Name:
+		case pending.subject == m.host.Name:
 			state := m.state()
 			state.Liveness = messenger.LivenessAlive
-			d.send(r.requester, &messenger.IndirectAck{Subject: state, Heartbeat: d.buildHeartbeat(r.requester)})
-		case !r.deadline.Passed(now):
-			kept = append(kept, r)
+			d.send(pending.requester, &messenger.IndirectAck{Subject: state, Heartbeat: d.buildHeartbeat(pending.requester)})
+		case !pending.deadline.Passed(now):
+			kept = append(kept, pending)
 		}
 	}
 	d.indirectPings = kept
 }
 
 // refute refutes a report that the local host is suspect or dead.
-func (d *Detector) refute(r messenger.MemberState) {
-	if r.Incarnation != d.incarnation || r.Refutations < d.refutations {
+func (d *Detector) refute(state messenger.MemberState) {
+	if state.Incarnation != d.incarnation || state.Refutations < d.refutations {
 		return
 	}
-	d.refutations = r.Refutations + 1
+	d.refutations = state.Refutations + 1
 	d.queueUpdate(d.self)
 }
 
 // applyMemberState applies a gossiped member state. Gossip decides nothing about
 // hosts of the local cell, which this host pings itself.
-func (d *Detector) applyMemberState(r messenger.MemberState, now timekeeper.Instant) {
-	if r.Host == d.self {
-		if r.Liveness >= messenger.LivenessSuspect {
-			d.refute(r)
+func (d *Detector) applyMemberState(state messenger.MemberState, now timekeeper.Instant) {
+	if state.Host == d.self {
+		if state.Liveness >= messenger.LivenessSuspect {
+			d.refute(state)
 		}
 		return
 	}
-	m, ok := d.members[r.Host]
-	if !ok || m.inCell || r.Incarnation < m.incarnation || (r.Incarnation == m.incarnation && r.Refutations < m.refutations) {
+	m, ok := d.members[state.Host]
+	if !ok || m.inCell || state.Incarnation < m.incarnation || (state.Incarnation == m.incarnation && state.Refutations < m.refutations) {
 		return
 	}
-	newer := m.isNewer(r)
-	if !newer && r.Liveness <= m.liveness && r.Phase <= m.phase {
+	newer := m.isNewer(state)
+	if !newer && state.Liveness <= m.liveness && state.Phase <= m.phase {
 		return
 	}
-	if r.Incarnation > m.incarnation {
-		m.startIncarnation(r.Incarnation, now)
-		m.setPhase(r.Phase, now)
+	if state.Incarnation > m.incarnation {
+		m.startIncarnation(state.Incarnation, now)
+		m.setPhase(state.Phase, now)
 	}
-	m.refutations = r.Refutations
-	if newer || r.Liveness > m.liveness {
-		m.liveness = r.Liveness
+	m.refutations = state.Refutations
+	if newer || state.Liveness > m.liveness {
+		m.liveness = state.Liveness
 		m.suspectDeadline = now.Add(d.timing.DeadAfter)
 		m.lastHeardAt = now
 	}
-	if r.Phase > m.phase {
-		m.setPhase(r.Phase, now)
+	if state.Phase > m.phase {
+		m.setPhase(state.Phase, now)
 	}
-	d.queueUpdate(r.Host)
+	d.queueUpdate(state.Host)
 }
 
 // applyIndirectAck clears this host's own suspicion of a host that another host has
 // reached. It does not wait until the suspect learns of the suspicion and refutes
 // it, since the refutation would need the broken link.
-func (d *Detector) applyIndirectAck(r messenger.MemberState) {
-	m, ok := d.members[r.Host]
-	if ok && !m.inCell && m.incarnation == r.Incarnation && m.liveness == messenger.LivenessSuspect {
+func (d *Detector) applyIndirectAck(state messenger.MemberState) {
+	m, ok := d.members[state.Host]
+	if ok && !m.inCell && m.incarnation == state.Incarnation && m.liveness == messenger.LivenessSuspect {
 		m.liveness = messenger.LivenessAlive
-		d.queueUpdate(r.Host)
+		d.queueUpdate(state.Host)
 	}
 }
 
@@ -128,8 +128,8 @@
 // buildHeartbeat returns the heartbeat to send to a peer.
 func (d *Detector) buildHeartbeat(peer string) messenger.Heartbeat {
 	heartbeat := messenger.Heartbeat{}
-	if d.extraPayload != nil {
-		heartbeat = d.extraPayload(peer)
+	if d.extraHeartbeatFields != nil {
+		heartbeat = d.extraHeartbeatFields(peer)
 	}
 	heartbeat.Incarnation = d.incarnation
 	heartbeat.Refutations = d.refutations
@@ -181,8 +181,8 @@
 	var updates []messenger.MemberState
 	for _, pending := range d.pendingUpdates[:n] {
 		pending.transmissionsLeft--
-		if r, ok := d.memberStateOf(pending.host); ok {
-			updates = append(updates, r)
+		if state, ok := d.memberStateOf(pending.host); ok {
+			updates = append(updates, state)
 		}
 		if pending.transmissionsLeft > 0 {
 			d.pendingUpdates = append(d.pendingUpdates, pending)
--- a/core/detector/member.go
+++ b/core/detector/member.go
@@ -73,8 +73,8 @@
 
 // isNewer reports whether a member state is later than the recorded one. A
 // refutation restores a host to alive without a new incarnation.
-func (m *member) isNewer(r messenger.MemberState) bool {
-	return r.Incarnation > m.incarnation || (r.Incarnation == m.incarnation && r.Refutations > m.refutations)
+func (m *member) isNewer(state messenger.MemberState) bool {
+	return state.Incarnation > m.incarnation || (state.Incarnation == m.incarnation && state.Refutations > m.refutations)
 }
 
 // setPhase records the phase of the host's current incarnation.
--- a/core/detector/quorum.go
+++ b/core/detector/quorum.go
@@ -41,8 +41,8 @@
 }
 
 func (d *Detector) inPriorMembership(name string) bool {
-	for _, f := range d.priorMemberships {
-		if slices.Contains(f.names, name) {
+	for _, prior := range d.priorMemberships {
+		if slices.Contains(prior.names, name) {
 			return true
 		}
 	}
@@ -50,12 +50,12 @@
 }
 
 func (d *Detector) expirePriorMemberships(now timekeeper.Instant) {
-	d.priorMemberships = slices.DeleteFunc(d.priorMemberships, func(f priorMembership) bool {
-		if f.deadline.Passed(now) {
+	d.priorMemberships = slices.DeleteFunc(d.priorMemberships, func(prior priorMembership) bool {
+		if prior.deadline.Passed(now) {
 			return true
 		}
-		return d.isQuorum(f.cellMembership, d.countsForSelf, func(m *member) []string {
-			if m.revision < f.requiredRevision {
+		return d.isQuorum(prior.cellMembership, d.countsForSelf, func(m *member) []string {
+			if m.revision < prior.requiredRevision {
 				return nil
 			}
 			return m.leasedVotes(now)
@@ -71,14 +71,14 @@
 // transfers its vote to one that stays (see heldVote). Each name's vote is held by
 // one host at any time, so any two quorums have a name in common, and with it the
 // host that holds its vote.
-func (d *Detector) isQuorum(r cellMembership, countsHeld func(v heldVote) bool, votesOf func(m *member) []string) bool {
+func (d *Detector) isQuorum(membership cellMembership, countsHeld func(v heldVote) bool, votesOf func(m *member) []string) bool {
 	cast := map[string]bool{}
 	for name, v := range d.heldVotes {
 		if countsHeld(v) {
 			cast[name] = true
 		}
 	}
-	for _, name := range r.names {
+	for _, name := range membership.names {
 		if m, ok := d.members[name]; ok {
 			for _, vote := range votesOf(m) {
 				cast[vote] = true
@@ -86,13 +86,13 @@
 		}
 	}
 	count := 0
-	for _, name := range r.names {
+	for _, name := range membership.names {
 		if cast[name] {
 			count++
 		}
 	}
-	size := len(r.names)
-	return count*2 > size || (count*2 == size && size > 0 && cast[r.names[0]])
+	size := len(membership.names)
+	return count*2 > size || (count*2 == size && size > 0 && cast[membership.names[0]])
 }
 
 // leasedVotes returns the votes that a host currently casts for this one.
@@ -113,8 +113,8 @@
 	if !d.isQuorum(d.membership, d.countsForSelf, leased) {
 		return false
 	}
-	for _, f := range d.priorMemberships {
-		if !d.isQuorum(f.cellMembership, d.countsForSelf, leased) {
+	for _, prior := range d.priorMemberships {
+		if !d.isQuorum(prior.cellMembership, d.countsForSelf, leased) {
 			return false
 		}
 	}
--- a/core/detector/votes.go
+++ b/core/detector/votes.go
@@ -78,7 +78,7 @@
 // them with the last chunk of a handover: all votes if this host is shutting down,
 // otherwise the peer's own vote. It also returns the hosts for which the votes must
 // not be cast.
-func (d *Detector) ReleaseVotes(to string, all bool) (names []string, denied []messenger.MemberState) {
+func (d *Detector) ReleaseVotes(to string, all bool) (names []string, deniedRecipients []messenger.MemberState) {
 	for _, name := range d.membership.names {
 		if _, ok := d.heldVotes[name]; ok && (all || name == to) {
 			names = append(names, name)
@@ -87,17 +87,17 @@
 	}
 	for _, name := range d.names {
 		if m := d.members[name]; m.inCell && m.liveness == messenger.LivenessDead {
-			denied = append(denied, m.state())
+			deniedRecipients = append(deniedRecipients, m.state())
 		}
 	}
-	return names, denied
+	return names, deniedRecipients
 }
 
 // AcceptVotes adds votes transferred from a peer.
-func (d *Detector) AcceptVotes(names []string, denied []messenger.MemberState, now timekeeper.Instant) {
+func (d *Detector) AcceptVotes(names []string, deniedRecipients []messenger.MemberState, now timekeeper.Instant) {
 	refused := map[string]uint64{}
-	for _, r := range denied {
-		refused[r.Host] = r.Incarnation
+	for _, state := range deniedRecipients {
+		refused[state.Host] = state.Incarnation
 	}
 	for _, name := range names {
 		if _, ok := d.heldVotes[name]; !ok && slices.Contains(d.membership.names, name) {
--- a/core/driver/target.go
+++ b/core/driver/target.go
@@ -85,6 +85,6 @@
 	name := h.name
 	s.Probes++
 	s.scheduleAction(2*MessageLatency, func() {
-		s.deliver(name, &reducer.ProbeAnswered{Target: address, Healthy: !target.Down && !target.FailsHealthChecks, InFlight: target.InFlight + target.ExtraLoad})
+		s.deliver(name, &reducer.ProbeCompleted{Target: address, Healthy: !target.Down && !target.FailsHealthChecks, InFlight: target.InFlight + target.ExtraLoad})
 	})
 }
--- a/core/reducer/bench_test.go
+++ b/core/reducer/bench_test.go
@@ -73,7 +73,7 @@
 	request := flowPacket(5, now)
 	request.Packet.Kind = messenger.KindRequest
 	request.Packet.Flags = messenger.FlagIdempotent | messenger.FlagOpensFlow
-	answer := &reducer.TargetPacket{At: now}
+	response := &reducer.TargetPacket{At: now}
 	tick := &reducer.Tick{}
 	b.ReportAllocs()
 	b.ResetTimer()
@@ -81,11 +81,11 @@
 		request.Packet.Exchange = messenger.Exchange{MessageID: uint16(i), Token: uint64(i), TokenLength: 8}
 		for _, effect := range host.Reduce(request) {
 			if e, ok := effect.(*reducer.ToTarget); ok {
-				answer.Target, answer.Return = e.Target, e.Return
+				response.Target, response.Return = e.Target, e.Return
 			}
 		}
-		answer.Packet = messenger.Packet{Kind: messenger.KindResponse, Flags: messenger.FlagPiggybacked, Exchange: request.Packet.Exchange}
-		host.Reduce(answer)
+		response.Packet = messenger.Packet{Kind: messenger.KindResponse, Flags: messenger.FlagPiggybacked, Exchange: request.Packet.Exchange}
+		host.Reduce(response)
 		if i%100 == 0 {
 			tick.At = now
 			host.Reduce(tick)
--- a/core/reducer/dispatch.go
+++ b/core/reducer/dispatch.go
@@ -89,9 +89,9 @@
 	if q.nonIdempotent() {
 		e.Deadline = r.now.Add(sendValidity)
 	} else {
-		share := q.deadline.Until(q.receivedAt) / maxAttempts
-		jitter := time.Duration(r.random.Int64N(int64(share)/4 + 1))
-		q.attemptDeadline = r.now.Add(share + jitter)
+		attemptTimeout := q.deadline.Until(q.receivedAt) / maxAttempts
+		jitter := time.Duration(r.random.Int64N(int64(attemptTimeout)/4 + 1))
+		q.attemptDeadline = r.now.Add(attemptTimeout + jitter)
 	}
 	r.sendTarget(e)
 }
@@ -135,7 +135,7 @@
 	r.active = nil
 	for _, q := range current {
 		r.checkDeadline(q)
-		if q.state == stateAnswered || q.state == stateRefused {
+		if q.state == stateCompleted || q.state == stateRefused {
 			q.active = false
 			if !q.nonIdempotent() {
 				r.removeRequest(q)
@@ -182,7 +182,7 @@
 		}
 	case stateSent:
 		r.checkSentDeadline(q)
-	case stateAnswered, stateRefused:
+	case stateCompleted, stateRefused:
 	}
 }
 
@@ -193,7 +193,7 @@
 			// The response to a stream's registration may have gone to the caller
 			// without passing this host, so no reply is sent.
 			r.releaseSlot(q)
-			q.state = stateAnswered
+			q.state = stateCompleted
 			return
 		}
 		r.refuse(q, OutcomeUnknown, RefuseUnanswered)
--- a/core/reducer/event.go
+++ b/core/reducer/event.go
@@ -19,7 +19,7 @@
 func (e *PeerMessage) at() *timekeeper.Instant       { return &e.At }
 func (e *SettingsPublished) at() *timekeeper.Instant { return &e.At }
 func (e *HostsPublished) at() *timekeeper.Instant    { return &e.At }
-func (e *ProbeAnswered) at() *timekeeper.Instant     { return &e.At }
+func (e *ProbeCompleted) at() *timekeeper.Instant    { return &e.At }
 func (e *Tick) at() *timekeeper.Instant              { return &e.At }
 func (e *Shutdown) at() *timekeeper.Instant          { return &e.At }
 
@@ -62,13 +62,13 @@
 // is only a hint: a host that it lists as shutting down does not count as a watcher,
 // and nothing else depends on it.
 type HostsPublished struct {
-	At      timekeeper.Instant
-	Leaving []string
+	At           timekeeper.Instant
+	ShuttingDown []string
 }
 
-// ProbeAnswered is the result of a probe. A probe without a response counts as
+// ProbeCompleted is the result of a probe. A probe without a response counts as
 // unhealthy.
-type ProbeAnswered struct {
+type ProbeCompleted struct {
 	At      timekeeper.Instant
 	Target  netip.AddrPort
 	Healthy bool
--- a/core/reducer/example_test.go
+++ b/core/reducer/example_test.go
@@ -40,7 +40,7 @@
 		now = now.Add(reducer.TickInterval)
 		host.Reduce(&reducer.Tick{At: now})
 	}
-	check := &reducer.CallerPacket{
+	request := &reducer.CallerPacket{
 		At:      now,
 		Arrived: now,
 		Caller:  netip.MustParseAddrPort("192.168.0.7:40000"),
@@ -52,7 +52,7 @@
 		},
 	}
 	for range 2 {
-		for _, effect := range host.Reduce(check) {
+		for _, effect := range host.Reduce(request) {
 			if e, ok := effect.(*reducer.ToTarget); ok {
 				fmt.Println("to", e.Target, "from", e.Return)
 			}
--- a/core/reducer/exceptions.go
+++ b/core/reducer/exceptions.go
@@ -46,10 +46,10 @@
 // budget. Flows with streams or uploads come first, because losing one of those
 // costs more than losing a request.
 func (r *Reducer) copyExceptions(uncopied []uncopiedFlow) {
-	r.copyTokens = min(r.copyTokens+copyBytesPerSecond*TickInterval.Seconds(), copyBytesPerSecond)
+	r.copyBudgetBytes = min(r.copyBudgetBytes+copyBytesPerSecond*TickInterval.Seconds(), copyBytesPerSecond)
 	slices.SortFunc(uncopied, func(a, b uncopiedFlow) int {
-		if byLength := cmp.Compare(b.flow.flags&flowLongLived, a.flow.flags&flowLongLived); byLength != 0 {
-			return byLength
+		if byLongLived := cmp.Compare(b.flow.flags&flowLongLived, a.flow.flags&flowLongLived); byLongLived != 0 {
+			return byLongLived
 		}
 		return cmp.Compare(a.key, b.key)
 	})
@@ -68,14 +68,14 @@
 func (r *Reducer) copyException(u uncopiedFlow, copies map[string][]messenger.FlowRecord) {
 	hash := placer.Hash(u.key)
 	bucket := placer.BucketOf(hash)
-	if r.copyTokens < flowRecordBytes || r.cells.Home(bucket) != r.localCell {
+	if r.copyBudgetBytes < flowRecordBytes || r.cells.Home(bucket) != r.localCell {
 		return
 	}
 	successor := r.successorOf(bucket)
 	if successor == "" {
 		return
 	}
-	r.copyTokens -= flowRecordBytes
+	r.copyBudgetBytes -= flowRecordBytes
 	u.flow.flags |= flowCopied
 	r.flows.put(u.key, hash, u.flow)
 	copies[successor] = append(copies[successor], r.recordOf(u.key, u.flow))
--- a/core/reducer/flow_table.go
+++ b/core/reducer/flow_table.go
@@ -82,13 +82,13 @@
 func (t *flowTable) each(shard int, visit func(key resolver.FlowKey, f flow) (flow, bool)) {
 	flows := t.shards[shard]
 	for key, f := range flows {
-		now, keep := visit(key, f)
+		updated, keep := visit(key, f)
 		switch {
 		case !keep:
 			delete(flows, key)
 			t.size--
-		case now != f:
-			flows[key] = now
+		case updated != f:
+			flows[key] = updated
 		}
 	}
 }
--- a/core/reducer/handover.go
+++ b/core/reducer/handover.go
@@ -250,7 +250,7 @@
 			Remaining: max(q.deadline.Until(r.now), 0),
 		})
 		r.releaseSlot(q)
-		q.state = stateAnswered
+		q.state = stateCompleted
 	}
 	return records
 }
@@ -267,7 +267,7 @@
 			continue
 		}
 		r.releaseSlot(q)
-		q.state = stateAnswered
+		q.state = stateCompleted
 		r.removeUnsent(q)
 		in := inbound{key: q.key, hash: q.hash, service: q.service, direction: messenger.DirectionToTarget, packet: &q.packet}
 		in.packet.Deadline = q.deadline
@@ -442,7 +442,7 @@
 		return
 	}
 	if body.Refused {
-		r.handoverRefused(from, h)
+		r.handleHandoverRefusal(from, h)
 		return
 	}
 	h.unackedChunk = nil
--- a/core/reducer/health.go
+++ b/core/reducer/health.go
@@ -90,7 +90,7 @@
 	return ranker.InTop(placer.BucketOf(placer.Hash(key)), r.self, probersPerZone)
 }
 
-func (r *Reducer) handleProbeResponse(e *ProbeAnswered) {
+func (r *Reducer) handleProbeResponse(e *ProbeCompleted) {
 	for _, id := range r.serviceIDs {
 		s := r.services[id]
 		index, ok := s.byAddr[e.Target]
--- a/core/reducer/health_test.go
+++ b/core/reducer/health_test.go
@@ -83,7 +83,7 @@
 	f := newFleet(t, threeZoneTree())
 	f.Publish(added.Document())
 	f.Step(500 * time.Millisecond)
-	share := func(from int) int {
+	flowsToNewTarget := func(from int) int {
 		for n := range 600 {
 			f.SendPacket("", requestID(from+n, 1, 1), requestPacket(openRead))
 		}
@@ -96,9 +96,9 @@
 		}
 		return got
 	}
-	cold := share(10_000)
+	cold := flowsToNewTarget(10_000)
 	f.Step(12 * time.Second)
-	warm := share(20_000)
+	warm := flowsToNewTarget(20_000)
 	require.Less(t, cold*3, warm, "%d of 600 while cold, %d when warm", cold, warm)
 	require.Positive(t, cold)
 }
--- a/core/reducer/isolation.go
+++ b/core/reducer/isolation.go
@@ -31,8 +31,8 @@
 // platform has responded to it recently. When it detects that it was paused, it waits
 // for such a response first.
 type isolation struct {
-	// platformDeadline is when the latest contact with the platform expires.
-	platformDeadline timekeeper.Instant
+	// platformContactDeadline is when the latest contact with the platform expires.
+	platformContactDeadline timekeeper.Instant
 	// lostContactSince is when the last contact expired; Never while there is
 	// contact.
 	lostContactSince timekeeper.Instant
@@ -42,14 +42,14 @@
 // it was paused. It is called for every event, before the event is handled.
 func (r *Reducer) detectPause(before, now timekeeper.Instant) {
 	if before.Add(pauseThreshold) < now {
-		r.isolation.platformDeadline = 0
+		r.isolation.platformContactDeadline = 0
 		r.isolation.lostContactSince = now
 		r.detector.RecordPause(now)
 	}
 }
 
 func (r *Reducer) recordPlatformContact() {
-	r.isolation.platformDeadline = r.now.Add(platformContactTTL)
+	r.isolation.platformContactDeadline = r.now.Add(platformContactTTL)
 }
 
 // inContact reports whether this host would have received a new revision.
@@ -58,7 +58,7 @@
 		return true
 	}
 	peerContact := !r.detector.LastAckedPingAt().Add(peerContactTTL).Passed(r.now)
-	return peerContact || !r.isolation.platformDeadline.Passed(r.now)
+	return peerContact || !r.isolation.platformContactDeadline.Passed(r.now)
 }
 
 func (r *Reducer) updateIsolation() {
--- a/core/reducer/joining.go
+++ b/core/reducer/joining.go
@@ -19,10 +19,10 @@
 	// have handed over.
 	expectedPeers map[string]bool
 	// ready is set once the host is ready, at readyAt. It may act as an owner only
-	// after actDeadline.
-	ready       bool
-	readyAt     timekeeper.Instant
-	actDeadline timekeeper.Instant
+	// after mayActFrom.
+	ready      bool
+	readyAt    timekeeper.Instant
+	mayActFrom timekeeper.Instant
 	// uncertaintyDeadline is until when callers may retransmit requests from before
 	// the start whose identities no host could hand over.
 	uncertaintyDeadline timekeeper.Instant
@@ -35,7 +35,7 @@
 // mayAct reports whether the host is ready and has since waited until every vote
 // that other hosts obtained without knowing of it has expired.
 func (j *joinState) mayAct(now timekeeper.Instant) bool {
-	return j.ready && j.actDeadline.Passed(now)
+	return j.ready && j.mayActFrom.Passed(now)
 }
 
 // hasRecordsOf reports whether a host has handed over its records; for the empty
@@ -121,7 +121,7 @@
 func (r *Reducer) becomeReady() {
 	r.joining.ready = true
 	r.joining.readyAt = r.now
-	r.joining.actDeadline = r.now.Add(r.detector.LeaseDuration())
+	r.joining.mayActFrom = r.now.Add(r.detector.LeaseDuration())
 	r.detector.SetPhase(messenger.PhaseReady)
 	r.log("hostReady")
 }
--- a/core/reducer/reducer.go
+++ b/core/reducer/reducer.go
@@ -113,14 +113,14 @@
 	// shutdown.
 	steppedDown         bool
 	shuttingDown        bool
-	lingerDeadline      timekeeper.Instant
+	forwardDeadline     timekeeper.Instant
 	shutdownComplete    bool
 	watching            bool
 	nextSettingsRequest timekeeper.Instant
 	prober              prober
-	// copyTokens is the number of bytes that may be spent at present on copying
+	// copyBudgetBytes is the number of bytes that may be spent at present on copying
 	// exceptions to successors; see copyBytesPerSecond.
-	copyTokens float64
+	copyBudgetBytes float64
 	// noQuorumSince is since when this host has lacked a quorum; Never while it has one.
 	noQuorumSince  timekeeper.Instant
 	isolation      isolation
@@ -163,7 +163,7 @@
 	}
 	r.joining = newJoinState(config.Start)
 	r.isolation.lostContactSince = config.Start
-	r.detector = detector.New(config.Self, config.Incarnation, config.Seed, config.Timing, config.Start, r.extraPayload)
+	r.detector = detector.New(config.Self, config.Incarnation, config.Seed, config.Timing, config.Start, r.extraHeartbeatFields)
 	return r
 }
 
@@ -189,7 +189,7 @@
 	case *HostsPublished:
 		r.recordPlatformContact()
 		r.handleHostsPublished(event)
-	case *ProbeAnswered:
+	case *ProbeCompleted:
 		r.handleProbeResponse(event)
 	case *Tick:
 		r.handleTick()
@@ -245,7 +245,7 @@
 		r.detector.RecordRevision(e.From, body.SettingsRevision)
 		r.handleForward(body, e.Arrived)
 	case *messenger.WitnessRequest:
-		r.handleWitness(e.From, body)
+		r.handleWitnessRequest(e.From, body)
 	case *messenger.WitnessAck:
 		r.handleWitnessAck(e.From, body)
 	case *messenger.ProbeFailures:
@@ -266,9 +266,9 @@
 	}
 }
 
-// extraPayload returns the heartbeat fields that the detector does not fill in:
+// extraHeartbeatFields returns the heartbeat fields that the detector does not fill in:
 // the in-flight loads of this host.
-func (r *Reducer) extraPayload(peer string) messenger.Heartbeat {
+func (r *Reducer) extraHeartbeatFields(peer string) messenger.Heartbeat {
 	const loadReportInterval = 250 * time.Millisecond
 	heartbeat := messenger.Heartbeat{}
 	if r.nextLoadReport[peer].Passed(r.now) {
--- a/core/reducer/request.go
+++ b/core/reducer/request.go
@@ -52,10 +52,10 @@
 	// soon as the successor has stored the identity, so that no late retransmission
 	// runs there either.
 	stateRefusing
-	// stateAnswered requests need no more work on this host: the target's response has
+	// stateCompleted requests need no more work on this host: the target's response has
 	// arrived, the request was handed over to another host, or it was a stream's
 	// registration whose deadline has passed.
-	stateAnswered
+	stateCompleted
 	// stateRefused requests received a final Reply from this host.
 	stateRefused
 )
@@ -234,7 +234,7 @@
 // handleDuplicate handles a retransmission of a request that this host tracks.
 func (r *Reducer) handleDuplicate(in *inbound, q *request) {
 	switch q.state {
-	case stateAnswered:
+	case stateCompleted:
 		if q.cachedResponse != nil {
 			r.sendCaller(ToCaller{Caller: q.key.Caller(), Service: q.service.settings.Address, Payload: q.cachedResponse})
 			return
--- a/core/reducer/response.go
+++ b/core/reducer/response.go
@@ -30,7 +30,7 @@
 		r.completeRequest(in, q, index)
 	case stateInDoubt:
 		r.completeRequest(in, q, index)
-	case stateAnswered:
+	case stateCompleted:
 		// The target retransmits its response until the caller acknowledges it.
 		r.deliverToCaller(in)
 	case stateRefused, stateRefusing, stateQueued, stateWitnessing:
@@ -51,7 +51,7 @@
 	switch q.state {
 	case stateSent, stateInDoubt:
 		r.completeRequest(in, q, in.service.byAddr[in.target])
-	case stateAnswered:
+	case stateCompleted:
 		r.deliverToCaller(in)
 	case stateRefused, stateRefusing, stateQueued, stateWitnessing:
 		r.count(DropLateAnswer)
@@ -71,7 +71,7 @@
 		return
 	}
 	r.releaseSlot(q)
-	q.state = stateAnswered
+	q.state = stateCompleted
 	if q.nonIdempotent() && len(in.packet.Payload) <= maxCachedResponseBytes {
 		q.cachedResponse = append([]byte(nil), in.packet.Payload...)
 	}
--- a/core/reducer/settings.go
+++ b/core/reducer/settings.go
@@ -128,8 +128,8 @@
 	r.sendPeer(r.seedHosts[r.random.IntN(len(r.seedHosts))], &messenger.SettingsRequest{})
 }
 
-func (r *Reducer) sendSettings(to string, above uint64) {
-	if r.settings == nil || r.Revision() <= above {
+func (r *Reducer) sendSettings(to string, newerThan uint64) {
+	if r.settings == nil || r.Revision() <= newerThan {
 		return
 	}
 	r.sendPeer(to, &messenger.SettingsDocument{Revision: r.Revision(), Compressed: r.compressedSettings()})
@@ -200,7 +200,7 @@
 
 func (r *Reducer) handleHostsPublished(e *HostsPublished) {
 	clear(r.listedShuttingDown)
-	for _, name := range e.Leaving {
+	for _, name := range e.ShuttingDown {
 		r.listedShuttingDown[name] = true
 	}
 }
--- a/core/reducer/settings_test.go
+++ b/core/reducer/settings_test.go
@@ -17,7 +17,7 @@
 	next.Services[0].DrainingTargetNumbers = []int{1}
 	last := threeZoneTree()
 	last.Services[0].DrainingTargetNumbers = []int{2}
-	all := func(t *testing.T, f *driver.Simulation, revision uint64) {
+	requireInForce := func(t *testing.T, f *driver.Simulation, revision uint64) {
 		t.Helper()
 		inForce := func() bool {
 			for _, name := range f.HostNames() {
@@ -41,31 +41,31 @@
 			f.Publish(next.Document())
 			f.Step(tickInterval)
 			f.PlatformDown = true
-			all(t, f, 2)
+			requireInForce(t, f, 2)
 		}},
 		{"platform serves an older revision", func(t *testing.T, f *driver.Simulation) {
 			f.Publish(next.Document())
-			all(t, f, 2)
+			requireInForce(t, f, 2)
 			f.ServedRevision = 1
 			f.Step(10 * time.Second)
-			all(t, f, 2)
+			requireInForce(t, f, 2)
 		}},
 		{"host starts while the platform is stale", func(t *testing.T, f *driver.Simulation) {
 			f.Publish(next.Document())
-			all(t, f, 2)
+			requireInForce(t, f, 2)
 			f.ServedRevision = 1
 			f.Kill("a1")
 			f.Start("a1")
-			all(t, f, 2)
+			requireInForce(t, f, 2)
 		}},
 		{"host starts while the platform is down", func(t *testing.T, f *driver.Simulation) {
 			f.Publish(next.Document())
-			all(t, f, 2)
+			requireInForce(t, f, 2)
 			f.PlatformDown = true
 			f.Kill("a1")
 			f.Seeds = []string{"b1", "c1"}
 			f.Start("a1")
-			all(t, f, 2)
+			requireInForce(t, f, 2)
 			waitReady(t, f, "a1")
 		}},
 		{"platforms differ by zone", func(t *testing.T, f *driver.Simulation) {
@@ -73,7 +73,7 @@
 				f.SetPlatformCut(name, true)
 			}
 			f.Publish(next.Document())
-			all(t, f, 2)
+			requireInForce(t, f, 2)
 		}},
 		{"zone cut off from all and back", func(t *testing.T, f *driver.Simulation) {
 			zone := []string{"b1", "b2", "b3"}
@@ -85,7 +85,7 @@
 			f.Step(20 * time.Second)
 			require.EqualValues(t, 1, f.Reducer("b1").Revision(), "nobody could tell it")
 			f.HealPartition(zone...)
-			all(t, f, 2)
+			requireInForce(t, f, 2)
 		}},
 		{"invalid revision between two valid ones", func(t *testing.T, f *driver.Simulation) {
 			f.Publish([]byte("version: 1\nregions: {r: {returnPrefix: nonsense}}\n"))
@@ -93,7 +93,7 @@
 			require.EqualValues(t, 1, f.Reducer("a1").Revision())
 			require.EqualValues(t, 2, f.Reducer("a1").Snapshot().RejectedRevision)
 			f.Publish(last.Document())
-			all(t, f, 3)
+			requireInForce(t, f, 3)
 		}},
 		{"operators race", func(t *testing.T, f *driver.Simulation) {
 			f.Publish(next.Document())
@@ -101,9 +101,9 @@
 			f.Publish(last.Document())
 			f.Step(5 * time.Millisecond)
 			f.Publish(next.Document())
-			all(t, f, 4)
+			requireInForce(t, f, 4)
 			f.Step(5 * time.Second)
-			all(t, f, 4)
+			requireInForce(t, f, 4)
 		}},
 	}
 	for _, test := range tests {
--- a/core/reducer/shutdown.go
+++ b/core/reducer/shutdown.go
@@ -64,9 +64,9 @@
 	return ""
 }
 
-// handoverRefused restarts the handovers without a host that is itself shutting
+// handleHandoverRefusal restarts the handovers without a host that is itself shutting
 // down.
-func (r *Reducer) handoverRefused(from string, h *outgoingHandover) {
+func (r *Reducer) handleHandoverRefusal(from string, h *outgoingHandover) {
 	r.handoverRefusedBy[from] = r.detector.State(from).Incarnation
 	if h.unackedChunk != nil {
 		r.detector.AcceptVotes(h.unackedChunk.Votes, h.unackedChunk.DeniedRecipients, r.now)
@@ -81,14 +81,14 @@
 	}
 	switch {
 	case r.detector.Phase() == messenger.PhaseLeft:
-		if r.lingerDeadline.Passed(r.now) {
+		if r.forwardDeadline.Passed(r.now) {
 			r.finishShutdown()
 		}
 	case !r.steppedDown:
 		r.stepDown()
 	case !r.anyHandover(func(h *outgoingHandover) bool { return !h.acked }):
 		r.detector.SetPhase(messenger.PhaseLeft)
-		r.lingerDeadline = r.now.Add(forwardAfterLeaveDuration)
+		r.forwardDeadline = r.now.Add(forwardAfterLeaveDuration)
 		r.log("hostLeft")
 	}
 }
--- a/core/reducer/target.go
+++ b/core/reducer/target.go
@@ -36,7 +36,7 @@
 	name    string
 	address netip.AddrPort
 	policy  resolver.Policy
-	// listed is set if the revision in force lists the target.
+	// targetSettings is set if the revision in force lists the target.
 	listed bool
 	// settingsIndex is the target's index in the settings, which identifies it in
 	// messages between hosts.
@@ -178,24 +178,24 @@
 	return s
 }
 
-func (r *Reducer) updateTarget(s *service, listed *resolver.Target, settingsIndex int, firstRevision bool, now timekeeper.Instant) {
-	index, ok := s.byAddr[listed.Address]
+func (r *Reducer) updateTarget(s *service, targetSettings *resolver.Target, settingsIndex int, firstRevision bool, now timekeeper.Instant) {
+	index, ok := s.byAddr[targetSettings.Address]
 	if !ok {
 		index = uint16(len(s.registry))
-		t := &target{address: listed.Address, peerLoads: map[string]peerLoad{}, failureReports: map[string]timekeeper.Instant{}}
+		t := &target{address: targetSettings.Address, peerLoads: map[string]peerLoad{}, failureReports: map[string]timekeeper.Instant{}}
 		if !firstRevision {
-			t.warmUpDuration = listed.Policy.WarmUp
+			t.warmUpDuration = targetSettings.Policy.WarmUp
 			t.warmUpDeadline = now.Add(t.warmUpDuration)
 		}
 		s.registry = append(s.registry, t)
-		s.byAddr[listed.Address] = index
+		s.byAddr[targetSettings.Address] = index
 	}
 	t := s.registry[index]
-	t.name = listed.Name
-	t.policy = listed.Policy
+	t.name = targetSettings.Name
+	t.policy = targetSettings.Policy
 	t.listed = true
 	t.settingsIndex = settingsIndex
-	t.quarantineDeadline = r.quarantineDeadline(listed.Address, s.settings.ID)
+	t.quarantineDeadline = r.quarantineDeadline(targetSettings.Address, s.settings.ID)
 }
 
 func (r *Reducer) updateTable(s *service, now timekeeper.Instant) {
@@ -356,9 +356,9 @@
 	if t.warmUpDuration == 0 || t.warmUpDeadline.Passed(now) {
 		return false
 	}
-	share := 1 - float64(t.warmUpDeadline.Until(now))/float64(t.warmUpDuration)
-	share = max(share, 0.1)
-	return float64(uint16(hash>>20))/(1<<16) > share
+	fraction := 1 - float64(t.warmUpDeadline.Until(now))/float64(t.warmUpDuration)
+	fraction = max(fraction, 0.1)
+	return float64(uint16(hash>>20))/(1<<16) > fraction
 }
 
 // chooseAny returns the first usable target of the registry, starting at an index
@@ -397,12 +397,12 @@
 
 // acceptsResponsesFrom reports whether an address belongs to a target of the
 // service, or did until recently.
-func (s *service) acceptsResponsesFrom(address netip.AddrPort, use map[netip.AddrPort]addressUse) bool {
+func (s *service) acceptsResponsesFrom(address netip.AddrPort, addressUses map[netip.AddrPort]addressUse) bool {
 	index, ok := s.byAddr[address]
 	if !ok {
 		return false
 	}
-	return s.registry[index].listed || use[address].service == s.settings.ID
+	return s.registry[index].listed || addressUses[address].service == s.settings.ID
 }
 
 // updatePeerLoads records the loads that a peer reports.
--- a/core/reducer/witness.go
+++ b/core/reducer/witness.go
@@ -92,14 +92,14 @@
 		if !ok {
 			continue
 		}
-		at := slices.IndexFunc(groups, func(g messenger.OwnerIdentities) bool {
+		groupIndex := slices.IndexFunc(groups, func(g messenger.OwnerIdentities) bool {
 			return owner == hostIncarnation{host: g.Owner, incarnation: g.Incarnation}
 		})
-		if at < 0 {
-			at = len(groups)
+		if groupIndex < 0 {
+			groupIndex = len(groups)
 			groups = append(groups, messenger.OwnerIdentities{Owner: owner.host, Incarnation: owner.incarnation})
 		}
-		groups[at].Identities = append(groups[at].Identities, id)
+		groups[groupIndex].Identities = append(groups[groupIndex].Identities, id)
 	}
 	return groups
 }
@@ -108,10 +108,10 @@
 // message is unacknowledged; identities that are added meanwhile go into the next one,
 // so that batches grow with the load and a single request is sent without delay.
 type witnessLink struct {
-	sequence       uint64
-	unacked        []*request
-	pending        []*request
-	resendDeadline timekeeper.Instant
+	sequence uint64
+	unacked  []*request
+	pending  []*request
+	resendAt timekeeper.Instant
 }
 
 const (
@@ -180,15 +180,15 @@
 	link.unacked = append(link.unacked[:0], link.pending[:n]...)
 	link.pending = slices.Delete(link.pending, 0, n)
 	link.sequence++
-	r.sendWitness(peer, link)
+	r.sendWitnessRequest(peer, link)
 }
 
-func (r *Reducer) sendWitness(peer string, link *witnessLink) {
+func (r *Reducer) sendWitnessRequest(peer string, link *witnessLink) {
 	ids := make([]uint64, 0, len(link.unacked))
 	for _, q := range link.unacked {
 		ids = append(ids, q.id)
 	}
-	link.resendDeadline = r.now.Add(witnessResendAfter)
+	link.resendAt = r.now.Add(witnessResendAfter)
 	body := &messenger.WitnessRequest{Sequence: link.sequence, Identities: ids}
 	if via := r.relayTo(peer); via != "" {
 		body.Owner, body.Recipient = r.self, peer
@@ -218,9 +218,9 @@
 	return ""
 }
 
-// handleWitness stores request identities for another owner, or relays the request
+// handleWitnessRequest stores request identities for another owner, or relays the request
 // to the host that is to store them.
-func (r *Reducer) handleWitness(from string, body *messenger.WitnessRequest) {
+func (r *Reducer) handleWitnessRequest(from string, body *messenger.WitnessRequest) {
 	if body.Recipient != "" && body.Recipient != r.self {
 		r.sendPeer(body.Recipient, body)
 		return
@@ -284,7 +284,7 @@
 			q.outcome = OutcomeUnknown
 		}
 		r.sendFinalReply(q)
-	case stateQueued, stateSent, stateInDoubt, stateAnswered, stateRefused:
+	case stateQueued, stateSent, stateInDoubt, stateCompleted, stateRefused:
 	}
 }
 
@@ -297,8 +297,8 @@
 			continue
 		}
 		r.reassignWitness(peer, link)
-		if len(link.unacked) > 0 && link.resendDeadline.Passed(r.now) {
-			r.sendWitness(peer, link)
+		if len(link.unacked) > 0 && link.resendAt.Passed(r.now) {
+			r.sendWitnessRequest(peer, link)
 		}
 		r.flushWitness(peer, link)
 	}
--- a/scripts/red.sh
+++ b/scripts/red.sh
@@ -50,7 +50,7 @@
 without "the handover of flows" reducer/handover.go 'if r.isNextOwner(to, hash) {
 				h.flows' 'if _ = hash; false {
 				h.flows' TestEstablishedFlowsKeepTargetAcrossPlannedChanges
-without "copies of exceptions" reducer/exceptions.go 'if r.copyTokens < flowRecordBytes ||' 'if true ||' TestSuccessorKnowsExceptions
+without "copies of exceptions" reducer/exceptions.go 'if r.copyBudgetBytes < flowRecordBytes ||' 'if true ||' TestSuccessorKnowsExceptions
 without "the quarantine of addresses" reducer/target.go 'addressQuarantine = 18 * time.Second' 'addressQuarantine = 0 * time.Second' TestNoPacketCrossesServices
 without "the check of an answer's sender" reducer/route.go '|| !s.acceptsResponsesFrom(e.Target, r.addressUses) {' '{' TestResponsesFromUnknownTargetsDropped
 without "the return address" reducer/response.go 'r.deliverToCaller(in)
