--- a/core/steerer/cold.go
+++ b/core/steerer/cold.go
@@ -19,7 +19,7 @@
 // coldFlowLimit is the rate limit for new flows to a cold target of a service.
 func (s *Steerer) coldFlowLimit(service string) warmer.RateLimit {
 	return warmer.RateLimit{
-		PerSecond:      s.settings.service(service).WarmUpFlowsPerSecond,
+		PerSecond:      s.settings.service(service).WarmUpPerSecond,
 		BurstFactor:    s.config.ColdBurstFactor,
 		BurstAllowance: s.config.ColdBurstAllowance,
 	}
--- a/core/steerer/cold_test.go
+++ b/core/steerer/cold_test.go
@@ -10,7 +10,7 @@
 
 // publishWarmUp publishes the warm-up and its flow limit for targets of the ledger.
 func (f *fleet) publishWarmUp(duration time.Duration, perSecond float64) {
-	f.settings = steerer.NewSettings(2, routes(), []steerer.Service{{Name: "ledger", HealthPath: "/healthz", WarmUp: duration, WarmUpFlowsPerSecond: perSecond}}, 15*time.Second)
+	f.settings = steerer.NewSettings(2, routes(), []steerer.Service{{Name: "ledger", HealthPath: "/healthz", WarmUp: duration, WarmUpPerSecond: perSecond}}, 15*time.Second)
 	f.step(2 * time.Second)
 }
 
--- a/core/steerer/compare.go
+++ b/core/steerer/compare.go
@@ -52,7 +52,7 @@
 		}
 	}
 	add("address", r.Address, next.Address, "flows at the old address end as if the route were removed")
-	add("services", r.TrafficSplit, next.TrafficSplit, "new flows move; open flows stay where they are")
+	add("services", r.Shares, next.Shares, "new flows move; open flows stay where they are")
 	add("kind", r.Kind, next.Kind, "decides which open flows are reset when their target becomes unresponsive")
 	add("timeout", r.Timeout, next.Timeout, "no effect on flows")
 	add("latency objective", r.LatencyObjective, next.LatencyObjective, "decides how long requests may wait, and so how many are admitted, while a service is overloaded")
--- a/core/steerer/explain.go
+++ b/core/steerer/explain.go
@@ -20,7 +20,7 @@
 // Check lists the problems of a version, sorted by path.
 func (s *Settings) Check() []Finding {
 	var findings []Finding
-	for _, problem := range s.RouteProblems {
+	for _, problem := range s.Faults {
 		effect := "the route stays as the version before had it, if it had one"
 		if _, listed := s.routeByName(problem.Route); listed {
 			effect = "the rest of the route is in force"
@@ -44,7 +44,7 @@
 func (s *Settings) checkRoute(route Route) []Finding {
 	var findings []Finding
 	total := 0
-	for _, share := range route.TrafficSplit {
+	for _, share := range route.Shares {
 		total += max(share.Weight, 0)
 		if share.Weight < 0 {
 			findings = append(findings, Finding{route.Name, fmt.Sprintf("weight %d of %s is below zero", share.Weight, share.Service), "flows are not split as written"})
@@ -54,7 +54,7 @@
 		}
 	}
 	if total == 0 {
-		findings = append(findings, Finding{route.Name, "all weights are zero", "all flows go to " + route.TrafficSplit[0].Service})
+		findings = append(findings, Finding{route.Name, "all weights are zero", "all flows go to " + route.Shares[0].Service})
 	}
 	if route.Timeout <= 0 {
 		findings = append(findings, Finding{route.Name, "no timeout", "an unanswered request counts as load until the flow's next packet, or for a second"})
@@ -83,7 +83,7 @@
 	}
 	var values []EffectiveValue
 	for _, route := range s.Routes {
-		for _, share := range route.TrafficSplit {
+		for _, share := range route.Shares {
 			if share.Service == path {
 				values = append(values, EffectiveValue{"route", fmt.Sprintf("%s at %v, weight %d", route.Name, route.Address, share.Weight), "routes." + route.Name})
 			}
@@ -107,15 +107,15 @@
 	}
 	service := s.service(name)
 	warmUp := "any number of new flows a second"
-	if service.WarmUpFlowsPerSecond > 0 {
-		warmUp = fmt.Sprintf("%g new flows a second", service.WarmUpFlowsPerSecond)
+	if service.WarmUpPerSecond > 0 {
+		warmUp = fmt.Sprintf("%g new flows a second", service.WarmUpPerSecond)
 	}
 	connections := "any number of flows at a target"
 	if service.MaxConnections > 0 {
 		connections = fmt.Sprintf("%d flows at a target", service.MaxConnections)
 	}
 	return []EffectiveValue{
-		{"health check of " + name, service.HealthPath, from},
+		{"liveness check of " + name, service.HealthPath, from},
 		{"connections of " + name, connections, from},
 		{"cold targets of " + name, fmt.Sprintf("for %v, %s", service.WarmUp, warmUp), from},
 	}
@@ -130,7 +130,7 @@
 		{"latency objective", route.LatencyObjective.String(), from},
 		{"priority", fmt.Sprint(route.Priority), from},
 	}
-	for _, share := range route.TrafficSplit {
+	for _, share := range route.Shares {
 		values = append(values, EffectiveValue{"weight of " + share.Service, fmt.Sprint(share.Weight), from})
 		values = append(values, s.explainService(share.Service)...)
 	}
@@ -139,7 +139,7 @@
 		regions = strings.Join(route.Regions, ", ")
 	}
 	values = append(values, EffectiveValue{"regions", regions, from})
-	idle := EffectiveValue{"idle flows expire after", cmp.Or(s.IdleTimeout, defaultIdleTimeout).String(), "limits"}
+	idle := EffectiveValue{"idle flows are forgotten after", cmp.Or(s.IdleTimeout, defaultIdleTimeout).String(), "limits"}
 	if s.IdleTimeout == 0 {
 		idle.From = builtIn
 	}
--- a/core/steerer/fixture_test.go
+++ b/core/steerer/fixture_test.go
@@ -147,9 +147,9 @@
 func routes() []steerer.Route {
 	ledger, intake := []steerer.WeightedService{{Service: "ledger", Weight: 1}}, []steerer.WeightedService{{Service: "intake", Weight: 1}}
 	return []steerer.Route{
-		{Name: "read", Address: readRoute, TrafficSplit: ledger, Kind: steerer.KindIdempotent, Timeout: 2500 * time.Millisecond},
-		{Name: "check", Address: checkRoute, TrafficSplit: ledger, Kind: steerer.KindNonIdempotent, Timeout: 3 * time.Second},
-		{Name: "upload", Address: uploadRoute, TrafficSplit: intake, Kind: steerer.KindUpload, Timeout: 5 * time.Second},
+		{Name: "read", Address: readRoute, Shares: ledger, Kind: steerer.KindIdempotent, Timeout: 2500 * time.Millisecond},
+		{Name: "check", Address: checkRoute, Shares: ledger, Kind: steerer.KindNonIdempotent, Timeout: 3 * time.Second},
+		{Name: "upload", Address: uploadRoute, Shares: intake, Kind: steerer.KindUpload, Timeout: 5 * time.Second},
 	}
 }
 
--- a/core/steerer/flow_reports_internal_test.go
+++ b/core/steerer/flow_reports_internal_test.go
@@ -181,7 +181,7 @@
 	first, _ := s.targets.upsert(Target{ID: "i-1", Number: 1, Service: "ledger", AvailabilityZone: "a", Slots: 4})
 	second, _ := s.targets.upsert(Target{ID: "i-2", Number: 2, Service: "ledger", AvailabilityZone: "b", Slots: 4})
 	services := []Service{{Name: "ledger", MaxConnections: 4}}
-	route := Route{Name: "reads", Address: address, TrafficSplit: []WeightedService{{Service: "ledger"}}}
+	route := Route{Name: "reads", Address: address, Shares: []WeightedService{{Service: "ledger"}}}
 	key := flowKey{netip.MustParseAddrPort("10.9.0.1:999"), address}
 	f := &flow{target: first, route: route, bufferedRequest: []byte{1}}
 	s.flows[key] = f
--- a/core/steerer/platformread.go
+++ b/core/steerer/platformread.go
@@ -408,7 +408,7 @@
 	s.settingsFrom = from
 	s.peerSync.settingsBehindSince = 0
 	s.log("settingsAdopted", field("version", formatUint(settings.Version)), field("routes", formatInt(len(settings.Routes))), field("from", from))
-	for _, problem := range settings.RouteProblems {
+	for _, problem := range settings.Faults {
 		s.log("routeMalformed", field("route", problem.Route), field("error", problem.Err.Error()), field("version", formatUint(settings.Version)))
 	}
 	s.peers.reportNow = true
--- a/core/steerer/settings.go
+++ b/core/steerer/settings.go
@@ -52,9 +52,9 @@
 type Route struct {
 	Name    string
 	Address netip.AddrPort
-	// TrafficSplit has at least one entry, sorted by service.
-	TrafficSplit []WeightedService
-	Kind         Kind
+	// Shares has at least one entry, sorted by service.
+	Shares []WeightedService
+	Kind   Kind
 	// Timeout limits a request, LatencyObjective is the response time that callers expect.
 	Timeout          time.Duration
 	LatencyObjective time.Duration
@@ -67,20 +67,20 @@
 // pickService picks a service by a flow's hash, in proportion to the weights.
 func (r Route) pickService(hash uint64) string {
 	total := 0
-	for _, entry := range r.TrafficSplit {
+	for _, entry := range r.Shares {
 		total += entry.Weight
 	}
 	if total <= 0 {
-		return r.TrafficSplit[0].Service
+		return r.Shares[0].Service
 	}
 	at := int(hash % uint64(total))
-	for _, entry := range r.TrafficSplit {
+	for _, entry := range r.Shares {
 		if at < entry.Weight {
 			return entry.Service
 		}
 		at -= entry.Weight
 	}
-	return r.TrafficSplit[0].Service
+	return r.Shares[0].Service
 }
 
 // Service is a group of targets that run the same requests.
@@ -88,10 +88,10 @@
 	Name string
 	// HealthPath is the path of the targets' health check.
 	HealthPath string
-	// WarmUp is how long a target is cold after a start, and WarmUpFlowsPerSecond the limit of
+	// WarmUp is how long a target is cold after a start, and WarmUpPerSecond the limit of
 	// new flows to it meanwhile; 0 is no limit.
-	WarmUp               time.Duration
-	WarmUpFlowsPerSecond float64
+	WarmUp          time.Duration
+	WarmUpPerSecond float64
 	// MaxConnections is the number of flows that each target accepts at once; 0 is no limit.
 	MaxConnections int
 }
@@ -103,9 +103,9 @@
 	Services []Service
 	// IdleTimeout is the time after which an idle flow may be dropped from the flow table.
 	IdleTimeout time.Duration
-	// RouteProblems lists the published routes that could not be parsed.
-	RouteProblems []RouteProblem
-	byAddress     map[netip.AddrPort]int
+	// Faults lists the published routes that could not be parsed.
+	Faults    []RouteProblem
+	byAddress map[netip.AddrPort]int
 }
 
 // RouteProblem is a published route that could not be parsed, with the reason.
@@ -123,7 +123,7 @@
 // parsed.
 func (s *Settings) WithRouteProblems(problems []RouteProblem) *Settings {
 	next := *s
-	next.RouteProblems = problems
+	next.Faults = problems
 	return &next
 }
 
@@ -134,17 +134,17 @@
 // the host would treat the route as removed, refuse its new flows and reset its open ones,
 // though the operators only changed a detail.
 func (s *Settings) withMalformedRoutesFrom(earlier *Settings) *Settings {
-	if earlier == nil || len(s.RouteProblems) == 0 {
+	if earlier == nil || len(s.Faults) == 0 {
 		return s
 	}
 	routes := slices.Clone(s.Routes)
-	for _, problem := range s.RouteProblems {
+	for _, problem := range s.Faults {
 		route, known := earlier.routeByName(problem.Route)
 		if _, taken := s.RouteAt(route.Address); known && !taken {
 			routes = append(routes, route)
 		}
 	}
-	return NewSettings(s.Version, routes, s.Services, s.IdleTimeout).WithRouteProblems(s.RouteProblems)
+	return NewSettings(s.Version, routes, s.Services, s.IdleTimeout).WithRouteProblems(s.Faults)
 }
 
 // NewSettings builds a version of the settings and indexes its routes by address.
--- a/core/steerer/status.go
+++ b/core/steerer/status.go
@@ -108,23 +108,23 @@
 	case s.evacuator.Evacuates(t.AvailabilityZone):
 		return "its zone is evacuated"
 	case t.health.unreachable():
-		return "no answer for " + formatAge(s.now, t.health.unreachableSince) + " ms, last probe " + t.health.lastOutcome.String()
+		return "no answer for " + formatAge(s.now, t.health.unreachableSince) + " ms, last check " + t.health.lastOutcome.String()
 	case t.health.suspect:
-		return "suspect, last progress " + formatAge(s.now, t.health.lastProgress) + " ms ago"
+		return "suspected, last sign of life " + formatAge(s.now, t.health.lastProgress) + " ms ago"
 	case t.estimatedFull && s.connections.constrained[t.Service] != nil:
-		return "at its connection limit"
+		return "holds all the flows that it may"
 	case s.failsFast(t):
 		return "answers more quickly than it can work"
 	case t.slowdownEstimate.Slow():
 		return fmt.Sprintf("takes %.1f times as long as usual", s.slowdown(t))
 	case !s.warmUpAllows(t):
-		return "cold, and other hosts hold its tickets for new flows"
+		return "cold, and other hosts share out what it bears"
 	case !t.warmUpDeadline.Passed(s.now):
-		return "cold for " + formatMillis(t.warmUpDeadline.Until(s.now)) + " ms more"
+		return "slow for " + formatMillis(t.warmUpDeadline.Until(s.now)) + " ms more after its start"
 	case s.isCold(t):
-		return "cold after the evacuation of its zone ended"
+		return "cold after its zone was taken back"
 	case s.diagnoser.ZoneSuspect(t.AvailabilityZone, s.now):
-		return "its zone seems to be unresponsive"
+		return "its zone seems to have fallen silent"
 	}
 	return ""
 }
--- a/core/steerer/status_test.go
+++ b/core/steerer/status_test.go
@@ -33,7 +33,7 @@
 	require.Len(t, reasons, 9)
 	require.Equal(t, "draining", reasons["i-10000001"])
 	require.Contains(t, reasons["i-10000002"], "no longer listed")
-	require.Contains(t, reasons["i-10000003"], "cold for")
+	require.Contains(t, reasons["i-10000003"], "slow for")
 	require.Contains(t, reasons[stalled.target], "no answer for")
 	require.Empty(t, reasons["i-20000001"])
 }
--- a/operator/internal/printer/published.go
+++ b/operator/internal/printer/published.go
@@ -15,7 +15,7 @@
 		writeRow(w, fmt.Sprintf("version %d", settings.Version))
 		writeRow(w, "ROUTE", "ADDRESS", "KIND", "SERVICES", "TIMEOUT", "PRIORITY")
 		for _, r := range settings.Routes {
-			writeRow(w, r.Name, r.Address, r.Kind, r.TrafficSplit, r.Timeout, r.Priority)
+			writeRow(w, r.Name, r.Address, r.Kind, r.Shares, r.Timeout, r.Priority)
 		}
 	})
 }
--- a/operator/routes.go
+++ b/operator/routes.go
@@ -49,7 +49,7 @@
 // are none.
 func routeErrors(settings *steerer.Settings) error {
 	var combined error
-	for _, problem := range settings.RouteProblems {
+	for _, problem := range settings.Faults {
 		combined = errors.CombineErrors(combined, errors.Newf("%v", problem))
 	}
 	if combined == nil {
