--- a/core/steerer/capacity.go
+++ b/core/steerer/capacity.go
@@ -90,8 +90,9 @@
 	}
 }
 
-// recordProcessingTime learns from a response how long processing takes. While many slots are
-// occupied, response times say more about queueing than about processing.
+// recordProcessingTime records a response time, less the handshake time, as a sample of the
+// processing time. While many slots are occupied, response times say more about queueing than
+// about processing, so such samples count as distorted.
 func (r *capacityState) recordProcessingTime(route *Route, took time.Duration) {
 	w, ok := r.processingTimes[route.Name]
 	if !ok {
@@ -116,7 +117,8 @@
 	}
 }
 
-// refreshCapacity recomputes the view of a service's capacity if it is due.
+// refreshCapacity recomputes the view of a service's capacity if it is due, and logs when the
+// service becomes overloaded or ceases to be.
 func (s *Steerer) refreshCapacity(v *service) {
 	if !v.capacity.refreshDeadline.Passed(s.now) {
 		return
@@ -230,7 +232,8 @@
 	return r
 }
 
-// addCapacity adds the capacity and demand of services to a snapshot.
+// addCapacity adds to a snapshot how many services are overloaded, and the demand and capacity
+// of the service with the highest load, which is the ratio of the two.
 func (s *Steerer) addCapacity(snapshot *Snapshot) {
 	highestLoad := 0.0
 	for _, v := range s.services {
--- a/core/steerer/estimates.go
+++ b/core/steerer/estimates.go
@@ -116,7 +116,8 @@
 //
 // If only responses counted, a target that hangs or takes seconds would get new flows until
 // its first response, which shows as callers that all wait at one target while other targets
-// are idle.
+// are idle. A request that stays overdue gives a further sample each time its wait has
+// doubled, until its route's timeout if there is one.
 func (s *Steerer) checkOverdue() {
 	overdue := s.slowdowns.overdue
 	kept := overdue[:0]
--- a/core/steerer/estimates_test.go
+++ b/core/steerer/estimates_test.go
@@ -264,7 +264,8 @@
 	}
 }
 
-// uploadSlowly has callers pause between the packets of their uploads to one target.
+// uploadSlowly has callers pause between the packets of their uploads to one target, and
+// checks that the target's slowdown stays at 1.
 func uploadSlowly(t *testing.T, pause time.Duration) {
 	f := newFleet(t, 1)
 	learnBaseline(f, "a1")
--- a/core/steerer/fixture_test.go
+++ b/core/steerer/fixture_test.go
@@ -568,7 +568,7 @@
 	c.f.reduce(name, &steerer.CallerPacket{Packet: c.packet(steerer.FlagAck|steerer.FlagEnd, 0, "end")})
 }
 
-// lastTarget is the target of the last packet forwarded by a host.
+// lastTarget returns the target of the last packet forwarded by a host; empty before any.
 func (f *fleet) lastTarget(name string) string {
 	all := f.hosts[name].sent
 	if len(all) == 0 {
--- a/core/steerer/held_packets.go
+++ b/core/steerer/held_packets.go
@@ -34,9 +34,9 @@
 // forwardByTag forwards a packet of an established flow while this host has targets but no
 // settings yet, and reports whether it did. The tag alone identifies the target.
 //
-// Without this, packets wait for the settings: after a loss of all hosts a 400 KB document
-// keeps hosts with 2 Mbit/s links busy for two seconds, and every long-lived flow stalls
-// that long. The flow is not added to the flow table: without its route nothing can be
+// Without this, packets wait for the settings: after a loss of all hosts a settings document
+// of 400 KB keeps hosts with 2 Mbit/s links busy for two seconds, and every long-lived flow
+// stalls that long. The flow is not added to the flow table: without its route nothing can be
 // concluded from it.
 func (s *Steerer) forwardByTag(p *Packet) bool {
 	to, ok := s.targets.byTag[p.Tag]
--- a/core/steerer/large_bench_test.go
+++ b/core/steerer/large_bench_test.go
@@ -198,7 +198,7 @@
 	h.receive(&steerer.ReportReceived{From: h.sameZone[(h.reports-1)%len(h.sameZone)].From, Report: &r})
 }
 
-// runSecond simulates a second of a host: 20 ticks, 12 reports of the local zone and 4 of
+// runSecond simulates a second of a host: 20 ticks, 16 reports of the local zone and 4 of
 // others, and the given number of flows. Each report of the local zone contains the given
 // number of changes.
 func (h *largeHost) runSecond(f *fleet, flows, changes int) {
@@ -297,6 +297,9 @@
 	}
 }
 
+// benchSeconds runs simulated seconds and measures the reports that the host sends: how many
+// per second, and the mean encoded size of those to the local zone and of those to other
+// zones, which are the ones that set ReceiverZoneHosts.
 func (h *largeHost) benchSeconds(b *testing.B, changes int) {
 	f := &fleet{}
 	encodedBytes := [2]int{}
--- a/core/steerer/missing_test.go
+++ b/core/steerer/missing_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// crashAndDelist makes a target unresponsive and removes it from the list while a read is
-// open at it, and returns the read.
+// crashAndDelist makes a target unresponsive and removes it from the list while a flow of the
+// read route is open to it, and returns the caller of that flow.
 func crashAndDelist(f *fleet) *caller {
 	read := openOn(f, "a1", unresponsiveTarget, 0, true)
 	f.probeOutcomes[unresponsiveTarget] = steerer.ProbeConnectTimeout
--- a/core/steerer/queueing_test.go
+++ b/core/steerer/queueing_test.go
@@ -63,9 +63,9 @@
 	return all
 }
 
-// hostWithQueuedRead is a congested host where the request of a read flow is queued while
-// requests of the check route use up the window. It returns the caller of the read and those
-// of the checks.
+// hostWithQueuedRead sets up a congested host where the request of a read flow is queued
+// while requests of the check route use up the window. It returns the caller of the read and
+// those of the checks.
 func hostWithQueuedRead(t *testing.T) (*fleet, *caller, []*caller) {
 	f := congestedHost(t)
 	c := openReadFlow(f, 1)
--- a/core/steerer/target_restart.go
+++ b/core/steerer/target_restart.go
@@ -27,7 +27,8 @@
 	return t.seenPosition.Before(position)
 }
 
-// resetForRestart discards the state of a target's earlier incarnation.
+// resetForRestart discards the state of a target's earlier incarnation. It removes the flows
+// to it from the flow table; resendRequest says what becomes of their requests.
 func (s *Steerer) resetForRestart(t *target, from string) {
 	s.log("targetReborn", field("target", t.ID), field("born", formatInt(int(t.Incarnation))), field("revision", t.seenPosition.String()),
 		field("flows", formatInt(t.flows)), field("from", from))
--- a/core/steerer/unresponsive_targets_test.go
+++ b/core/steerer/unresponsive_targets_test.go
@@ -83,9 +83,9 @@
 // sending resets while callers open flows and send requests, its targets must not be
 // detected one by one, each by a caller that has to retransmit.
 //
-// The times follow from the retransmission timeout of 200 ms and a probe of 150 ms, which
-// the host handles late here: a host that waits for retransmissions needs 450 ms per
-// target.
+// The times follow from the retransmission timeout of 200 ms and a probe timeout of 150 ms,
+// which the fixture reports late, after 250 ms: a host that waits for retransmissions needs
+// 450 ms per target.
 func TestCrashedZoneIsAvoidedImmediately(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	pool := newCallerPool(f, 9, "a1")
