--- a/core/diagnoser/diagnoser.go
+++ b/core/diagnoser/diagnoser.go
@@ -85,8 +85,8 @@
 	return z
 }
 
-// ObserveRoundTrip records how long a target of a zone took to respond to an opening packet, as
-// shown by the next packet of the caller, which receives the response.
+// ObserveRoundTrip records how long a target of a zone took to respond to an opening packet,
+// measured up to the caller's next packet, which shows that the caller has the response.
 func (d *Diagnoser) ObserveRoundTrip(zoneName string, rtt time.Duration) {
 	z := d.zone(zoneName)
 	z.rttSamples++
--- a/core/estimator/simulation_test.go
+++ b/core/estimator/simulation_test.go
@@ -165,7 +165,8 @@
 	}
 }
 
-// newSlotFreeTimes returns the time at which each slot of each target is free.
+// newSlotFreeTimes returns, for each slot of each target, the time from which on it is free:
+// initially 0.
 func newSlotFreeTimes(n, slots int) [][]timekeeper.Instant {
 	all := make([][]timekeeper.Instant, n)
 	for i := range all {
@@ -347,6 +348,7 @@
 	return r
 }
 
+// rank ranks by the expected response time, with targets that are due for a trial first.
 func (r *slowdownRanker) rank(h, t int) float64 {
 	target := &r.targets[h][t]
 	if r.trialAllowed && target.TrialDue(r.now) {
--- a/core/estimator/zone.go
+++ b/core/estimator/zone.go
@@ -27,8 +27,8 @@
 type Zone struct {
 	samples   [zoneWindowSize]zoneSample
 	nextIndex int
-	// logSlowdown, known and noData are the results of LogSlowdown, HasEnoughSamples and
-	// NoData. Refresh sets them.
+	// logSlowdown, hasEnoughSamples and noData are the results of LogSlowdown,
+	// HasEnoughSamples and NoData. Refresh sets them.
 	logSlowdown      float64
 	hasEnoughSamples bool
 	noData           bool
--- a/core/placer/placer.go
+++ b/core/placer/placer.go
@@ -99,8 +99,8 @@
 	return higher < n
 }
 
-// CellMap maps every bucket to its home cell, by weighted rendezvous hashing over the cells of
-// the settings. The liveness of hosts has no influence: only published settings decide, so two
+// CellMap maps every bucket to its home cell, the cell whose hosts own the bucket's flows. It
+// uses weighted rendezvous hashing over the cells of the settings. The liveness of hosts has no influence: only published settings decide, so two
 // sides of a partition never both consider themselves the home of a bucket.
 type CellMap struct {
 	names     []string
