--- a/core/encoder/encoder.go
+++ b/core/encoder/encoder.go
@@ -32,7 +32,8 @@
 
 // The kinds of Error.
 const (
-	// KindMalformed means that the bytes are not a valid message.
+	// KindMalformed means that the bytes are not a valid message or are addressed to another
+	// host, or that a value can't be encoded.
 	KindMalformed ErrorKind = iota + 1
 	// KindUnauthenticated means that the MAC matches none of the peer keys.
 	KindUnauthenticated
--- a/core/resolver/build.go
+++ b/core/resolver/build.go
@@ -292,6 +292,7 @@
 			b.addUnknownKey(e, "defaults", "cells", "hosts")
 		}
 	}
+	// The hosts are built last, since their cells depend on the number of cells.
 	sizes := map[string]int{}
 	for _, e := range hosts {
 		host := b.buildHost(e, region, zone.key, cells)
@@ -330,6 +331,8 @@
 	return host
 }
 
+// requireKey adds a finding for a required key that is missing, unless the key is present with
+// a value that has a finding already.
 func (b *builder) requireKey(e entry, key string, present bool) {
 	if present {
 		return
@@ -461,6 +464,8 @@
 	return e.value.Value
 }
 
+// recordValues records the values in force at a path, one for each of policyFields in its
+// order.
 func (b *builder) recordValues(path string, in inheritedPolicy) {
 	values := make([]Value, 0, len(policyFields))
 	for _, f := range policyFields {
--- a/core/resolver/explain.go
+++ b/core/resolver/explain.go
@@ -65,6 +65,8 @@
 	return changes
 }
 
+// diffValues lists the changes of policy values, and the services and targets that are added or
+// removed. The values of every path are in the order of policyFields.
 func diffValues(before, after *Settings) []Change {
 	var changes []Change
 	for _, path := range before.Paths() {
--- a/core/translator/translator.go
+++ b/core/translator/translator.go
@@ -148,6 +148,8 @@
 	return packet, nil
 }
 
+// applyObserve sets the flags for the Observe option of a request: 0 registers a stream, 1 ends
+// it (RFC 7641).
 func (t *Translator) applyObserve(packet *messenger.Packet) {
 	value, err := t.message.Options.Observe()
 	if err != nil {
@@ -190,6 +192,8 @@
 	return nil
 }
 
+// requestDeadline returns the deadline that the caller set by the query option, or 0 if there
+// is none.
 func (t *Translator) requestDeadline(now timekeeper.Instant) timekeeper.Instant {
 	for _, option := range t.message.Options {
 		if option.ID != message.URIQuery {
