--- a/core/resolver/build.go
+++ b/core/resolver/build.go
@@ -277,6 +277,7 @@
 	for _, e := range b.mappingEntries(zone.value, zone.path) {
 		switch e.key {
 		case "defaults":
+			// This only adds findings; applyZoneDefaults applies the values to each target.
 			b.zoneDefaults[zone.key] = e.value
 			b.buildDefaults(e.value, e.path, inheritedPolicy{})
 		case "cells":
