--- a/balancer/internal/exchanger/exchanger.go
+++ b/balancer/internal/exchanger/exchanger.go
@@ -106,12 +106,12 @@
 	client *http.Client
 	// requestSemaphore holds an element for each request being served.
 	requestSemaphore chan struct{}
-	// documentCache and targetsCache hold the last compressed settings document, by version,
+	// documentCache and targetsCache hold the last compressed settings document, by revision,
 	// and the last compressed full list of targets, by position.
 	documentCache compressionCache[uint64]
 	targetsCache  compressionCache[sequencer.Position]
-	// Rejected counts requests that were turned down, could not be read, or failed while
-	// being served.
+	// Rejected counts incoming requests that exceeded the limit of concurrent requests, could
+	// not be decoded, or failed while being served.
 	Rejected atomic.Uint64
 }
 
@@ -216,6 +216,8 @@
 	}()
 }
 
+// roundTrip sends a request and reads the response. The request's timeout applies only until the
+// response begins to arrive; exchangeTimeout limits the complete exchange.
 func (x *Exchanger) roundTrip(ctx context.Context, request *steerer.SendSyncRequest) (*messenger.SyncResponse, error) {
 	const op = "sync with host"
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
