--- a/core/comparer/balance.go
+++ b/core/comparer/balance.go
@@ -85,6 +85,7 @@
 
 func newBalanceRun(seed uint64, loadOf func(int) float64) *balanceRun {
 	tree := baseSettings()
+	// Keep exchangeLifetime, the first default, and replace the others.
 	tree.Defaults = append(tree.Defaults[:1:1], "slots: 3", "flowMemory: 10m")
 	r := &balanceRun{simulation: driver.New(seed, tree.Document()), loadOf: loadOf}
 	r.simulation.Start(tree.HostNames()...)
@@ -92,6 +93,8 @@
 	return r
 }
 
+// placeFlow opens a flow and returns the number of the target that received its first packet. If
+// no target received it, the flow is counted for target 1.
 func (r *balanceRun) placeFlow(n int) int {
 	id := driver.RequestID{Caller: callerAddress(n), Service: driver.ServiceAddress(1), Exchange: messenger.Exchange{MessageID: 1, Token: 1, TokenLength: 8}}
 	r.simulation.TargetPackets = r.simulation.TargetPackets[:0]
--- a/core/comparer/policy.go
+++ b/core/comparer/policy.go
@@ -182,6 +182,8 @@
 	h.activeTargets = slices.DeleteFunc(slices.Clone(p.Targets), func(n int) bool { return slices.Contains(p.Draining, n) })
 }
 
+// sendPacket sends a packet of a flow through a random running host and returns the number of the
+// target that receives it.
 func (r *baselineRun) sendPacket(flow int) int {
 	var running []string
 	for _, name := range r.hostNames {
@@ -207,6 +209,8 @@
 	return target
 }
 
+// rendezvous returns the target with the highest score, which is a hash of the flow's hash and the
+// target's number.
 func rendezvous(hash uint64, targets []int) int {
 	best, bestScore := targets[0], uint64(0)
 	for _, t := range targets {
--- a/core/driver/settings_tree.go
+++ b/core/driver/settings_tree.go
@@ -27,7 +27,7 @@
 	// TargetNumbers are the numbers of the service's targets, as for TargetAddress. Each
 	// target is in the zone with index number modulo the number of zones.
 	TargetNumbers []int
-	// DrainingTargetNumbers are the numbers of the targets in state "draining".
+	// DrainingTargetNumbers are those of TargetNumbers whose targets are in state "draining".
 	DrainingTargetNumbers []int
 	// AddressNumber is the number of the service's address, as for ServiceAddress.
 	AddressNumber int
