--- a/standin/internal/answerer/answerer.go
+++ b/standin/internal/answerer/answerer.go
@@ -251,6 +251,7 @@
 			t.record.addProblem("%s received a malformed packet or one with a wrong checksum", t.config.Entry.ID)
 			continue
 		}
+		// Packets for another target, such as an earlier one at this address, are ignored.
 		if number == uint64(t.number) {
 			t.handlePacket(p)
 		}
--- a/standin/internal/loader/loader.go
+++ b/standin/internal/loader/loader.go
@@ -261,7 +261,7 @@
 }
 
 // runStream keeps a stream open until the end of the run. The stream is broken if notifications
-// stop or come from another target.
+// stop or come from another target. Observe 0 opens the stream and 1 cancels it (RFC 7641).
 func (l *Loader) runStream(ctx context.Context, c *client, end time.Time) {
 	l.recorder.updateTally(KindStream, func(t *Tally) { t.Started++ })
 	startedAt := time.Now()
@@ -277,6 +277,7 @@
 		return
 	}
 	l.recorder.recordLatency(KindStream, time.Since(startedAt))
+	// The payload of the response and of each notification is the name of the target.
 	target, broken := string(m.Payload), false
 	last := time.Now()
 	c.onNotification = func(from string) {
--- a/standin/internal/measurer/measurer.go
+++ b/standin/internal/measurer/measurer.go
@@ -101,6 +101,8 @@
 	return cost
 }
 
+// heapBytes returns the size of the heap after garbage collection. It collects twice, since the
+// contents of a sync.Pool survive the first collection.
 func heapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
--- a/standin/internal/soaker/faults.go
+++ b/standin/internal/soaker/faults.go
@@ -268,8 +268,8 @@
 	return t.Entry().ID
 }
 
-// publishSettings publishes settings that add or remove the optional route, and checks all hosts
-// when the settings must be in force.
+// publishSettings publishes settings that add or remove the optional route, and checks after
+// inForceLimit that they are in force at all hosts.
 func publishSettings(ctx context.Context, s *soakRun) string {
 	s.publishLock.Lock()
 	defer s.publishLock.Unlock()
