--- a/balancer/internal/forwarder/forwarder.go
+++ b/balancer/internal/forwarder/forwarder.go
@@ -120,7 +120,8 @@
 	}
 }
 
-// Release returns the buffer of a packet to the pool once its effects are executed.
+// Release returns the buffer of a packet to the pool once its effects are executed. Packet.Data
+// must be the packet as received, so that it begins at the start of the buffer.
 func (f *Forwarder) Release(event *steerer.CallerPacket) {
 	f.buffers.Put(&pooledPacket{buffer: event.Packet.Data[:cap(event.Packet.Data)]})
 }
