--- a/standin/internal/answerer/answerer.go
+++ b/standin/internal/answerer/answerer.go
@@ -230,6 +230,7 @@
 
 func (t *Target) handleHealthCheck(w http.ResponseWriter, r *http.Request) {
 	if !t.Responding() {
+		// A check accepted before StopResponding gets no response.
 		<-r.Context().Done()
 		return
 	}
--- a/standin/internal/loader/client.go
+++ b/standin/internal/loader/client.go
@@ -46,7 +46,8 @@
 
 func (c *client) close() { _ = c.conn.Close() }
 
-// request is one CoAP request of a client.
+// request is one CoAP request of a client. Its observe value is that of the Observe option (RFC
+// 7641): 0 opens a stream, 1 cancels it, and observeNone omits the option.
 type request struct {
 	code        codes.Code
 	path        string
--- a/standin/internal/loader/loader.go
+++ b/standin/internal/loader/loader.go
@@ -261,7 +261,7 @@
 }
 
 // runStream keeps a stream open until the end of the run. The stream is broken if notifications
-// stop or come from another target. Observe 0 opens the stream and 1 cancels it (RFC 7641).
+// stop or come from another target.
 func (l *Loader) runStream(ctx context.Context, c *client, end time.Time) {
 	l.recorder.updateTally(KindStream, func(t *Tally) { t.Started++ })
 	startedAt := time.Now()
--- a/standin/internal/measurer/measurer.go
+++ b/standin/internal/measurer/measurer.go
@@ -203,6 +203,7 @@
 	}
 	cost := FlowCost{Flows: flows, BytesPerFlow: float64(heapBytes()-before) / float64(flows)}
 	const packets = 200_000
+	// The flows of consecutive events are 97 apart, which spreads them over the flow table.
 	events := make([]*reducer.CallerPacket, 4096)
 	for i := range events {
 		events[i] = callerPacket(i*97%flows, now)
@@ -212,6 +213,7 @@
 		host.Reduce(events[i%len(events)])
 	}
 	cost.PacketTime = time.Since(startedAt) / packets
+	// Each tick sweeps one of the 256 shards of the flow table.
 	for range 256 {
 		now = now.Add(reducer.TickInterval)
 		startedAt = time.Now()
--- a/standin/internal/soaker/fleet.go
+++ b/standin/internal/soaker/fleet.go
@@ -55,7 +55,9 @@
 	problems     []string
 }
 
-// address returns an address of this run: 127.addressBlock.(zone+1).n.
+// address returns an address of this run: 127.addressBlock.(zone+1).n. Addresses that belong to no
+// zone have a zone number from 100: those of targets count up from 100, those of the callers of
+// checkVersionInForce have 150, those of store servers 200.
 func (f *fleet) address(zone, n int, port uint16) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(f.addressBlock), byte(zone + 1), byte(n)}), port)
 }
--- a/standin/internal/sprayer/sprayer.go
+++ b/standin/internal/sprayer/sprayer.go
@@ -202,7 +202,8 @@
 	}
 }
 
-// handleFromHost processes an announcement or an encapsulated packet from a host.
+// handleFromHost processes an announcement or an encapsulated packet from a host. A packet whose
+// source is a service address goes to a caller, any other from a return address to a target.
 func (f *Fabric) handleFromHost(ctx context.Context, from netip.AddrPort, data []byte) {
 	name, ok := f.hostNames[from]
 	if !ok {
