--- a/operator/main_test.go
+++ b/operator/main_test.go
@@ -75,6 +75,7 @@
 
 func TestCommands(t *testing.T) {
 	valid := writeFile(t, "tree.yaml", treeYAML)
+	// The same tree, except that ledger-01 has no weight and is draining.
 	drained := writeFile(t, "drained.yaml", treeYAML[:len(treeYAML)-1-len("weight: 50}")]+"state: draining}\n")
 	broken := writeFile(t, "broken.yaml", treeYAML+"          ledger-02: {availabilityZone: nowhere, address: 10.2.0.1:5683, slots: 0, colour: red}\n")
 	tests := []commandTest{
