--- a/standin/internal/answerer/answerer.go
+++ b/standin/internal/answerer/answerer.go
@@ -230,6 +230,7 @@
 
 func (t *Target) handleHealthCheck(w http.ResponseWriter, r *http.Request) {
 	if !t.Responding() {
+		// A check accepted before StopResponding gets no response.
 		<-r.Context().Done()
 		return
 	}
@@ -251,6 +252,7 @@
 			t.record.addProblem("%s received a malformed packet or one with a wrong checksum", t.config.Entry.ID)
 			continue
 		}
+		// Packets for another target, such as an earlier one at this address, are ignored.
 		if number == uint64(t.number) {
 			t.handlePacket(p)
 		}
--- a/standin/internal/loader/loader.go
+++ b/standin/internal/loader/loader.go
@@ -277,6 +277,7 @@
 		return
 	}
 	l.recorder.recordLatency(KindStream, time.Since(startedAt))
+	// The payload of the response and of each notification is the name of the target.
 	target, broken := string(m.Payload), false
 	last := time.Now()
 	c.onNotification = func(from string) {
