--- a/core/evacuator/evacuator_test.go
+++ b/core/evacuator/evacuator_test.go
@@ -38,8 +38,8 @@
 		e.Apply(orders, start)
 	}
 	require.True(t, e.Evacuates("a"))
-	_, cold := e.EndedAt("a")
-	require.False(t, cold)
+	_, ended := e.EndedAt("a")
+	require.False(t, ended)
 }
 
 func TestEndOfOrderIsRecorded(t *testing.T) {
--- a/core/steerer/connection_limits_test.go
+++ b/core/steerer/connection_limits_test.go
@@ -70,7 +70,7 @@
 			s.refused++
 			return false
 		}
-		if s.accepts(c) {
+		if s.targetAccepts(c) {
 			break
 		}
 		if retransmits == 2 {
@@ -78,7 +78,7 @@
 			return false
 		}
 		s.waitForRetransmit(c, host)
-		if len(s.hosts[host].resets) == resets && !s.accepts(c) {
+		if len(s.hosts[host].resets) == resets && !s.targetAccepts(c) {
 			s.retransmissions++
 			c.open(host, retransmits+1)
 		}
@@ -90,7 +90,7 @@
 	return true
 }
 
-func (s *limitedFleet) accepts(c *caller) bool {
+func (s *limitedFleet) targetAccepts(c *caller) bool {
 	return c.target != "" && s.flowsAt[c.target] < s.limit
 }
 
@@ -108,7 +108,7 @@
 				c.target, c.tag = one.target, one.tag
 			}
 		}
-		if s.accepts(c) || len(s.hosts[host].resets) > resets {
+		if s.targetAccepts(c) || len(s.hosts[host].resets) > resets {
 			return
 		}
 	}
--- a/core/steerer/demand.go
+++ b/core/steerer/demand.go
@@ -73,11 +73,11 @@
 // none.
 func (s *Steerer) applyDemands(r *messenger.Report, from *peer) {
 	sameZone := from.zone == s.config.AvailabilityZone
-	all := r.ZoneDemands
+	demands := r.ZoneDemands
 	if sameZone {
-		all = r.Demands
+		demands = r.Demands
 	}
-	for _, reported := range all {
+	for _, reported := range demands {
 		if len(reported.ByPriority) == 0 || len(s.targets.byService[reported.Service]) == 0 {
 			continue
 		}
--- a/core/steerer/flow_reports.go
+++ b/core/steerer/flow_reports.go
@@ -43,15 +43,15 @@
 	}
 	// Targets without flows are left out first, and the counts rotate separately for each
 	// receiver. Without this, some targets would be reported only to some hosts.
-	targets := tags
-	tags = s.connections.limiter.UsedTargets(targets)
+	relevantTags := tags
+	tags = s.connections.limiter.UsedTargets(relevantTags)
 	if len(tags) > maxReportedFlows {
 		to.flowsCursor = (to.flowsCursor + maxReportedFlows) % len(tags)
 		tags = append(tags[to.flowsCursor:], tags[:to.flowsCursor]...)[:maxReportedFlows]
 	}
 	flows := s.connections.limiter.LocalFlows(tags)
-	if len(flows) == 0 && len(targets) > 0 {
-		flows[targets[0]] = 0 // A host that reports nothing is assumed to have as many flows as the others.
+	if len(flows) == 0 && len(relevantTags) > 0 {
+		flows[relevantTags[0]] = 0 // A host that reports nothing is assumed to have as many flows as the others.
 	}
 	return flows
 }
--- a/core/steerer/peerzones_internal_test.go
+++ b/core/steerer/peerzones_internal_test.go
@@ -58,12 +58,12 @@
 		}
 		list := table.byService["ledger"]
 		require.Len(t, list, len(table.byID))
-		require.True(t, slices.IsSortedFunc(list, func(x, y *target) int { return otherZone(x) - otherZone(y) }))
+		require.True(t, slices.IsSortedFunc(list, func(x, y *target) int { return zoneRank(x) - zoneRank(y) }))
 	}
 }
 
-// otherZone returns 1 for a target of another zone than b.
-func otherZone(t *target) int {
+// zoneRank returns 1 for a target of another zone than b.
+func zoneRank(t *target) int {
 	if t.AvailabilityZone == "b" {
 		return 0
 	}
--- a/scripts/red.sh
+++ b/scripts/red.sh
@@ -324,7 +324,7 @@
 without "copies that go back unless a target was found full" steerer/redispatch.go '!f.established && f.target.foundFullBefore(s.now)' '!f.established' TestRetransmittedOpeningGoesToFirstTargetIfItResponds
 without "the end of idle flows" steerer/flow.go 'if f.lastPacket.Add(retention).Passed(s.now) {' 'if f.closed && f.lastPacket.Add(retention).Passed(s.now) {' TestFlowsThatEndWithoutAPacketExpire
 without "word of full zones" steerer/reports.go 's.addLocalZoneFlows(r)' '_ = r' TestZonesShareFlowCounts
-without "targets with flows first in a report" steerer/flow_reports.go 's.connections.limiter.UsedTargets(targets)' 'targets' TestEveryHostOfALargeZoneLearnsAllFlowCounts
+without "targets with flows first in a report" steerer/flow_reports.go 's.connections.limiter.UsedTargets(relevantTags)' 'relevantTags' TestEveryHostOfALargeZoneLearnsAllFlowCounts
 without "openings sent on by the route of today" steerer/redispatch.go 'if !ok || route.pickService' 'route = f.route; if false && !ok || false && route.pickService' TestRedispatchUsesCurrentRoute
 without "openings sent on bit by bit" steerer/redispatch.go 'c.redispatchesThisTick < maxRedispatchesPerTick' 'true' TestRedispatchesAreSpreadOverTicks
 without "flows that were found open" steerer/connection_reservations.go 'f.placedHere = !f.established' 'f.placedHere = true' TestConnectionCountsAreSymmetric
--- a/standin/internal/soaker/soaker.go
+++ b/standin/internal/soaker/soaker.go
@@ -472,8 +472,8 @@
 			return
 		}
 		address := s.fleet.address(150, 1+i, packetPort).Addr()
-		checking, stop := context.WithCancel(ctx)
-		c, err := asker.New(checking, address, packetPort, func(p platformtest.Packet) { s.router.ForwardTo(h.PacketAddress, p, 0) })
+		checkCtx, stop := context.WithCancel(ctx)
+		c, err := asker.New(checkCtx, address, packetPort, func(p platformtest.Packet) { s.router.ForwardTo(h.PacketAddress, p, 0) })
 		if err != nil {
 			stop()
 			s.fleet.addProblem("start caller: %v", err)
