--- a/core/reducer/dispatch.go
+++ b/core/reducer/dispatch.go
@@ -243,7 +243,8 @@
 	r.freeRequests = append(r.freeRequests, q)
 }
 
-// removeExpired removes requests that callers no longer retransmit.
+// removeExpired removes the oldest requests that callers no longer retransmit, up to
+// the first that is still active or may be retransmitted.
 func (r *Reducer) removeExpired(s *service) {
 	n := 0
 	for n < len(s.retained) && s.retained[n].retainDeadline.Passed(r.now) && !s.retained[n].active {
--- a/core/reducer/exceptions.go
+++ b/core/reducer/exceptions.go
@@ -65,6 +65,9 @@
 	}
 }
 
+// copyException adds the record of an exception to copies, by successor, and marks
+// the flow as copied. It does nothing if the byte budget is used up, if the home
+// cell of the flow's bucket is not the local one, or if there is no successor.
 func (r *Reducer) copyException(u uncopiedFlow, copies map[string][]messenger.FlowRecord) {
 	hash := placer.Hash(u.key)
 	bucket := placer.BucketOf(hash)
--- a/core/reducer/flow_table.go
+++ b/core/reducer/flow_table.go
@@ -11,7 +11,7 @@
 // noTarget is a registry index that stands for no target.
 const noTarget = 0xffff
 
-// flow is an owner's record of a flow, 16 bytes with its key.
+// flow is an owner's record of a flow: 12 bytes, and 8 for its key.
 type flow struct {
 	// target is the index of the flow's target in the service's registry.
 	target uint16
--- a/core/reducer/permission.go
+++ b/core/reducer/permission.go
@@ -90,6 +90,9 @@
 	return state.Phase == messenger.PhaseJoining || state.Phase == messenger.PhaseWaited
 }
 
+// hasLeft reports whether a host has left, or has handed over its records to this
+// host in its graceful shutdown; they may arrive before the heartbeat that reports
+// the shutdown.
 func (r *Reducer) hasLeft(state detector.State) bool {
 	return state.Phase == messenger.PhaseLeft || (state.Incarnation != 0 && r.leaveHandoverFrom[state.Host] == state.Incarnation)
 }
--- a/core/reducer/target.go
+++ b/core/reducer/target.go
@@ -198,6 +198,9 @@
 	t.quarantineDeadline = r.quarantineDeadline(targetSettings.Address, s.settings.ID)
 }
 
+// updateTable replaces the placement table of a service if the names, weights or
+// addresses of the active targets have changed. Replaced tables are kept for
+// previousTarget, up to maxTables in all.
 func (r *Reducer) updateTable(s *service, now timekeeper.Instant) {
 	var candidates []placer.Candidate
 	var registryIndexes []uint16
