--- a/core/detector/detector.go
+++ b/core/detector/detector.go
@@ -421,6 +421,8 @@
 	}
 }
 
+// declaresDead reports whether a peer's view of its cell lists this incarnation of
+// the local host as dead.
 func declaresDead(cell []messenger.MemberState, self string, incarnation uint64) bool {
 	for _, state := range cell {
 		if state.Host == self && state.Incarnation == incarnation && state.Liveness == messenger.LivenessDead {
--- a/core/detector/quorum.go
+++ b/core/detector/quorum.go
@@ -64,8 +64,9 @@
 }
 
 // isQuorum reports whether the votes held by this host that satisfy countsHeld,
-// together with the votes that votesOf returns for the members of r, are a quorum:
-// more than half of the votes, or half including the vote of the first member.
+// together with the votes that votesOf returns for the members of membership, are a
+// quorum: more than half of the votes, or half including the vote of the first
+// member.
 //
 // Votes are counted by name, not by host: a host that shuts down gracefully
 // transfers its vote to one that stays (see heldVote). Each name's vote is held by
--- a/core/limiter/limiter_test.go
+++ b/core/limiter/limiter_test.go
@@ -134,7 +134,7 @@
 }
 
 // Guards against delays of flows that end within milliseconds: when a target has one free
-// connection left, such flows don't wait for a turn of their host.
+// connection left, and such flows wait for a turn of their host.
 func TestShortLivedFlowsBypassTurns(t *testing.T) {
 	l := limiter.New("a0", start, idle)
 	l.SetLivePeers(50)
--- a/core/pacer/queue_test.go
+++ b/core/pacer/queue_test.go
@@ -24,6 +24,7 @@
 	return q
 }
 
+// takeNext removes and returns the request that Next selects; an empty string if it selects none.
 func takeNext(t *testing.T, q *pacer.Queue[string], now timekeeper.Instant, hasFreeSlots bool) string {
 	t.Helper()
 	before := q.Len()
--- a/core/pacer/simulation_test.go
+++ b/core/pacer/simulation_test.go
@@ -101,6 +101,8 @@
 	}
 }
 
+// poisson returns a random number from a Poisson distribution with the given mean, by Knuth's
+// method.
 func (s *simulation) poisson(mean float64) int {
 	n := 0
 	for limit, p := math.Exp(-mean), s.random.Float64(); p > limit; p *= s.random.Float64() {
@@ -200,6 +202,8 @@
 	s.forwardQueued(h)
 }
 
+// forwardQueued forwards the queued requests of a host while its window has capacity. A target is
+// taken to have free slots if the host has no request in flight there.
 func (s *simulation) forwardQueued(h *simHost) {
 	for {
 		forwarded := false
--- a/core/throttler/table.go
+++ b/core/throttler/table.go
@@ -179,7 +179,8 @@
 	return demand{rate: max(d.rate-other.rate, 0), weight: max(d.weight-other.weight, 0)}
 }
 
-// exceededBy reports whether some callers request much more for their weight than those of d.
+// exceededBy reports whether the callers of other request much more for their weight than those of
+// d do.
 func (d demand) exceededBy(other demand) bool {
 	return other.rate*d.weight > excessFactor*d.rate*other.weight
 }
