--- a/core/admitter/simulation_test.go
+++ b/core/admitter/simulation_test.go
@@ -144,6 +144,7 @@
 	for _, z := range f.zones {
 		capacity := f.capacity
 		if z.partitioned {
+			// The hosts of a partitioned zone reach only its own targets.
 			capacity /= float64(len(f.zones))
 		}
 		for _, a := range z.hosts {
--- a/core/limiter/limiter_test.go
+++ b/core/limiter/limiter_test.go
@@ -55,7 +55,7 @@
 
 // Guards against opening packets that wait at full targets: when a host restarts within a second,
 // the flows of its callers stay open at the targets, and a host that counts only flows it has seen
-// takes the targets for empty.
+// considers the targets empty.
 func TestRestartedHostEstimatesForgottenFlows(t *testing.T) {
 	l := limiter.New("a0", start, idle)
 	target := l.Target(1)
--- a/core/pacer/queue_test.go
+++ b/core/pacer/queue_test.go
@@ -41,6 +41,7 @@
 func TestOldestRequestStillOnTimeGoesFirst(t *testing.T) {
 	q := newQueue("a", "b", "c")
 	require.Equal(t, "a", takeNext(t, q, at(20*millis), false))
+	// b, added at 10 ms, has to be forwarded by 160 ms to be on time.
 	require.Equal(t, "b", takeNext(t, q, at(159*millis), false))
 }
 
