--- a/core/pacer/queue_test.go
+++ b/core/pacer/queue_test.go
@@ -24,6 +24,7 @@
 	return q
 }
 
+// takeNext removes and returns the request that Next selects; an empty string if it selects none.
 func takeNext(t *testing.T, q *pacer.Queue[string], now timekeeper.Instant, hasFreeSlots bool) string {
 	t.Helper()
 	before := q.Len()
@@ -40,6 +41,7 @@
 func TestOldestRequestStillOnTimeGoesFirst(t *testing.T) {
 	q := newQueue("a", "b", "c")
 	require.Equal(t, "a", takeNext(t, q, at(20*millis), false))
+	// b, added at 10 ms, has to be forwarded by 160 ms to be on time.
 	require.Equal(t, "b", takeNext(t, q, at(159*millis), false))
 }
 
