--- a/core/detector/detector_test.go
+++ b/core/detector/detector_test.go
@@ -76,7 +76,7 @@
 // Guards against both sides of a partition acting, or neither: a cell is split in
 // two in every possible way, or a sample of them if it is large. Quorums that do not
 // intersect would give each side one.
-func TestPartitionLeavesAtMostOneQuorum(t *testing.T) {
+func TestPartitionLeavesExactlyOneQuorum(t *testing.T) {
 	for _, size := range []int{2, 3, 4, 5, 8} {
 		for split := 0; split < 1<<size; split++ {
 			n := newNetwork(map[string]int{"a": size})
--- a/core/throttler/table.go
+++ b/core/throttler/table.go
@@ -78,9 +78,9 @@
 }
 
 // flowEnded counts the end of a flow.
-func (t *callerTable) flowEnded(prefix netip.Prefix, learningSince, now timekeeper.Instant) {
+func (t *callerTable) flowEnded(prefix netip.Prefix, weightFreezeDeadline, now timekeeper.Instant) {
 	if c, ok := t.callers.Peek(prefix); ok && c.openFlows > 0 {
-		c.addOpenFlows(-1, learningSince, now)
+		c.addOpenFlows(-1, weightFreezeDeadline, now)
 	}
 }
 
@@ -88,19 +88,19 @@
 //
 // Without this, many people behind one address that open long flows under normal load, and neither
 // open nor end any for a minute, weigh as much as one caller in the overload that follows.
-func (t *callerTable) updateWeights(learningSince, now timekeeper.Instant) {
+func (t *callerTable) updateWeights(weightFreezeDeadline, now timekeeper.Instant) {
 	for _, c := range t.callers.Values() {
 		if c.hasHistory {
-			c.addOpenFlows(0, learningSince, now)
+			c.addOpenFlows(0, weightFreezeDeadline, now)
 		}
 	}
 }
 
 // addOpenFlows changes the number of open flows. The flows open until now count towards the weight,
-// but only for the time under normal load, which began at learningSince.
-func (c *caller) addOpenFlows(delta int, learningSince, now timekeeper.Instant) {
-	if learningSince.Passed(now) {
-		decay := math.Exp(-float64(now.Since(max(c.updatedAt, learningSince))) / float64(weightTimeConstant))
+// but only for the time under normal load, which began at weightFreezeDeadline.
+func (c *caller) addOpenFlows(delta int, weightFreezeDeadline, now timekeeper.Instant) {
+	if weightFreezeDeadline.Passed(now) {
+		decay := math.Exp(-float64(now.Since(max(c.updatedAt, weightFreezeDeadline))) / float64(weightTimeConstant))
 		c.hasHistory = true
 		c.weight = max(c.weight*decay+float64(c.openFlows)*(1-decay), minWeight)
 	}
--- a/scripts/red.sh
+++ b/scripts/red.sh
@@ -400,7 +400,7 @@
 
 package=throttler
 without "long flows of calm times" throttler/throttler.go 's.addresses.updateWeights(s.weightFreezeDeadline, now)' '_ = now' TestLongFlowsOpenedBeforeOverloadAddWeight
-without "weights of calm times only" throttler/table.go 'max(c.updatedAt, learningSince)' 'max(c.updatedAt, 0*learningSince)' TestWeightsDoNotGrowDuringOverload
+without "weights of calm times only" throttler/table.go 'max(c.updatedAt, weightFreezeDeadline)' 'max(c.updatedAt, 0*weightFreezeDeadline)' TestWeightsDoNotGrowDuringOverload
 
 package=steerer
 without "ends where flows began" steerer/throttling.go 'Service: f.callerCountedAt.name}
